--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -149,7 +149,7 @@
 	if r.Canary == "" || r.Share <= 0 {
 		return listed.only(&r, stable)
 	}
-	canary := routing.SoftwareChoice{Version: r.Canary, Part: r.Part}
+	canary := routing.SoftwareChoice{Version: r.Canary, Fraction: r.Part}
 	switch {
 	case r.Stage == Promoting:
 		return []routing.SoftwareChoice{{Version: r.Canary}}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -232,7 +232,7 @@
 	if sc.Routing.Filtered[routing.WrongModel] == len(sc.Inputs) {
 		return outcome.New(outcome.NotRun, outcome.CodeUnknownModel, "route", "", "no target serves model "+string(r.p.Model))
 	}
-	return outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no target can take the request now").After(r.d.Fleet.ComeBack(req, snap, sc, retryNoTarget))
+	return outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no target can take the request now").After(r.d.Fleet.RetryAfter(req, snap, sc, retryNoTarget))
 }
 
 // learn feeds the end of an attempt back into membership and the time line.
@@ -249,7 +249,7 @@
 	var caller *engine.CallerError
 	switch {
 	case errors.As(err, &refusal):
-		r.d.Fleet.Signaled(call.Target, refusal.Incarnation, refusal.Signals(), clock.Now())
+		r.d.Fleet.ApplySignals(call.Target, refusal.Incarnation, refusal.Signals(), clock.Now())
 	case errors.As(err, &caller) && e.Outcome == outcome.Ran:
 		r.d.Fleet.Members.Succeeded(call.Target)
 	case ctx.Err() == context.Canceled:
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -200,8 +200,8 @@
 		store:   &objectapi.Counted{Store: o.Adapter.Store},
 		budgets: retry.NewServices(s.Edge.RetryRatio*budgetUse, s.Edge.RetryBurst*budgetUse, s.Edge.RetryWindow.D()),
 	}
-	d.Fleet.AssumeRate(prefillRate)
-	d.Fleet.SeedFrom(xxh3.HashString(string(s.VM)))
+	d.Fleet.SetDefaultPrefillRate(prefillRate)
+	d.Fleet.SetFirstSeed(xxh3.HashString(string(s.VM)))
 	d.build()
 	return d, nil
 }
@@ -221,8 +221,8 @@
 		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.gone(client), Named: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
 		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Most: edge.Subset},
 	}
-	d.Fleet.Part = d.Replicas.Part
-	d.Fleet.Fresh = refreshEvery
+	d.Fleet.KnownFraction = d.Replicas.Part
+	d.Fleet.MaxSnapshotAge = refreshEvery
 	d.Weights = &follow.Weights{Decode: d.adapter.DecodeWeights, Clock: &follow.Clock{}, Log: d.Log}
 	d.Weights.SetWithin(edge.WeightsWithin.D() - weightsMargin)
 	planner := &forward.Planner{Cache: d.Fleet.Cache, FetchRate: fetchRate}
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -53,7 +53,7 @@
 
 // heardLimit takes in what a peer knows of a target's limit.
 func (d *Daemon) heardLimit(w ratelimit.Word) {
-	if !d.Fleet.HeardLimit(w) {
+	if !d.Fleet.ApplyPeerLimit(w) {
 		return
 	}
 	d.Log.Belief("replica-limit").Str("target", string(w.Target)).Uint64("incarnation", uint64(w.Incarnation)).Str("from", "news").
--- a/internal/edge/living.go
+++ b/internal/edge/living.go
@@ -104,7 +104,7 @@
 		var best ids.VM
 		var weight uint64
 		for _, v := range vms {
-			if w := routing.MixWeight(hash, v.hash); (best == "" || w > weight) && !slices.Contains(out, v.vm) {
+			if w := routing.RendezvousWeight(hash, v.hash); (best == "" || w > weight) && !slices.Contains(out, v.vm) {
 				best, weight = v.vm, w
 			}
 		}
--- a/internal/edge/vms.go
+++ b/internal/edge/vms.go
@@ -109,7 +109,7 @@
 		c.at[o.Key] = r
 	}
 	c.d.budgets.SetVMs(len(c.at))
-	c.d.Fleet.SetOthers(len(c.at) - 1)
+	c.d.Fleet.SetPeerCount(len(c.at) - 1)
 	names := make([]ids.VM, 0, len(c.at))
 	peers := make([]news.Peer, 0, len(c.at))
 	for _, r := range c.at {
--- a/internal/fleet/crossing.go
+++ b/internal/fleet/crossing.go
@@ -26,8 +26,8 @@
 	at  time.Time
 }
 
-// SetOthers tells how many other VMs send to the same targets.
-func (f *Fleet) SetOthers(n int) {
+// SetPeerCount tells how many other VMs send to the same targets.
+func (f *Fleet) SetPeerCount(n int) {
 	f.crossing.mu.Lock()
 	defer f.crossing.mu.Unlock()
 	f.crossing.others = max(n, 0)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -70,16 +70,16 @@
 	crossing   crossing
 	rate       float64 // prefill rate of targets that don't tell theirs, in tokens/s
 
-	// Part tells which part of a service's targets this VM knows, 0 to 1. Nil: all.
-	Part func(service string) float64
-	// Fresh is how old a snapshot may be that a decision rests on. Zero: as old as the last
+	// KnownFraction tells which part of a service's targets this VM knows, 0 to 1. Nil: all.
+	KnownFraction func(service string) float64
+	// MaxSnapshotAge is how old a snapshot may be that a decision rests on. Zero: as old as the last
 	// Refresh.
-	Fresh time.Duration
+	MaxSnapshotAge time.Duration
 }
 
-// AssumeRate sets the prefill rate of targets that don't tell theirs, in tokens/s.
+// SetDefaultPrefillRate sets the prefill rate of targets that don't tell theirs, in tokens/s.
 // It is called before the first decision.
-func (f *Fleet) AssumeRate(tokens float64) { f.rate = tokens }
+func (f *Fleet) SetDefaultPrefillRate(tokens float64) { f.rate = tokens }
 
 // New returns a fleet over the given parts. now is nil for the wall clock.
 func New(m *membership.Table, c *cacheview.Index, l *loadview.Tracker, policy *routing.Router, now func() time.Time) *Fleet {
@@ -208,7 +208,7 @@
 // Snapshot returns the newest snapshot. It shows all changes that were marked
 // before, also while a refresh for them is still under way.
 func (f *Fleet) Snapshot() *Snapshot {
-	if s := f.snap.Load(); s.changes == f.changes.Load() && (f.Fresh <= 0 || s.Age(f.now()) < f.Fresh) {
+	if s := f.snap.Load(); s.changes == f.changes.Load() && (f.MaxSnapshotAge <= 0 || s.Age(f.now()) < f.MaxSnapshotAge) {
 		return s
 	}
 	return f.Refresh()
@@ -216,18 +216,18 @@
 
 // part is which part of a service's targets this VM knows.
 func (f *Fleet) part(service string) float64 {
-	if f.Part == nil {
+	if f.KnownFraction == nil {
 		return 1
 	}
-	return f.Part(service)
+	return f.KnownFraction(service)
 }
 
 // PolicyName returns the name of the policy in force.
 func (f *Fleet) PolicyName() string { return f.policy.Name }
 
-// SeedFrom sets where Seed begins. VMs that begin at the same number draw the same
+// SetFirstSeed sets where Seed begins. VMs that begin at the same number draw the same
 // targets at the same time. It is called before the first decision.
-func (f *Fleet) SeedFrom(n uint64) { f.counter.Store(n) }
+func (f *Fleet) SetFirstSeed(n uint64) { f.counter.Store(n) }
 
 // Seed returns a number that differs from decision to decision.
 func (f *Fleet) Seed() uint64 { return f.counter.Add(1) }
@@ -250,7 +250,7 @@
 // sent against the target's rate limit; GiveBack takes that back.
 func (f *Fleet) Decide(r *routing.Request, tried []ids.Target, sc *Scratch) (*Snapshot, routing.Decision) {
 	snap := f.Snapshot()
-	r.Crossing = f.crossing.sent(r.Service, f.Load, f.now()) * float32(f.part(r.Service))
+	r.InTransit = f.crossing.sent(r.Service, f.Load, f.now()) * float32(f.part(r.Service))
 	for {
 		f.gather(snap, r, tried, sc)
 		d := f.policy.Decide(r, &snap.View, sc.Inputs, &sc.Routing)
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -10,9 +10,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Signaled takes in what a target said of itself in an answer to a request that was sent at a
+// ApplySignals takes in what a target said of itself in an answer to a request that was sent at a
 // time, and returns what of it is news. An incarnation of zero is the one that is known.
-func (f *Fleet) Signaled(id ids.Target, inc ids.Incarnation, s membership.Signals, sent time.Time) membership.SignalChange {
+func (f *Fleet) ApplySignals(id ids.Target, inc ids.Incarnation, s membership.Signals, sent time.Time) membership.SignalChange {
 	if inc == 0 {
 		inc = f.Members.Incarnation(id)
 	}
@@ -23,10 +23,10 @@
 	return change
 }
 
-// HeardLimit takes in what a peer knows of a target's limit, and returns whether that is news. A
+// ApplyPeerLimit takes in what a peer knows of a target's limit, and returns whether that is news. A
 // word of another incarnation than this VM knows waits until it knows that one, too: a garbled
 // one would shut out all that the target says itself.
-func (f *Fleet) HeardLimit(w ratelimit.Word) (changed bool) {
+func (f *Fleet) ApplyPeerLimit(w ratelimit.Word) (changed bool) {
 	return w.Incarnation == f.Members.Incarnation(w.Target) && f.Members.Limits.Heard(w)
 }
 
@@ -48,11 +48,11 @@
 // longestReturn bounds when a caller should come back: other VMs may have room sooner.
 const longestReturn = 3 * time.Second
 
-// ComeBack is when a caller should come back for whose request Decide found no target. Where
+// RetryAfter is when a caller should come back for whose request Decide found no target. Where
 // targets asked not to be sent more, that is when the first of them takes a request again,
 // and some time besides by chance: one request in that time is all that it takes. least is the
 // answer where there is no such target.
-func (f *Fleet) ComeBack(r *routing.Request, snap *Snapshot, sc *Scratch, least time.Duration) time.Duration {
+func (f *Fleet) RetryAfter(r *routing.Request, snap *Snapshot, sc *Scratch, least time.Duration) time.Duration {
 	wait, room, known := f.wait(r, snap, sc)
 	if !known {
 		return least
--- a/internal/fleet/signals_test.go
+++ b/internal/fleet/signals_test.go
@@ -36,17 +36,17 @@
 		if d.Index >= 0 {
 			t.Fatalf("%s takes the request", snap.View.Targets[d.Index].ID)
 		}
-		return f.ComeBack(&req, snap, sc, least)
+		return f.RetryAfter(&req, snap, sc, least)
 	}
-	f.Signaled("a", 1, membership.Signals{Rest: 2 * time.Second}, now)
+	f.ApplySignals("a", 1, membership.Signals{Rest: 2 * time.Second}, now)
 	if got := comeBack("b"); got != least {
 		t.Errorf("come back after %v, though a target was only tried", got)
 	}
-	f.Signaled("b", 0, membership.Signals{Rest: time.Second}, now)
+	f.ApplySignals("b", 0, membership.Signals{Rest: time.Second}, now)
 	if got := comeBack(); got != time.Second {
 		t.Errorf("come back after %v, the first rest ends after a second", got)
 	}
-	f.Signaled("b", 1, membership.Signals{Limit: ratelimit.PerSecond(0.1)}, now)
+	f.ApplySignals("b", 1, membership.Signals{Limit: ratelimit.PerSecond(0.1)}, now)
 	if got := comeBack(); got != 2*time.Second {
 		t.Errorf("come back after %v, one rests for 2s and the other takes a request in 10s", got)
 	}
@@ -58,13 +58,13 @@
 	f := New(membership.New("vm", membership.DefaultTuning), cacheview.New(1024, nil), loadview.New(), routing.NewFetching(), nil)
 	f.Members.Platform([]platform.Record{{ID: "a", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
 	f.Refresh()
-	if f.HeardLimit(ratelimit.Word{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
+	if f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
 		t.Error("a word of an unknown incarnation counts")
 	}
-	if !f.Signaled("a", 1, membership.Signals{Limit: ratelimit.PerSecond(2)}, time.Now()).Limit {
+	if !f.ApplySignals("a", 1, membership.Signals{Limit: ratelimit.PerSecond(2)}, time.Now()).Limit {
 		t.Error("what the target says itself does not count")
 	}
-	if !f.HeardLimit(ratelimit.Word{Target: "a", Incarnation: 1, Limit: ratelimit.PerSecond(3)}) {
+	if !f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1, Limit: ratelimit.PerSecond(3)}) {
 		t.Error("a word of the known incarnation does not count")
 	}
 }
--- a/internal/follow/growth_test.go
+++ b/internal/follow/growth_test.go
@@ -35,7 +35,7 @@
 		Fleet: fleet.New(membership.New("vm", membership.DefaultTuning), cacheview.New(1<<12, nil), loadview.New(), routing.NewFetching(), nil),
 		Gone:  func(ids.Target) {}, ReturnGrace: time.Second, Log: log, Subset: Subset{VM: "vm", Domain: "d0", Most: 256},
 	}
-	r.Fleet.Fresh = 100 * time.Millisecond
+	r.Fleet.MaxSnapshotAge = 100 * time.Millisecond
 	r.Decode = func(o objectapi.Object) (platform.Record, error) {
 		var i int
 		if _, err := fmt.Sscanf(o.Key, "servers/i-%d", &i); err != nil {
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -136,7 +136,7 @@
 		return id, true // it speaks of an incarnation that has ended
 	}
 	rec := &record{Record: n, hash: routing.HashTarget(id)}
-	rec.weight = routing.MixWeight(rec.hash, r.Subset.hash())
+	rec.weight = routing.RendezvousWeight(rec.hash, r.Subset.hash())
 	switch {
 	case old == nil:
 	case n.Incarnation > old.Incarnation:
--- a/internal/follow/weights.go
+++ b/internal/follow/weights.go
@@ -261,8 +261,8 @@
 		if !n.counts(now) {
 			continue
 		}
-		bound := routing.WeightsBound{Newer: n.number, Left: float32((w.within - now.Sub(n.at)).Seconds())}
-		if k := len(bounds); k > 0 && bound.Left < 0 {
+		bound := routing.WeightsBound{OlderThan: n.number, StartWithin: float32((w.within - now.Sub(n.at)).Seconds())}
+		if k := len(bounds); k > 0 && bound.StartWithin < 0 {
 			bounds[k-1] = bound // it says as much as the one before
 			continue
 		}
--- a/internal/follow/weights_test.go
+++ b/internal/follow/weights_test.go
@@ -36,12 +36,12 @@
 				t.Errorf("weights %q: %v left, behind %v; want %v, %v", c.has, left, behind, c.left, c.behind)
 			}
 		}
-		want := []routing.WeightsBound{{Newer: 1, Left: -2.3}, {Newer: 2, Left: 4}, {Newer: 3, Left: 8}}
+		want := []routing.WeightsBound{{OlderThan: 1, StartWithin: -2.3}, {OlderThan: 2, StartWithin: 4}, {OlderThan: 3, StartWithin: 8}}
 		if newest, since, bounds := w.Wanted("m", time.Now()); newest != "3" || since != time.Second || !slices.Equal(bounds, want) {
 			t.Errorf("wanted: %q since %v, %v; want %v", newest, since, bounds, want)
 		}
 		time.Sleep(5 * time.Second)
-		want = []routing.WeightsBound{{Newer: 2, Left: -1}, {Newer: 3, Left: 3}}
+		want = []routing.WeightsBound{{OlderThan: 2, StartWithin: -1}, {OlderThan: 3, StartWithin: 3}}
 		if _, _, bounds := w.Wanted("m", time.Now()); !slices.Equal(bounds, want) {
 			t.Errorf("5 s later: %v, want %v: the last version that is too old says it for all before", bounds, want)
 		}
--- a/internal/follow/words_test.go
+++ b/internal/follow/words_test.go
@@ -45,7 +45,7 @@
 		now := time.Now().Add(after)
 		_, behind := w.Left("m", "2", now)
 		newest, _, bounds := w.Wanted("m", now)
-		if behind != want || newest != "2" || (len(bounds) == 1 && bounds[0].Newer == 1<<40) != want {
+		if behind != want || newest != "2" || (len(bounds) == 1 && bounds[0].OlderThan == 1<<40) != want {
 			t.Errorf("%v later: behind %v, newest %s, bounds %v", after, behind, newest, bounds)
 		}
 	}
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -76,7 +76,7 @@
 	snap, d, pass := r.choose(&req, sc)
 	if d.Index < 0 {
 		r.logNoTarget(sc)
-		return choice{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "decide", "", "no replica can take the call now").After(f.Fleet.ComeBack(&req, snap, sc, retryNoTarget))
+		return choice{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "decide", "", "no replica can take the call now").After(f.Fleet.RetryAfter(&req, snap, sc, retryNoTarget))
 	}
 	c := choice{
 		target: snap.View.Targets[d.Index], wait: seconds(d.PredictedTTFT), queue: seconds(d.QueueWait), rate: d.Rate,
@@ -85,7 +85,7 @@
 	if len(req.Levels) > 0 || p != nil && r.route.Prompts {
 		wall := r.catalog.Wall(r.workspace)
 		c.salt = kvcache.Salt(c.target.Weights, wall)
-		c.home = homeOf(&c, snap, sc.Routing.Home())
+		c.home = homeOf(&c, snap, sc.Routing.Rendezvous())
 		f.KV.plan(&c, &req, snap, sc, r.kvStore(req.Levels), wall, p.Model, parts)
 	}
 	r.logDecision(snap, &d, sc, &c)
@@ -104,7 +104,7 @@
 // replicas may be none of this VM's.
 func (r *run) visit(levels []prefix.Level) {
 	if r.f.Visit != nil && len(levels) > 0 {
-		r.f.Visit(r.service, routing.HomeKey(levels), visited)
+		r.f.Visit(r.service, routing.RendezvousKey(levels), visited)
 	}
 }
 
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -91,7 +91,7 @@
 	r := route(catalog.Idempotent, 2)
 	r.Prompts, r.Objective = true, time.Second
 	tf := newFleet(t, r, s)
-	tf.f.Fleet.AssumeRate(1e6)
+	tf.f.Fleet.SetDefaultPrefillRate(1e6)
 	tf.f.Fleet.Refresh()
 	for range 2 {
 		if _, _, err := tf.ask(t, "Model", "m"); err != nil {
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -49,7 +49,7 @@
 			r := route(catalog.Idempotent, 2)
 			r.Prompts, r.Priority = true, c.priority
 			tf := newFleet(t, r, s)
-			tf.f.Fleet.AssumeRate(10_000)
+			tf.f.Fleet.SetDefaultPrefillRate(10_000)
 			tf.f.Fleet.Refresh()
 			work := tf.f.Fleet.Load.Sent("a", int32(c.queued.Seconds()*10_000), time.Now())
 			defer work.End()
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -6,7 +6,7 @@
 	if t.r.superseded(t.c) || reply.Replica != "" && reply.Replica != id {
 		return // it speaks of another incarnation
 	}
-	if !t.r.f.Fleet.Signaled(id, inc, reply.Signals, t.sent).Any() {
+	if !t.r.f.Fleet.ApplySignals(id, inc, reply.Signals, t.sent).Any() {
 		return
 	}
 	s := &reply.Signals
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -64,7 +64,7 @@
 		if refusal := before(); refusal != nil {
 			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
 		}
-		tf.f.Fleet.Signaled("a", 1, s, time.Now())
+		tf.f.Fleet.ApplySignals("a", 1, s, time.Now())
 		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errLapsed) {
 			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
 		}
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -32,7 +32,7 @@
 		seen := f.Fleet.Snapshot()
 		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.Draw{First: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
-			choices[i].MostHash = mostHash(r.service, seen, &choices[i])
+			choices[i].MaxHash = mostHash(r.service, seen, &choices[i])
 			req.Software = &choices[i]
 			if snap, d = f.Fleet.Decide(req, r.tried, sc); d.Index >= 0 {
 				break
@@ -54,7 +54,7 @@
 // mostHash bounds the hashes of a version's targets where only a part of them gets calls; VMs
 // that see the same targets agree on them. Zero: all do.
 func mostHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
-	if c.Part <= 0 || c.Part >= 1 {
+	if c.Fraction <= 0 || c.Fraction >= 1 {
 		return 0
 	}
 	var hashes []uint64
@@ -65,7 +65,7 @@
 		}
 	}
 	slices.Sort(hashes)
-	if n := int(math.Ceil(c.Part * float64(len(hashes)))); n > 0 && n < len(hashes) {
+	if n := int(math.Ceil(c.Fraction * float64(len(hashes)))); n > 0 && n < len(hashes) {
 		return hashes[n-1]
 	}
 	return 0
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -25,7 +25,7 @@
 
 func (w twoVersions) Wanted(_ ids.Model, now time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
 	since := now.Sub(w.named)
-	return "2", since, []routing.WeightsBound{{Newer: 2, Left: float32((w.within - since).Seconds())}}
+	return "2", since, []routing.WeightsBound{{OlderThan: 2, StartWithin: float32((w.within - since).Seconds())}}
 }
 
 func (w twoVersions) Left(_ ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
--- a/internal/routing/draw_test.go
+++ b/internal/routing/draw_test.go
@@ -33,7 +33,7 @@
 	const decisions = 1000
 	gathered := 0
 	for seed := range uint64(decisions) {
-		if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: seed, Crossing: 300}, v, in, s); d.Index == 7 {
+		if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: seed, InTransit: 300}, v, in, s); d.Index == 7 {
 			gathered++
 		}
 	}
@@ -43,7 +43,7 @@
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
 		t.Fatalf("where no call crosses target %d was picked", d.Index)
 	}
-	p.Draw = Draw{}
+	p.Sampling = Sampling{}
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
 		t.Fatalf("without draws target %d was picked", d.Index)
 	}
@@ -57,7 +57,7 @@
 	levels := []prefix.Level{{ID: 42, Tokens: 6000}}
 	home := -1
 	for seed := range uint64(200) {
-		d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, Seed: seed, Crossing: 300}, v, in, s)
+		d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, Seed: seed, InTransit: 300}, v, in, s)
 		if home >= 0 && d.Index != home {
 			t.Fatalf("a prefix that nobody holds went to %d and to %d", home, d.Index)
 		}
@@ -65,7 +65,7 @@
 	}
 	in[3].Cached = 6000
 	for seed := range uint64(200) {
-		if d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, FetchRate: 40_000, Seed: seed, Crossing: 300}, v, in, s); d.Index != 3 {
+		if d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, FetchRate: 40_000, Seed: seed, InTransit: 300}, v, in, s); d.Index != 3 {
 			t.Fatalf("a prefix went to %d, its holder is 3", d.Index)
 		}
 	}
--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -76,7 +76,7 @@
 // Check implements Filter.
 func (SoftwareFilter) Check(r *Request, t *Target, _ *Input) Reason {
 	c := r.Software
-	if c != nil && (t.Software != c.Version || c.MostHash > 0 && t.Hash > c.MostHash) {
+	if c != nil && (t.Software != c.Version || c.MaxHash > 0 && t.Hash > c.MaxHash) {
 		return OtherSoftware
 	}
 	return Passed
@@ -93,10 +93,10 @@
 // Check implements Filter.
 func (WeightsFilter) Check(r *Request, t *Target, in *Input) Reason {
 	for _, b := range r.OldWeights {
-		if t.WeightsNumber >= b.Newer {
+		if t.WeightsNumber >= b.OlderThan {
 			continue
 		}
-		left := b.Left
+		left := b.StartWithin
 		if r.Once {
 			left -= onceMargin
 		}
@@ -121,11 +121,11 @@
 // HashTarget returns the value for Target.Hash.
 func HashTarget(id ids.Target) uint64 { return xxh3.HashString(string(id)) }
 
-// MixWeight is the rendezvous weight of two hashes for each other.
-func MixWeight(a, b uint64) uint64 { return AffinityOf(a, b) }
+// RendezvousWeight is the rendezvous weight of two hashes for each other.
+func RendezvousWeight(a, b uint64) uint64 { return AffinityOf(a, b) }
 
 // VMWeight is the rendezvous weight of an entry VM for something that few VMs care
 // for, such as a target that is to be probed: equal on all VMs.
 func VMWeight(id ids.Target, vm ids.VM) uint64 {
-	return MixWeight(HashTarget(id), HashTarget(ids.Target(vm)))
+	return RendezvousWeight(HashTarget(id), HashTarget(ids.Target(vm)))
 }
--- a/internal/routing/filters_test.go
+++ b/internal/routing/filters_test.go
@@ -5,7 +5,7 @@
 // TestWeightsFilter checks that a target with old weights is used only for requests that
 // are expected to begin in time there: what counts is when they begin.
 func TestWeightsFilter(t *testing.T) {
-	r := &Request{OldWeights: []WeightsBound{{Newer: 2, Left: -1}, {Newer: 3, Left: 4}}}
+	r := &Request{OldWeights: []WeightsBound{{OlderThan: 2, StartWithin: -1}, {OlderThan: 3, StartWithin: 4}}}
 	for _, c := range []struct {
 		weights uint64
 		wait    float32 // seconds
--- a/internal/routing/pickers.go
+++ b/internal/routing/pickers.go
@@ -125,15 +125,15 @@
 		Scorers: []Scorer{
 			QueueScorer{},
 			FetchScorer{},
-			CrowdScorer{Seconds: defaultCrowdSeconds},
+			InFlightScorer{Seconds: defaultCrowdSeconds},
 			FailureScorer{Seconds: defaultFailureSeconds},
 			OldWeightsScorer{Seconds: defaultOldWeightsSeconds},
 			DistanceScorer{Seconds: defaultFetchDistanceSeconds},
 			SlowStartScorer{Seconds: defaultSlowStart},
 		},
 		Picker:       BandPicker{Ratio: defaultBandRatio, Seconds: defaultBandSeconds},
-		Draw:         Draw{Least: defaultDrawn, Crowd: defaultCrowd},
-		AwayPerToken: defaultAwayPerToken,
+		Sampling:         Sampling{MinTargets: defaultDrawn, MaxHerd: defaultCrowd},
+		OffRendezvousPerToken: defaultAwayPerToken,
 	}
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -103,25 +103,25 @@
 	Pending ids.Target
 	// Software narrows the choice to a version of the targets' software. Nil: any.
 	Software *SoftwareChoice
-	// Crossing is how many calls to the service other VMs have sent, about, that this one
+	// InTransit is how many calls to the service other VMs have sent, about, that this one
 	// has not heard of; zero: none.
-	Crossing float32
+	InTransit float32
 }
 
 // WeightsBound bounds the use of all versions older than one: a request must begin on
 // them within so many seconds. Negative: they may no longer be used.
 type WeightsBound struct {
-	Newer uint64
-	Left  float32
+	OlderThan uint64
+	StartWithin  float32
 }
 
 // SoftwareChoice is a version of targets' software, or a part of the targets that run it.
 type SoftwareChoice struct {
 	Version ids.SoftwareVersion
-	// Part is the part of the version's targets that may be picked; zero: all.
-	Part float64
-	// MostHash bounds their hashes, where Part is less than all; zero: nothing does.
-	MostHash uint64
+	// Fraction is the part of the version's targets that may be picked; zero: all.
+	Fraction float64
+	// MaxHash bounds their hashes, where Part is less than all; zero: nothing does.
+	MaxHash uint64
 }
 
 // Reason says why a filter turned a target down.
@@ -174,9 +174,9 @@
 	Count    int     `json:"count"`
 	Best     int32   `json:"best"`      // deepest believed prefix, in tokens
 	MeanWait float32 `json:"mean_wait"` // mean wait for a turn, in seconds
-	// Home is the index of the target where the shared levels should be computed if
+	// Rendezvous is the index of the target where the shared levels should be computed if
 	// nobody holds them: all VMs that see the same targets agree on it.
-	Home int `json:"home"`
+	Rendezvous int `json:"home"`
 }
 
 // Picker chooses among costs; an infinite cost is not eligible. It returns -1
@@ -191,11 +191,11 @@
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// AwayPerToken is what it costs to compute a shared token that nobody holds on
+	// OffRendezvousPerToken is what it costs to compute a shared token that nobody holds on
 	// another target than the one on which all VMs agree, in seconds: the others may
 	// be computing it there. Zero: nothing.
-	AwayPerToken float32
-	Draw         Draw
+	OffRendezvousPerToken float32
+	Sampling         Sampling
 }
 
 var infinite = float32(math.Inf(1))
@@ -215,7 +215,7 @@
 		s.eligible = p.filter(r, v, in, s)
 	}
 	e := &s.eligible // not a local one, which would be allocated for the interface calls
-	p.Draw.apply(r, v, in, e, s.costs)
+	p.Sampling.apply(r, v, in, e, s.costs)
 	for i := range v.Targets {
 		if s.costs[i] == infinite {
 			continue
@@ -223,8 +223,8 @@
 		for _, sc := range p.Scorers {
 			s.costs[i] += sc.Cost(r, &v.Targets[i], &in[i], e)
 		}
-		if p.AwayPerToken > 0 && i != e.Home {
-			s.costs[i] += p.AwayPerToken * unheld(r, e)
+		if p.OffRendezvousPerToken > 0 && i != e.Rendezvous {
+			s.costs[i] += p.OffRendezvousPerToken * unheld(r, e)
 		}
 	}
 	d := Decision{Index: p.Picker.Pick(r, v, e, s.costs), BestCached: e.Best}
@@ -246,8 +246,8 @@
 	s.Filtered = [reasonCount]int{}
 }
 
-// Home returns the index of the last decision's home for shared levels; -1: none.
-func (s *Scratch) Home() int { return s.eligible.Home }
+// Rendezvous returns the index of the last decision's home for shared levels; -1: none.
+func (s *Scratch) Rendezvous() int { return s.eligible.Rendezvous }
 
 // Costs returns the costs of the last decision, in the order of its view.
 func (s *Scratch) Costs() []float32 { return s.costs }
@@ -279,12 +279,12 @@
 		e.MeanWait += queueWait(&in[i])
 	}
 	e.MeanWait /= float32(max(e.Count, 1))
-	e.Home = home(r, v, s.costs)
+	e.Rendezvous = home(r, v, s.costs)
 	return e
 }
 
-// HomeKey is the key by which all VMs agree where shared levels are computed.
-func HomeKey(levels []prefix.Level) uint64 { return uint64(levels[len(levels)-1].ID) }
+// RendezvousKey is the key by which all VMs agree where shared levels are computed.
+func RendezvousKey(levels []prefix.Level) uint64 { return uint64(levels[len(levels)-1].ID) }
 
 // home picks the target that computes levels which nobody holds.
 func home(r *Request, v *View, costs []float32) int {
@@ -292,7 +292,7 @@
 	if len(r.Levels) == 0 {
 		return best
 	}
-	key := HomeKey(r.Levels)
+	key := RendezvousKey(r.Levels)
 	for i := range v.Targets {
 		if costs[i] == infinite {
 			continue
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -23,9 +23,9 @@
 // would queue behind its cold cache.
 type SlowStartScorer struct{ Seconds float32 }
 
-// CrowdScorer reads this VM's requests in flight: each slows the next one down by
+// InFlightScorer reads this VM's requests in flight: each slows the next one down by
 // a part of Seconds, more where a target has few places.
-type CrowdScorer struct{ Seconds float32 }
+type InFlightScorer struct{ Seconds float32 }
 
 // FailureScorer reads the rate of recent failures: a failed attempt costs the
 // caller Seconds.
@@ -40,7 +40,7 @@
 type FetchScorer struct{}
 
 var (
-	_ Scorer = CrowdScorer{}
+	_ Scorer = InFlightScorer{}
 	_ Scorer = FailureScorer{}
 	_ Scorer = OldWeightsScorer{}
 	_ Scorer = FetchScorer{}
@@ -93,7 +93,7 @@
 const assumedSlots = 8
 
 // Cost implements Scorer.
-func (s CrowdScorer) Cost(_ *Request, _ *Target, in *Input, _ *Eligible) float32 {
+func (s InFlightScorer) Cost(_ *Request, _ *Target, in *Input, _ *Eligible) float32 {
 	slots := in.Slots
 	if slots == 0 {
 		slots = assumedSlots
--- a/internal/routing/signals_test.go
+++ b/internal/routing/signals_test.go
@@ -30,7 +30,7 @@
 	}
 	in[7].InFlight, in[7].Reserved = 0, true
 	for seed := range uint64(50) {
-		if d := NewFetching().Decide(&Request{Service: "s", Seed: seed, Crossing: 300}, &v, in, &Scratch{}); d.Index != 7 {
+		if d := NewFetching().Decide(&Request{Service: "s", Seed: seed, InTransit: 300}, &v, in, &Scratch{}); d.Index != 7 {
 			t.Fatalf("seed %d: target %d is picked, want the idle one that is reserved", seed, d.Index)
 		}
 	}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -227,7 +227,7 @@
 	req := routing.Request{Service: c.Template.Service, FailureDomain: r.Domain, Seed: r.Fleet.Seed()}
 	snap, d := r.Fleet.Decide(&req, tried, sc)
 	if d.Index < 0 {
-		return routing.Target{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no replica of the service can take the call now").After(r.Fleet.ComeBack(&req, snap, sc, retryNoTarget))
+		return routing.Target{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no replica of the service can take the call now").After(r.Fleet.RetryAfter(&req, snap, sc, retryNoTarget))
 	}
 	return snap.View.Targets[d.Index], nil
 }
@@ -284,7 +284,7 @@
 	case err == nil:
 		r.Fleet.Members.Succeeded(t)
 	case errors.As(err, &refusal) && (refusal.Leaving || refusal.Rest > 0):
-		r.Fleet.Signaled(t, refusal.Incarnation, refusal.Signals(), clock.Now())
+		r.Fleet.ApplySignals(t, refusal.Incarnation, refusal.Signals(), clock.Now())
 	case errors.Is(ctx.Err(), context.Canceled):
 		// The caller left; this says nothing about the target.
 	default: // also when the call's time ran out on it
--- a/internal/yardstick/moves.go
+++ b/internal/yardstick/moves.go
@@ -230,7 +230,7 @@
 			at.Holder = verdict.Source{Addr: e.addr, Tokens: in[i].Cached}
 		}
 	}
-	if home := w.scratch.Home(); home >= 0 && home != chosen {
+	if home := w.scratch.Rendezvous(); home >= 0 && home != chosen {
 		at.Home = w.engines[home].addr
 	}
 	return at
