--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -80,7 +80,7 @@
 // woke puts an end to what a suspension of this VM has outlived. Proofs, the lease and all
 // ages go by package clock and have run out by themselves.
 func (d *Daemon) woke(length time.Duration) {
-	ended := d.Forward.Woke()
+	ended := d.Forward.AfterSuspension()
 	d.Log.Belief("suspended").Int64("ms", length.Milliseconds()).Int("calls_over", ended).
 		Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -229,12 +229,12 @@
 	d.Forward = &forward.Forwarder{
 		VM: s.VM, Domain: s.FailureDomain, Catalog: d.Catalog, Fleet: d.Fleet, Upstream: client,
 		Dialect: d.adapter.Dialect, Budgets: d.budgets, KV: planner, Weights: d.Weights, Log: d.Log,
-		Visit:        d.Replicas.Visit,
-		LearnWeights: func(id ids.Target, w ids.WeightsVersion) { d.Replicas.SetWeights(id, w, "answer") },
+		AddRendezvousTargets: d.Replicas.Visit,
+		ObserveWeights:       func(id ids.Target, w ids.WeightsVersion) { d.Replicas.SetWeights(id, w, "answer") },
 		Tuning: forward.Tuning{
-			MaxBodies:   int64(float64(edge.MemoryMB<<20) * bodyShare),
-			MaxInFlight: int64(s.MaxInFlight),
-			MaxAnswers:  edge.AnswerMB << 20, MaxAnswersOfOne: int64(float64(edge.AnswerMB<<20) * answersOfOne),
+			MaxBodyMemory:   int64(float64(edge.MemoryMB<<20) * bodyShare),
+			MaxInFlight:     int64(s.MaxInFlight),
+			MaxAnswerMemory: edge.AnswerMB << 20, MaxAnswerMemoryPerWorkspace: int64(float64(edge.AnswerMB<<20) * answersOfOne),
 			ReaderTimeout: edge.ReaderTimeout.D(),
 		},
 	}
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -155,7 +155,7 @@
 		return "", false
 	}
 	id := forward.StoreTarget(kv.Addr)
-	forward.StoreLife(d.Fleet.Cache, id) // so that the index takes in what is told of it
+	forward.StoreGeneration(d.Fleet.Cache, id) // so that the index takes in what is told of it
 	return id, true
 }
 
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -103,8 +103,8 @@
 // visit lets the decision know where all VMs compute the prompt's shared levels, though these
 // replicas may be none of this VM's.
 func (r *run) visit(levels []prefix.Level) {
-	if r.f.Visit != nil && len(levels) > 0 {
-		r.f.Visit(r.service, routing.HomeKey(levels), visited)
+	if r.f.AddRendezvousTargets != nil && len(levels) > 0 {
+		r.f.AddRendezvousTargets(r.service, routing.HomeKey(levels), visited)
 	}
 }
 
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Held returns how much answers hold, in bytes.
-func (m *answerMemory) Held() int64 {
+// InUse returns how much answers hold, in bytes.
+func (m *answerMemory) InUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held
@@ -124,7 +124,7 @@
 	if r.workspace != nil {
 		ws = r.workspace.Name
 	}
-	if bytes <= pieceBytes || !r.f.answers.reserve(ws, held, tu.MaxAnswers, tu.MaxAnswersOfOne) {
+	if bytes <= pieceBytes || !r.f.answers.reserve(ws, held, tu.MaxAnswerMemory, tu.MaxAnswerMemoryPerWorkspace) {
 		return min(bytes, pieceBytes), func() {}
 	}
 	return bytes, func() { r.f.answers.release(ws, held) }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -66,7 +66,7 @@
 	Call      *Call
 	Replica   ids.Target
 	Workspace ids.Workspace // empty: the route is public
-	Left      time.Duration // until nobody waits any more
+	Remaining time.Duration // until nobody waits any more
 	Priority  int           // 0 to 9, 0 is first
 	LastEvent string        // go on behind this event; empty: from the start
 	Weights   ids.WeightsVersion
@@ -77,13 +77,13 @@
 
 // Reply is what the head of an answer says of itself.
 type Reply struct {
-	Request ids.Request        // the request that it answers; empty: it does not say
-	Signed  bool               // it bears the replica's signature
-	NotRun  bool               // the replica did not run the request
-	Misfit  bool               // the replica has other weights, or another identity, than asked for
-	Replica ids.Target         // who answered; empty: it does not say
-	Weights ids.WeightsVersion // the weights that it has; empty: it does not say
-	Signals membership.Signals // what the replica asks for
+	Request  ids.Request        // the request that it answers; empty: it does not say
+	Signed   bool               // it bears the replica's signature
+	NotRun   bool               // the replica did not run the request
+	Mismatch bool               // the replica has other weights, or another identity, than asked for
+	Replica  ids.Target         // who answered; empty: it does not say
+	Weights  ids.WeightsVersion // the weights that it has; empty: it does not say
+	Signals  membership.Signals // what the replica asks for
 }
 
 // Dialect translates between headers and this package's types. It decides nothing.
@@ -121,14 +121,14 @@
 	Allowances *allowance.Limiter
 	// Guard keeps requests that crash replicas from further ones. Nil: none are.
 	Guard *quarantine.Guard
-	// Visit sees to it that decisions know the replicas that come first for a key. Nil: they
+	// AddRendezvousTargets sees to it that decisions know the replicas that come first for a key. Nil: they
 	// know all.
-	Visit func(service string, key uint64, n int)
+	AddRendezvousTargets func(service string, key uint64, n int)
 	// Software decides to which versions of a service's software calls go. Nil: to all.
 	Software *canary.Gate
-	// LearnWeights is told what weights a replica says it has.
-	LearnWeights func(id ids.Target, w ids.WeightsVersion)
-	Tuning       Tuning
+	// ObserveWeights is told what weights a replica says it has.
+	ObserveWeights func(id ids.Target, w ids.WeightsVersion)
+	Tuning         Tuning
 	// KeyTTL is how old the proof of the catalog may be when a call with an API key is
 	// sent, a time.Duration. Zero: any age.
 	KeyTTL  atomic.Int64
@@ -153,13 +153,13 @@
 
 // Tuning holds the bounds of the request path. Settings fill it.
 type Tuning struct {
-	// MaxBodies bounds the callers' bodies in memory, in bytes.
-	MaxBodies int64
+	// MaxBodyMemory bounds the callers' bodies in memory, in bytes.
+	MaxBodyMemory int64
 	// MaxInFlight bounds calls in flight.
 	MaxInFlight int64
-	// MaxAnswers bounds the answers that are read whole before they are passed on, in bytes,
-	// and MaxAnswersOfOne those of one workspace. Zero: none is.
-	MaxAnswers, MaxAnswersOfOne int64
+	// MaxAnswerMemory bounds the answers that are read whole before they are passed on, in bytes,
+	// and MaxAnswerMemoryPerWorkspace those of one workspace. Zero: none is.
+	MaxAnswerMemory, MaxAnswerMemoryPerWorkspace int64
 	// ReaderTimeout is how long a caller may leave a piece of its answer unread. Zero: for good.
 	ReaderTimeout time.Duration
 }
@@ -167,7 +167,7 @@
 var _ http.Handler = (*Forwarder)(nil)
 
 // AnswerBytes returns how much the answers hold that are read whole, in bytes.
-func (f *Forwarder) AnswerBytes() int64 { return f.answers.Held() }
+func (f *Forwarder) AnswerBytes() int64 { return f.answers.InUse() }
 
 // InFlight returns how many calls are being served.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -201,11 +201,11 @@
 		want = unknownBody
 	}
 	held = want
-	if r.f.bodyBytes.Add(want) > r.f.Tuning.MaxBodies {
+	if r.f.bodyBytes.Add(want) > r.f.Tuning.MaxBodyMemory {
 		return release, outcome.New(outcome.NotRun, outcome.CodeOverloaded, "read", "caller", "the bodies of other calls fill this VM's memory").After(retryWhenReady)
 	}
 	if limit <= 0 {
-		limit = r.f.Tuning.MaxBodies
+		limit = r.f.Tuning.MaxBodyMemory
 	}
 	ctl := http.NewResponseController(r.w)
 	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout)) // a connection without deadlines is read without one
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -50,7 +50,7 @@
 	h := maps.Clone(r.req.Header)
 	dropHop(h)
 	s := Send{
-		Call: &r.call, Replica: t.c.target.ID, Left: max(clock.Until(r.ends), time.Millisecond),
+		Call: &r.call, Replica: t.c.target.ID, Remaining: max(clock.Until(r.ends), time.Millisecond),
 		Priority: priority(r.route, r.workspace), LastEvent: r.stream.resumeFrom(&r.call),
 		Weights: t.c.target.Weights, Salt: t.c.salt, Fetch: t.c.fetch, Save: t.c.save,
 	}
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -48,7 +48,7 @@
 	for _, name := range []string{"Key", "Deadline", "After", "Workspace", "Salt"} {
 		h.Del(name)
 	}
-	h.Set("Deadline", s.Left.String())
+	h.Set("Deadline", s.Remaining.String())
 	h.Set("Replica", string(s.Replica))
 	h.Set("Workspace", string(s.Workspace))
 	h.Set("Salt", s.Salt)
@@ -62,7 +62,7 @@
 	return Reply{
 		Signals: membership.Signals{Rest: rest, Leaving: h.Get("Leaving") != ""},
 		Request: ids.Request(h.Get("Id")), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
-		Misfit: status == http.StatusMisdirectedRequest, Replica: ids.Target(h.Get("By")),
+		Mismatch: status == http.StatusMisdirectedRequest, Replica: ids.Target(h.Get("By")),
 	}
 }
 
@@ -190,7 +190,7 @@
 	f := &Forwarder{
 		Catalog: &catalog.Current{}, Fleet: fl, Upstream: upstream.NewClient(2 * time.Second), Dialect: plainDialect{},
 		Budgets: retry.NewServices(1, 100, time.Second), KV: &Planner{Cache: fl.Cache}, Weights: noWeights{},
-		LearnWeights: func(ids.Target, ids.WeightsVersion) {}, Tuning: Tuning{MaxBodies: 1 << 20, MaxInFlight: 100},
+		ObserveWeights: func(ids.Target, ids.WeightsVersion) {}, Tuning: Tuning{MaxBodyMemory: 1 << 20, MaxInFlight: 100},
 	}
 	f.Catalog.Adopt(catalog.New(catalog.Declaration{Version: 1, Routes: []catalog.Route{r}}))
 	srv := httptest.NewServer(f)
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -216,9 +216,9 @@
 	return ""
 }
 
-// StoreLife returns the life to which beliefs about a store are bound, after it has been
+// StoreGeneration returns the life to which beliefs about a store are bound, after it has been
 // given to the index.
-func StoreLife(cache *cacheview.Index, store ids.Target) cacheview.Life {
+func StoreGeneration(cache *cacheview.Index, store ids.Target) cacheview.Life {
 	cache.SetLife(store, 1, "")
 	return storeLife
 }
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -16,12 +16,12 @@
 
 // The causes. An answer has one: the first of these that holds.
 const (
-	OnTime     LateCause = iota
-	LateRepeat           // an earlier attempt had failed
-	LateBefore           // over half of the objective had passed before it was sent
-	LateWork             // what the target was expected to compute took over half of the objective
-	LateQueue            // it waited at its target, beyond that
-	LatePause            // its first event was on time, a later one was not
+	OnTime         LateCause = iota
+	LateRetry                // an earlier attempt had failed
+	LateBeforeSend           // over half of the objective had passed before it was sent
+	LateWork                 // what the target was expected to compute took over half of the objective
+	LateQueue                // it waited at its target, beyond that
+	LatePause                // its first event was on time, a later one was not
 	lateCauses
 )
 
@@ -83,9 +83,9 @@
 		}
 		return OnTime
 	case r.sends > 1:
-		return LateRepeat
+		return LateRetry
 	case p.sent.Sub(r.received) > aim/2:
-		return LateBefore
+		return LateBeforeSend
 	case p.work > aim/2:
 		return LateWork
 	default:
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -201,7 +201,7 @@
 	t.framed = a.Framed()
 	reply := r.f.Dialect.ReadReply(a.Status, a.Header)
 	if !r.superseded(t.c) && reply.Weights != "" && reply.Weights != t.c.target.Weights && (reply.Replica == "" || reply.Replica == t.c.target.ID) {
-		r.f.LearnWeights(t.c.target.ID, reply.Weights)
+		r.f.ObserveWeights(t.c.target.ID, reply.Weights)
 	}
 	t.signaled(&reply)
 	if e := t.judge(a, reply); e != nil {
@@ -272,11 +272,11 @@
 func (t *try) judge(a *upstream.Answer, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
-	case reply.Misfit:
-		return outcome.Wrap(&Refusal{Misfit: true, By: reply.Replica}, outcome.NotRun, outcome.CodeUpstream, "refused", peer,
+	case reply.Mismatch:
+		return outcome.Wrap(&Refusal{Mismatch: true, Replica: reply.Replica}, outcome.NotRun, outcome.CodeUpstream, "refused", peer,
 			"the replica is another one, or has other weights, than expected")
 	case reply.NotRun:
-		return outcome.Wrap(&Refusal{Status: a.Status, By: reply.Replica}, outcome.NotRun, outcome.CodeOverloaded, "refused", peer,
+		return outcome.Wrap(&Refusal{Status: a.Status, Replica: reply.Replica}, outcome.NotRun, outcome.CodeOverloaded, "refused", peer,
 			"the replica did not take the call").After(retryNoTarget)
 	case a.Status < http.StatusMultipleChoices && !reply.Signed:
 		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the answer lacks the replica's signature")
@@ -300,15 +300,15 @@
 
 // Refusal is a replica's answer that is no answer to the call.
 type Refusal struct {
-	Status int
-	Misfit bool
-	By     ids.Target
+	Status   int
+	Mismatch bool
+	Replica  ids.Target
 }
 
 // Error implements error.
 func (e *Refusal) Error() string {
-	if e.Misfit {
-		return "misfit, answered by " + string(e.By)
+	if e.Mismatch {
+		return "misfit, answered by " + string(e.Replica)
 	}
 	return "status " + http.StatusText(e.Status)
 }
@@ -355,7 +355,7 @@
 		// Nor does this, but that it is late; its queue is known as it is.
 	case t.cutOffUnread(err):
 		// Nor does this: the caller did not read.
-	case isRefusal && refusal.Misfit && refusal.By != "" && refusal.By != c.target.ID:
+	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
 		members.Leaves(c.target.ID, c.target.Incarnation)
 		r.f.Upstream.Drop(c.target.ID)
 	case isRefusal && err.Outcome == outcome.NotRun:
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -100,7 +100,7 @@
 		go func() {
 			<-working
 			clock.Skip(suspended)
-			if n := tf.f.Woke(); n != 1 {
+			if n := tf.f.AfterSuspension(); n != 1 {
 				t.Errorf("%d calls were ended", n)
 			}
 		}()
--- a/internal/forward/woke.go
+++ b/internal/forward/woke.go
@@ -52,10 +52,10 @@
 	return n
 }
 
-// Woke ends what a suspension of the VM has outlived: calls whose time is over though their
+// AfterSuspension ends what a suspension of the VM has outlived: calls whose time is over though their
 // timers have not fired, and idle connections, whose other ends may be gone. It returns how
 // many calls were ended.
-func (f *Forwarder) Woke() int {
+func (f *Forwarder) AfterSuspension() int {
 	f.Upstream.DropIdle()
 	return f.calls.endOverdue()
 }
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -238,7 +238,7 @@
 // name returns the life and the prefix that an event is about.
 func (f *Feeds) name(s Source, ev kvcache.Event) (cacheview.Life, prefix.ID, bool) {
 	if s.Store {
-		return forward.StoreLife(f.Cache, s.ID), forward.StoreLevel(ev.Salt, ev.Model, ev.Part), true
+		return forward.StoreGeneration(f.Cache, s.ID), forward.StoreLevel(ev.Salt, ev.Model, ev.Part), true
 	}
 	w, wall, ok := kvcache.SplitSalt(ev.Salt)
 	return cacheview.LifeOf(s.Incarnation, w), kvcache.LevelID(wall, ev.Model, ev.Part), ok
