--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -79,8 +79,8 @@
 	Version objectapi.Revision // of the object, for conditional writes of its status
 	// Reported is what the object's status says of Target; Running too where it says nothing.
 	Reported End
-	// Known tells that the status speaks of Target.
-	Known bool
+	// HasStatus tells that the status speaks of Target.
+	HasStatus bool
 }
 
 // Record is the state of one service. Its size grows with the versions that were rolled back.
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -56,11 +56,11 @@
 		g := newGate()
 		if c.record.Stable != "" {
 			c.record.Service = "s"
-			g.Take(c.record, 1)
+			g.Apply(c.record, 1)
 		}
 		v, state := view(c.targets)
 		got := []ids.SoftwareVersion{}
-		for _, choice := range g.Choices("s", v, state, Draw{First: true, Seed: 7}) {
+		for _, choice := range g.Choices("s", v, state, ChoiceParams{FirstAttempt: true, Seed: 7}) {
 			got = append(got, choice.Version)
 		}
 		if fmt.Sprint(got) != c.want {
@@ -72,14 +72,14 @@
 // TestShare: a canary gets its share of first attempts, and no call that has failed before.
 func TestShare(t *testing.T) {
 	g := newGate()
-	g.Take(Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Proving, Share: 0.1, Part: 1}, 1)
+	g.Apply(Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Proving, Share: 0.1, Part: 1}, 1)
 	v, state := view(map[ids.SoftwareVersion]int{"v1": 2, "v2": 2})
 	n := 0
 	for seed := range uint64(1000) {
-		if g.Choices("s", v, state, Draw{First: true, Seed: seed})[0].Version == "v2" {
+		if g.Choices("s", v, state, ChoiceParams{FirstAttempt: true, Seed: seed})[0].Version == "v2" {
 			n++
 		}
-		if c := g.Choices("s", v, state, Draw{Seed: seed}); len(c) != 1 || c[0].Version != "v1" {
+		if c := g.Choices("s", v, state, ChoiceParams{Seed: seed}); len(c) != 1 || c[0].Version != "v1" {
 			t.Fatalf("a call that has failed goes to %v", c)
 		}
 	}
@@ -93,32 +93,32 @@
 func TestCallsAreCleared(t *testing.T) {
 	g := newGate()
 	r := Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Loading, Share: 0.5, Part: 0.5, Order: OrderID{1, "v2"}, By: "holder"}
-	g.Take(r, 5)
-	pass, ok := g.Enter("s", "v1")
+	g.Apply(r, 5)
+	pass, ok := g.Admit("s", "v1")
 	if !ok {
 		t.Fatal("a call to the version in service was not let in")
 	}
 	r.Stage, r.Share = Promoting, 1
-	g.Take(r, 6)
-	if _, ok := g.Enter("s", "v1"); ok {
+	g.Apply(r, 6)
+	if _, ok := g.Admit("s", "v1"); ok {
 		t.Error("a call was let in to a version that is to be stopped")
 	}
 	l := NewLedger(r.Order, &Sequential{})
 	tell := func() bool {
 		for _, report := range g.Reports(true)["holder"] {
-			l.Take("a", 1, &report, time.Time{})
+			l.Merge("a", 1, &report, time.Time{})
 		}
-		return l.Cleared("a", 6)
+		return l.Drained("a", 6)
 	}
 	if tell() {
 		t.Error("the VM counts as done while a call is left")
 	}
-	pass.End()
-	pass.End()
+	pass.Release()
+	pass.Release()
 	if !tell() {
 		t.Error("the VM does not count as done")
 	}
-	if l.Cleared("b", 6) {
+	if l.Drained("b", 6) {
 		t.Error("a VM that has said nothing counts as done")
 	}
 }
@@ -140,10 +140,10 @@
 			case 1:
 				held = append(held, r)
 			case 2:
-				l.Take("a", life, &r, time.Time{})
+				l.Merge("a", life, &r, time.Time{})
 				fallthrough
 			default:
-				l.Take("a", life, &r, time.Time{})
+				l.Merge("a", life, &r, time.Time{})
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
@@ -154,12 +154,12 @@
 				tell(true)
 			case 2:
 				if len(held) > 0 {
-					l.Take("a", life, &held[0], time.Time{})
+					l.Merge("a", life, &held[0], time.Time{})
 					held = held[1:]
 				}
 			case 3:
 				r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.told(true)}
-				l.Take("a", life, &r, time.Time{}) // all of it arrives before the VM starts again
+				l.Merge("a", life, &r, time.Time{}) // all of it arrives before the VM starts again
 				before, life, held, c = before+sent, life+1, nil, counts{}
 				sent = 0
 			default:
@@ -168,7 +168,7 @@
 			}
 		}
 		r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.told(true)}
-		l.Take("a", life, &r, time.Time{})
+		l.Merge("a", life, &r, time.Time{})
 		if judge.calls != before+sent {
 			rt.Fatalf("%d calls were counted, %d made", judge.calls, before+sent)
 		}
@@ -206,7 +206,7 @@
 				return
 			}
 			s.order.Version++
-			s.order.Reported, s.order.Known = next.Report, true
+			s.order.Reported, s.order.HasStatus = next.Report, true
 			s.statuses = append(s.statuses, next.Report)
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
@@ -215,9 +215,9 @@
 				seen[i] = s
 			}
 			step(i, Facts{
-				Elapsed: time.Duration(rapid.IntRange(0, 10_000).Draw(rt, "elapsed")) * time.Millisecond, Warm: 2, Cleared: rapid.Bool().Draw(rt, "cleared"),
+				Elapsed: time.Duration(rapid.IntRange(0, 10_000).Draw(rt, "elapsed")) * time.Millisecond, Warm: 2, Drained: rapid.Bool().Draw(rt, "cleared"),
 				Finding: Finding{
-					Verdict: Verdict(rapid.IntRange(0, 2).Draw(rt, "verdict")), Leans: Verdict(rapid.IntRange(1, 2).Draw(rt, "leans")), Calls: 10,
+					Verdict: Verdict(rapid.IntRange(0, 2).Draw(rt, "verdict")), Tentative: Verdict(rapid.IntRange(1, 2).Draw(rt, "leans")), Calls: 10,
 				},
 			})
 		}
@@ -267,11 +267,11 @@
 		},
 		"the record was lost, the status was not": {
 			Record{Service: "s"},
-			Facts{Order: &Order{OrderID: OrderID{1, "v2"}, Reported: Completed, Known: true}},
+			Facts{Order: &Order{OrderID: OrderID{1, "v2"}, Reported: Completed, HasStatus: true}},
 			func(s Step) bool { return s.Record.Stable == "v2" },
 		},
 		"the first look at an order's versions":  {Record{Service: "s"}, Facts{Order: order("v2")}, func(s Step) bool { return s.Record.Stable == "v1" && s.Record.Canary == "v2" }},
-		"none of the version in service is left": {Record{Service: "s", Stable: "v0"}, Facts{Vacant: true}, func(s Step) bool { return s.Record.Stable == "v1" }},
+		"none of the version in service is left": {Record{Service: "s", Stable: "v0"}, Facts{StableGone: true}, func(s Step) bool { return s.Record.Stable == "v1" }},
 	} {
 		c.facts.Versions, c.facts.Self = versions, "a"
 		if s := playBounds.Next(c.record, c.facts); !c.want(s) {
--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -50,10 +50,10 @@
 	Held func() bool
 	// Targets returns the targets that are known.
 	Targets func() []Target
-	// Living returns the VMs that are heard, this one included.
-	Living func() []ids.VM
-	// Quiet tells whether no order for other weights is on its way to a target.
-	Quiet func() bool
+	// LiveVMs returns the VMs that are heard, this one included.
+	LiveVMs func() []ids.VM
+	// WeightsSettled tells whether no order for other weights is on its way to a target.
+	WeightsSettled func() bool
 	// Judge makes the judge of an order. Nil: Sequential.
 	Judge func() Judge
 
@@ -150,8 +150,8 @@
 // Unchanged implements follow.Handler.
 func (r *orderReader) Unchanged(follow.At) {}
 
-// Heard takes in what a VM has counted.
-func (c *Controller) Heard(vm ids.VM, life int64, reports []Report) {
+// Receive takes in what a VM has counted.
+func (c *Controller) Receive(vm ids.VM, life int64, reports []Report) {
 	if c == nil {
 		return
 	}
@@ -161,7 +161,7 @@
 	for i := range reports {
 		r := &reports[i]
 		if l := c.ledgers[r.Service]; l != nil {
-			l.Take(vm, life, r, now)
+			l.Merge(vm, life, r, now)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	switch {
 	case next.Report != Running:
 		return c.report(ctx, order, next.Report)
-	case next.Begin || order != nil && record.Canary != "" && !order.Known:
+	case next.Begin || order != nil && record.Canary != "" && !order.HasStatus:
 		return c.report(ctx, order, Running)
 	}
 	return nil
@@ -246,7 +246,7 @@
 		w = &watched{}
 		c.services[r.Service] = w
 	}
-	f.Vacant = w.vacant(r.Stable != "" && f.Versions[r.Stable] == 0, now)
+	f.StableGone = w.vacant(r.Stable != "" && f.Versions[r.Stable] == 0, now)
 	if order == nil || r.Order != order.OrderID {
 		w.order = OrderID{}
 		return f
@@ -258,13 +258,13 @@
 		c.ledgers[r.Service] = l
 	}
 	if r.Stage == Loading || r.Stage == Promoting {
-		l.Judge.Load()
+		l.Judge.SetLoaded()
 	}
 	f.Finding = l.Judge.Verdict()
 	if f.Elapsed > 0 {
 		f.Rate = l.Calls() / f.Elapsed.Seconds()
 	}
-	f.Cleared = r.Stage == Promoting && c.cleared(l, version)
+	f.Drained = r.Stage == Promoting && c.cleared(l, version)
 	return f
 }
 
@@ -278,12 +278,12 @@
 // cleared tells whether no VM that is heard has calls left at other versions, nor this one an
 // order for weights on its way. The lock is held.
 func (c *Controller) cleared(l *Ledger, version objectapi.Revision) bool {
-	for _, vm := range c.Living() {
-		if !l.Cleared(vm, version) {
+	for _, vm := range c.LiveVMs() {
+		if !l.Drained(vm, version) {
 			return false
 		}
 	}
-	return c.Quiet == nil || c.Quiet()
+	return c.WeightsSettled == nil || c.WeightsSettled()
 }
 
 // vacant tells whether something has been missing for a while.
@@ -342,7 +342,7 @@
 		o, err = objectapi.ResolveUpdate(ctx, c.Store, Prefix+r.Service, value, version, mine)
 	}
 	if err == nil {
-		c.Gate.Take(r, o.Version)
+		c.Gate.Apply(r, o.Version)
 		return nil
 	}
 	if o.Version > version { // another VM's, which this one has not seen yet
@@ -353,7 +353,7 @@
 
 // report writes the status of an order, on condition that it is the one that was judged.
 func (c *Controller) report(ctx context.Context, o *Order, end End) error {
-	if !c.Held() || o.Known && o.Reported == end {
+	if !c.Held() || o.HasStatus && o.Reported == end {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -372,7 +372,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known := c.orders[o.Key]; known.Version == o.Version {
-		known.Version, known.Reported, known.Known = version, end, true
+		known.Version, known.Reported, known.HasStatus = version, end, true
 		c.orders[o.Key] = known
 	}
 	return nil
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -61,8 +61,8 @@
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Order   OrderID
-	Seen    objectapi.Revision // of the record that the VM goes by
-	Others  int                // calls of the VM that are left at other versions than the canary
+	RecordRevision    objectapi.Revision // of the record that the VM goes by
+	OtherCalls  int                // calls of the VM that are left at other versions than the canary
 	Cells   []Cell             // some of them; counts only grow
 }
 
@@ -144,9 +144,9 @@
 	return &Ledger{Order: o, Judge: j, vms: map[ids.VM]*reporter{}}
 }
 
-// Take adds what a VM told. life orders the lives of the VM: one that has started again counts
+// Merge adds what a VM told. life orders the lives of the VM: one that has started again counts
 // from nothing.
-func (l *Ledger) Take(vm ids.VM, life int64, r *Report, now time.Time) {
+func (l *Ledger) Merge(vm ids.VM, life int64, r *Report, now time.Time) {
 	if r.Order != l.Order {
 		return
 	}
@@ -155,10 +155,10 @@
 		v = &reporter{life: life, cells: map[cellKey]Cell{}}
 		l.vms[vm] = v
 	}
-	if life < v.life || r.Seen < v.seen {
+	if life < v.life || r.RecordRevision < v.seen {
 		return // overtaken on the way
 	}
-	v.seen, v.others = r.Seen, r.Others
+	v.seen, v.others = r.RecordRevision, r.OtherCalls
 	for i := range r.Cells {
 		c := &r.Cells[i]
 		before := v.cells[c.key()]
@@ -185,9 +185,9 @@
 	return out
 }
 
-// Cleared tells whether a VM goes by the record of a revision or a later one and has no call
+// Drained tells whether a VM goes by the record of a revision or a later one and has no call
 // left at other versions than the canary.
-func (l *Ledger) Cleared(vm ids.VM, revision objectapi.Revision) bool {
+func (l *Ledger) Drained(vm ids.VM, revision objectapi.Revision) bool {
 	v := l.vms[vm]
 	return v != nil && v.seen >= revision && v.others == 0
 }
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -56,12 +56,12 @@
 			g.Log.Belief("canary-rejected").Str("key", o.Key).Send()
 			continue
 		}
-		g.Take(r, o.Version)
+		g.Apply(r, o.Version)
 	}
 }
 
-// Take puts a record of the store in force, unless a later one is.
-func (g *Gate) Take(r Record, version objectapi.Revision) {
+// Apply puts a record of the store in force, unless a later one is.
+func (g *Gate) Apply(r Record, version objectapi.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service)
@@ -123,17 +123,17 @@
 	return out
 }
 
-// Draw is what a choice goes by.
-type Draw struct {
-	// First tells that the call has not been sent anywhere yet: one that has failed is not
+// ChoiceParams is what a choice goes by.
+type ChoiceParams struct {
+	// FirstAttempt tells that the call has not been sent anywhere yet: one that has failed is not
 	// put to the test again.
-	First bool
+	FirstAttempt bool
 	Seed  uint64
 }
 
 // Choices returns the versions to which a call to a service may go, in the order in which they
 // are to be tried.
-func (g *Gate) Choices(service string, v *routing.View, in func(i int) routing.State, d Draw) []routing.SoftwareChoice {
+func (g *Gate) Choices(service string, v *routing.View, in func(i int) routing.State, d ChoiceParams) []routing.SoftwareChoice {
 	g.mu.Lock()
 	s := g.services[service]
 	var r Record
@@ -153,7 +153,7 @@
 	switch {
 	case r.Stage == Promoting:
 		return []routing.SoftwareChoice{{Version: r.Canary}}
-	case d.First && fraction(d.Seed) < r.Share:
+	case d.FirstAttempt && fraction(d.Seed) < r.Share:
 		return []routing.SoftwareChoice{canary, {Version: stable}}
 	case listed[stable] == 0:
 		return []routing.SoftwareChoice{{Version: stable}, canary}
@@ -206,8 +206,8 @@
 	return out
 }
 
-// Pass is one call's leave to go to a version.
-type Pass struct {
+// Admission is one call's leave to go to a version.
+type Admission struct {
 	gate    *Gate
 	service string
 	version ids.SoftwareVersion
@@ -216,9 +216,9 @@
 	ended   bool
 }
 
-// Enter lets a call go to a target of a version; false: the record has changed and no longer
+// Admit lets a call go to a target of a version; false: the record has changed and no longer
 // allows it. End must be called on a pass.
-func (g *Gate) Enter(service string, version ids.SoftwareVersion) (*Pass, bool) {
+func (g *Gate) Admit(service string, version ids.SoftwareVersion) (*Admission, bool) {
 	if g == nil {
 		return nil, true
 	}
@@ -230,11 +230,11 @@
 		return nil, false
 	}
 	s.calls[version]++
-	return &Pass{gate: g, service: service, version: version, order: r.Order, canary: r.Canary != "" && version == r.Canary}, true
+	return &Admission{gate: g, service: service, version: version, order: r.Order, canary: r.Canary != "" && version == r.Canary}, true
 }
 
-// End notes that nothing of the call is left at its target. A second call does nothing.
-func (p *Pass) End() {
+// Release notes that nothing of the call is left at its target. A second call does nothing.
+func (p *Admission) Release() {
 	if p == nil || p.ended {
 		return
 	}
@@ -247,8 +247,8 @@
 	}
 }
 
-// Ended counts how a call ended that its target answered.
-func (p *Pass) Ended(route string, target ids.Target, a Answer) {
+// RecordAnswer counts how a call ended that its target answered.
+func (p *Admission) RecordAnswer(route string, target ids.Target, a Answer) {
 	if p == nil {
 		return
 	}
@@ -261,8 +261,8 @@
 	s.counts.add(route, target, p.canary, a)
 }
 
-// Retires tells whether a target's version is about to stop: nothing new may be begun there.
-func (g *Gate) Retires(service string, version ids.SoftwareVersion) bool {
+// Retiring tells whether a target's version is about to stop: nothing new may be begun there.
+func (g *Gate) Retiring(service string, version ids.SoftwareVersion) bool {
 	if g == nil {
 		return false
 	}
@@ -288,10 +288,10 @@
 		if s.record.Canary == "" {
 			continue
 		}
-		r := Report{Service: s.record.Service, Order: s.record.Order, Seen: s.version, Cells: s.counts.told(all)}
+		r := Report{Service: s.record.Service, Order: s.record.Order, RecordRevision: s.version, Cells: s.counts.told(all)}
 		for v, n := range s.calls {
 			if v != s.record.Canary {
-				r.Others += n
+				r.OtherCalls += n
 			}
 		}
 		out[s.record.By] = append(out[s.record.By], r)
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -11,7 +11,7 @@
 
 // The verdicts.
 const (
-	Open Verdict = iota // not enough is known
+	Undecided Verdict = iota // not enough is known
 	Good
 	Bad
 )
@@ -23,8 +23,8 @@
 type Judge interface {
 	// Observe takes in how calls ended that were counted since the cell was last seen.
 	Observe(c Cell, now time.Time)
-	// Load says that from now on targets get as much work as they would have in service.
-	Load()
+	// SetLoaded says that from now on targets get as much work as they would have in service.
+	SetLoaded()
 	// Verdict returns what the evidence says.
 	Verdict() Finding
 }
@@ -36,7 +36,7 @@
 	Failed float64 // how strongly failures speak against it, as a log likelihood ratio
 	Slow   float64 // the same of slow answers
 	Calls  uint32  // answers of the canary
-	Leans  Verdict // what the evidence would say if there were no more to come; never Open
+	Tentative  Verdict // what the evidence would say if there were no more to come; never Open
 }
 
 const (
@@ -228,8 +228,8 @@
 	return 2*n > len(r.targets)
 }
 
-// Load implements Judge.
-func (s *Sequential) Load() { s.loaded = true }
+// SetLoaded implements Judge.
+func (s *Sequential) SetLoaded() { s.loaded = true }
 
 // clampSum keeps the sum of a sequential test near its bounds, so that what comes later counts.
 func clampSum(x float64) float64 { return min(max(x, 2*goodAt), badAt) }
@@ -256,7 +256,7 @@
 
 // Verdict implements Judge.
 func (s *Sequential) Verdict() Finding {
-	f := Finding{Calls: s.calls, Leans: Good}
+	f := Finding{Calls: s.calls, Tentative: Good}
 	all := s.route(allRoutes).reference.calls
 	good := s.calls > 0
 	for id, r := range s.routes {
@@ -268,7 +268,7 @@
 			f.Route, f.Failed, f.Slow = id, failed, slow
 		}
 		if max(allFailed, allSlow) > leansBadAt || max(failed, slow) > leansBadAt+oneTarget(r.targets) {
-			f.Leans = Bad
+			f.Tentative = Bad
 		}
 		if r.reference.calls >= routeLeast*all && (allFailed > goodAt || r.timed > 0 && allSlow > goodAt) {
 			good = false
@@ -276,7 +276,7 @@
 	}
 	switch {
 	case max(f.Failed, f.Slow) >= badAt:
-		f.Verdict, f.Leans = Bad, Bad
+		f.Verdict, f.Tentative = Bad, Bad
 	case good:
 		f.Verdict = Good
 	}
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -56,10 +56,10 @@
 	Versions map[ids.SoftwareVersion]int
 	// Warm is how many of the canary's are not slow after their start.
 	Warm int
-	// Cleared tells that no VM has calls left at other versions, as far as they are heard.
-	Cleared bool
-	// Vacant tells that no target of the version in service has been there for a while.
-	Vacant bool
+	// Drained tells that no VM has calls left at other versions, as far as they are heard.
+	Drained bool
+	// StableGone tells that no target of the version in service has been there for a while.
+	StableGone bool
 }
 
 // Step is the next state of a record, and what the status of the order is to say. Report is
@@ -77,13 +77,13 @@
 	r.By, r.Elapsed = f.Self, f.Elapsed
 	o := f.Order
 	switch {
-	case r.Stable == "" && o != nil && o.Known && o.Reported == Completed:
+	case r.Stable == "" && o != nil && o.HasStatus && o.Reported == Completed:
 		r.Stable = o.Target
 	case r.Stable == "":
 		r.Stable = versions(f.Versions).oldest(func(v ids.SoftwareVersion) bool {
 			return r.barred(v) || o != nil && v == o.Target && len(f.Versions) > 1
 		})
-	case f.Vacant && r.Canary == "":
+	case f.StableGone && r.Canary == "":
 		if v := versions(f.Versions).oldest(r.barred); v != "" {
 			r.Stable = v
 		}
@@ -91,7 +91,7 @@
 	switch {
 	case o == nil:
 		return Step{Record: r.idle()}
-	case o.Known && o.Reported != Running:
+	case o.HasStatus && o.Reported != Running:
 		return Step{Record: r.settle(o)}
 	case r.Order != o.OrderID:
 		return b.begin(r, f)
@@ -172,26 +172,26 @@
 		if share := b.provingShare(f); share > r.Share*raiseFrom {
 			r.Share = share
 		}
-		proven := f.Finding.Verdict == Good || passed(0, provingMost) && f.Finding.Leans == Good && f.Finding.Calls > 0
+		proven := f.Finding.Verdict == Good || passed(0, provingMost) && f.Finding.Tentative == Good && f.Finding.Calls > 0
 		switch {
 		case passed(0, provingPart) && proven && (2*f.Warm >= f.Versions[r.Canary] || passed(0, provingMost)):
 			part := loadedPart(f.Versions[r.Canary])
 			return r.enter(Loading, part, part)
-		case passed(0, provingMost) && f.Finding.Calls > 0 && f.Finding.Leans == Bad:
+		case passed(0, provingMost) && f.Finding.Calls > 0 && f.Finding.Tentative == Bad:
 			return r.rollBack("its answers lean to worse than those of the version in service")
 		case passed(0, waitingMost):
 			return r.rollBack("it has answered no call in time")
 		}
 	case Loading:
 		loaded := f.Elapsed - r.Entered
-		if loaded >= b.loadingTime(r.Share, within) && f.Finding.Leans == Good {
+		if loaded >= b.loadingTime(r.Share, within) && f.Finding.Tentative == Good {
 			return r.enter(Promoting, 1, 1)
 		}
 		if loaded >= loadingMost*b.loadingTime(r.Share, within) {
 			return r.rollBack("its answers under load lean to worse than those of the version in service")
 		}
 	case Promoting:
-		if f.Cleared || passed(0, promotingMost) {
+		if f.Drained || passed(0, promotingMost) {
 			return Step{Record: r, Report: Completed}
 		}
 	}
--- a/internal/canary/play_test.go
+++ b/internal/canary/play_test.go
@@ -155,7 +155,7 @@
 func play(l load, w way, seed uint64) result {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	l.seed = int(seed)
-	order := &Order{OrderID: OrderID{Created: 1, Target: "v2"}, Service: "s", Within: l.within, Known: true}
+	order := &Order{OrderID: OrderID{Created: 1, Target: "v2"}, Service: "s", Within: l.within, HasStatus: true}
 	ledger := NewLedger(order.OrderID, w.judge())
 	versions := map[ids.SoftwareVersion]int{"v1": l.old, "v2": l.new}
 	step := w.next(playBounds, Record{Service: "s", Stable: "v1"}, Facts{Self: "a", Order: order, Versions: versions})
@@ -204,18 +204,18 @@
 			}
 		}
 		for len(onWay) > 0 && onWay[0].at <= t {
-			ledger.Take(ids.VM(fmt.Sprint(onWay[0].vm)), 1, &onWay[0].report, base.Add(t))
+			ledger.Merge(ids.VM(fmt.Sprint(onWay[0].vm)), 1, &onWay[0].report, base.Add(t))
 			onWay = onWay[1:]
 		}
 		if t%lookPause != 0 || out.end != Running {
 			continue
 		}
 		if record.Stage == Loading || record.Stage == Promoting {
-			ledger.Judge.Load()
+			ledger.Judge.SetLoaded()
 		}
 		f := Facts{
 			Self: "a", Order: order, Elapsed: t, Finding: ledger.Judge.Verdict(), Rate: ledger.Calls() / max(t.Seconds(), 0.1),
-			Versions: versions, Warm: l.new, Cleared: record.Stage == Promoting && t-record.Entered >= clearTime,
+			Versions: versions, Warm: l.new, Drained: record.Stage == Promoting && t-record.Entered >= clearTime,
 		}
 		step = w.next(playBounds, record, f)
 		if !step.Record.same(&record) {
@@ -400,17 +400,17 @@
 	}
 }
 
-// Load implements Judge.
-func (w *fixedWindow) Load() {}
+// SetLoaded implements Judge.
+func (w *fixedWindow) SetLoaded() {}
 
 // Verdict implements Judge.
 func (w *fixedWindow) Verdict() Finding {
 	const least, strong = 20, 3.3
-	f := Finding{Calls: w.calls, Leans: Good, Verdict: Good}
+	f := Finding{Calls: w.calls, Tentative: Good, Verdict: Good}
 	for id, pair := range w.cells {
 		o, n := &pair[0], &pair[1]
 		if n.Calls < least {
-			f.Verdict = Open
+			f.Verdict = Undecided
 			continue
 		}
 		p := float64(o.Failed+n.Failed) / float64(o.Calls+n.Calls)
@@ -427,7 +427,7 @@
 		}
 	}
 	if max(f.Failed, f.Slow) > strong {
-		f.Verdict, f.Leans = Bad, Bad
+		f.Verdict, f.Tentative = Bad, Bad
 	}
 	return f
 }
--- a/internal/edge/canaries.go
+++ b/internal/edge/canaries.go
@@ -31,10 +31,10 @@
 		Bounds: canary.Bounds{Share: e.CanaryShare, Slack: e.CanarySlack},
 		Decode: d.adapter.DecodeOrder, EncodeStatus: d.adapter.EncodeOrderStatus,
 		Held: func() bool { _, held := d.Lease.Held(); return held }, Targets: d.softwareTargets,
-		Living: d.livingNames, Quiet: func() bool { _, quiet := d.Rollout.QuietSince(d.started); return quiet },
+		LiveVMs: d.livingNames, WeightsSettled: func() bool { _, quiet := d.Rollout.QuietSince(d.started); return quiet },
 	}
-	d.Rollout.Retired = func(rec platform.Record) bool { return gate.Retires(rec.Service, rec.Software) }
-	d.news.HeardCanaries = d.canaries.Heard
+	d.Rollout.Retired = func(rec platform.Record) bool { return gate.Retiring(rec.Service, rec.Software) }
+	d.news.HeardCanaries = d.canaries.Receive
 }
 
 // softwareTargets returns what the controller needs of each target.
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -38,7 +38,7 @@
 	home   string // address of the replica that computes shared parts which nobody is known to hold; empty: the target
 	fetch  string
 	save   string
-	pass   *canary.Pass // to the target's version; nil: versions are not told apart
+	pass   *canary.Admission // to the target's version; nil: versions are not told apart
 	calm   bool         // how long the answer takes shows how fast the target is
 }
 
@@ -92,7 +92,7 @@
 	refusal := r.shed(&c)
 	if refusal != nil {
 		f.Fleet.GiveBack(c.target.ID)
-		c.pass.End()
+		c.pass.Release()
 	}
 	return c, refusal
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -130,7 +130,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	defer c.pass.End()
+	defer c.pass.Release()
 	if refusal := r.guarded.Sending(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -20,7 +20,7 @@
 
 // choose picks a target among those that run a version which is in service. The pass, if there
 // is one, must be ended.
-func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Pass) {
+func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Admission) {
 	f := r.f
 	if f.Software == nil {
 		snap, d := f.Fleet.Decide(req, r.tried, sc)
@@ -30,7 +30,7 @@
 	d := routing.Decision{Index: -1}
 	for range maxChoices {
 		seen := f.Fleet.Snapshot()
-		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.Draw{First: r.sends == 0, Seed: req.Seed})
+		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.ChoiceParams{FirstAttempt: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
 			choices[i].MostHash = mostHash(r.service, seen, &choices[i])
 			req.Software = &choices[i]
@@ -42,7 +42,7 @@
 			return snap, d, nil
 		}
 		t := &snap.View.Targets[d.Index]
-		if pass, ok := f.Software.Enter(r.service, t.Software); ok {
+		if pass, ok := f.Software.Admit(r.service, t.Software); ok {
 			return snap, d, pass
 		}
 		f.Fleet.GiveBack(t.ID)
@@ -73,7 +73,7 @@
 
 // retired refuses a send to a version that was taken out of service since the target was chosen.
 func (t *try) retired() *outcome.Error {
-	if !t.r.f.Software.Retires(t.r.service, t.c.target.Software) {
+	if !t.r.f.Software.Retiring(t.r.service, t.c.target.Software) {
 		return nil
 	}
 	return outcome.Wrap(errLapsed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
@@ -100,7 +100,7 @@
 	if !a.Failed && t.c.calm {
 		a.Took = t.took()
 	}
-	t.c.pass.Ended(t.r.route.Name, t.c.target.ID, a)
+	t.c.pass.RecordAnswer(t.r.route.Name, t.c.target.ID, a)
 }
 
 // took is how long the target took, where that depends on the prompt as a multiple of what was
--- a/internal/forward/software_test.go
+++ b/internal/forward/software_test.go
@@ -28,7 +28,7 @@
 	} {
 		tf := newFleet(t, route(catalog.Once, 1), newStandIn(t, "a", ok("")))
 		tf.f.Software = &canary.Gate{Log: eventlog.New(io.Discard, nil)}
-		tf.f.Software.Take(canary.Record{Service: "s", Stable: "v1", Canary: "v2", Stage: canary.Proving, Share: 0.1, Part: 1}, 1)
+		tf.f.Software.Apply(canary.Record{Service: "s", Stable: "v1", Canary: "v2", Stage: canary.Proving, Share: 0.1, Part: 1}, 1)
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute), service: "s", route: &tf.f.Catalog.Get().Routes[0]}
 		c := &choice{}
 		c.target.ID, c.target.Incarnation, c.target.Software = "a", 1, "v2"
@@ -36,7 +36,7 @@
 		if refusal := before(); refusal != nil {
 			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
 		}
-		tf.f.Software.Take(later, 2)
+		tf.f.Software.Apply(later, 2)
 		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errLapsed) {
 			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
 		}
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -40,7 +40,7 @@
 		// The target is done, however long the caller takes to read.
 		a.Close()
 		t.work.End()
-		t.c.pass.End()
+		t.c.pass.Release()
 	}
 	if err := t.write(buf.Bytes()); err != nil {
 		return t.callerGone(err)
