--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -58,12 +58,12 @@
 
 // Report is what one VM has counted of a service's calls under one order, all in all.
 type Report struct {
-	_       struct{} `cbor:",toarray"`
-	Service string
-	Order   OrderID
-	RecordRevision    objectapi.Revision // of the record that the VM goes by
-	OtherCalls  int                // calls of the VM that are left at other versions than the canary
-	Cells   []Cell             // some of them; counts only grow
+	_              struct{} `cbor:",toarray"`
+	Service        string
+	Order          OrderID
+	RecordRevision objectapi.Revision // of the record that the VM goes by
+	OtherCalls     int                // calls of the VM that are left at other versions than the canary
+	Cells          []Cell             // some of them; counts only grow
 }
 
 // counts are the cells of one VM.
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -128,7 +128,7 @@
 	// FirstAttempt tells that the call has not been sent anywhere yet: one that has failed is not
 	// put to the test again.
 	FirstAttempt bool
-	Seed  uint64
+	Seed         uint64
 }
 
 // Choices returns the versions to which a call to a service may go, in the order in which they
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -32,11 +32,11 @@
 // Finding is a verdict and what it rests on.
 type Finding struct {
 	Verdict
-	Route  uint32  // the route on which the canary is worst, by the hash of its name; zero: all together
-	Failed float64 // how strongly failures speak against it, as a log likelihood ratio
-	Slow   float64 // the same of slow answers
-	Calls  uint32  // answers of the canary
-	Tentative  Verdict // what the evidence would say if there were no more to come; never Open
+	Route     uint32  // the route on which the canary is worst, by the hash of its name; zero: all together
+	Failed    float64 // how strongly failures speak against it, as a log likelihood ratio
+	Slow      float64 // the same of slow answers
+	Calls     uint32  // answers of the canary
+	Tentative Verdict // what the evidence would say if there were no more to come; never Open
 }
 
 const (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -134,7 +134,7 @@
 		Fleet: d.Fleet, Allowances: d.allowed, Events: d.Events,
 		Config: confsync.New(d.adopt), Crashes: d.crashes,
 	}
-	guard := &quarantine.Guard{Rank: d.Node.FleetRank, Watch: &quarantine.Watch{
+	guard := &quarantine.Guard{Rank: d.Node.FleetRank, Detector: &quarantine.Detector{
 		Ledger: d.crashes,
 		Check: func(ctx context.Context, _ ids.Target, addr string) quarantine.Liveness {
 			return upstream.CheckAddr(ctx, s.DialTimeout.D(), addr)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	if refusal := r.guarded.Sending(r.attempts == 0); refusal != nil {
+	if refusal := r.guarded.RefusalAtSend(r.attempts == 0); refusal != nil {
 		return refusal
 	}
 	r.attempts++
@@ -191,7 +191,7 @@
 	case errors.As(err, &caller):
 		r.guarded.Answered(caller.Status)
 	case r.hungUp && ctx.Err() == nil && !errors.Is(err, errCallerGone) && r.d.Fleet.Members.State(c.target.ID, clock.Now()) != routing.Leaving:
-		r.guarded.Broke(quarantine.Send{
+		r.guarded.ReportBroken(quarantine.Send{
 			Target: c.target.ID, Addr: c.target.Addr, Incarnation: c.target.Incarnation, Sent: sent, Broke: clock.Now(),
 		}, false)
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -239,7 +239,7 @@
 		},
 	}
 	d.crashes = quarantine.NewLedger(d.Log, nil)
-	d.Forward.Guard = &quarantine.Guard{Rank: d.vms.rank, Watch: &quarantine.Watch{
+	d.Forward.Guard = &quarantine.Guard{Rank: d.vms.rank, Detector: &quarantine.Detector{
 		Ledger: d.crashes,
 		Check: func(ctx context.Context, t ids.Target, addr string) quarantine.Liveness {
 			return client.Check(ctx, upstream.Replica{ID: t, Addr: addr})
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -39,7 +39,7 @@
 	fetch  string
 	save   string
 	pass   *canary.Admission // to the target's version; nil: versions are not told apart
-	calm   bool         // how long the answer takes shows how fast the target is
+	calm   bool              // how long the answer takes shows how fast the target is
 }
 
 // retryNoTarget is when a caller should come back when no replica can serve: about
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -30,7 +30,7 @@
 	if !restarted && r.f.Fleet.Members.State(target.ID, clock.Now()) == routing.Leaving {
 		return
 	}
-	r.guarded.Broke(quarantine.Send{
+	r.guarded.ReportBroken(quarantine.Send{
 		Target: target.ID, Addr: target.Addr, Incarnation: target.Incarnation, Sent: t.sent, Broke: clock.Now(),
 	}, restarted)
 }
@@ -43,7 +43,7 @@
 // suspect names the request in the log of an attempt that may have run; empty for others.
 func (r *run) suspect(err *outcome.Error) string {
 	if err.Outcome == outcome.NotRun {
-		return r.guarded.Printed()
+		return r.guarded.FingerprintText()
 	}
 	return r.guarded.Fingerprint().String()
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -20,7 +20,7 @@
 // watchCrashes has the fleet remember which requests replicas crashed under.
 func (tf *testFleet) watchCrashes() *quarantine.Ledger {
 	ledger := quarantine.NewLedger(nil, nil)
-	tf.f.Guard = &quarantine.Guard{Watch: &quarantine.Watch{
+	tf.f.Guard = &quarantine.Guard{Detector: &quarantine.Detector{
 		Ledger: ledger,
 		Check: func(ctx context.Context, t ids.Target, addr string) quarantine.Liveness {
 			return tf.f.Upstream.Check(ctx, upstream.Replica{ID: t, Addr: addr})
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -131,7 +131,7 @@
 		return refusal
 	}
 	defer c.pass.Release()
-	if refusal := r.guarded.Sending(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
+	if refusal := r.guarded.RefusalAtSend(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
 	}
--- a/internal/news/crashes_test.go
+++ b/internal/news/crashes_test.go
@@ -17,7 +17,7 @@
 		at := time.Now().Add(time.Duration(i-3) * time.Second)
 		teller.Crashed(quarantine.Finding{Request: request, Crash: quarantine.Crash{Replica: quarantine.Replica(i), Sent: at, Ended: at}})
 	}
-	m := Message{VM: "vm1", Crashes: teller.Due(1)}
+	m := Message{VM: "vm1", Crashes: teller.DueReports(1)}
 	data, err := Encode(&m)
 	if err != nil {
 		t.Fatal(err)
@@ -50,18 +50,18 @@
 		x.Crashes.Crashed(quarantine.Finding{Request: request, Crash: quarantine.Crash{Replica: quarantine.Replica(i), Sent: at, Ended: at}})
 	}
 	x.takeMessage(t, Message{VM: "vm1", Life: 1})
-	for x.Crashes.Waiting() {
-		x.Crashes.Due(100) // the rounds in which it is told
+	for x.Crashes.Pending() {
+		x.Crashes.DueReports(100) // the rounds in which it is told
 	}
-	if n := len(x.Crashes.Due(100)); n != 0 {
+	if n := len(x.Crashes.DueReports(100)); n != 0 {
 		t.Fatalf("%d cases are told again before their turn", n)
 	}
 	x.takeMessage(t, Message{VM: "vm1", Life: 1})
-	if n := len(x.Crashes.Due(100)); n != 0 {
+	if n := len(x.Crashes.DueReports(100)); n != 0 {
 		t.Errorf("%d cases are told again to one that has not started", n)
 	}
 	x.takeMessage(t, Message{VM: "vm1", Life: 2})
-	if n := len(x.Crashes.Due(100)); n != 1 {
+	if n := len(x.Crashes.DueReports(100)); n != 1 {
 		t.Errorf("%d cases are told to one that has started, want 1", n)
 	}
 }
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -300,10 +300,10 @@
 	}
 	x.Heard.Add(1)
 	if x.note(m.VM, m.Life, clock.Now()) {
-		x.Crashes.Retell()
+		x.Crashes.ResendAll()
 	}
 	if len(m.Crashes) > 0 && x.Crashes != nil {
-		x.Crashes.Heard(m.VM, m.Crashes, x.isLarge())
+		x.Crashes.Receive(m.VM, m.Crashes, x.isLarge())
 	}
 	if len(m.Canaries) > 0 && x.HeardCanaries != nil {
 		x.HeardCanaries(m.VM, m.Life, m.Canaries)
@@ -393,7 +393,7 @@
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.Bound})
 	})
-	m := Message{Loads: loads, Silent: x.Silent(), Named: x.Named(), Lapsed: x.Lapsed(), Crashes: x.Crashes.Due(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
+	m := Message{Loads: loads, Silent: x.Silent(), Named: x.Named(), Lapsed: x.Lapsed(), Crashes: x.Crashes.DueReports(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
 	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Silent) == 0 && len(m.Named) == 0 && m.Lapsed == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
 		x.idle++
 		return
--- a/internal/news/treetell.go
+++ b/internal/news/treetell.go
@@ -39,7 +39,7 @@
 	x.Load.Fade(now)
 	own, loads := x.ownDigest()
 	s := x.tree.next(x.VM, own, loads, now)
-	crashes := x.Crashes.Due(len(s.to))
+	crashes := x.Crashes.DueReports(len(s.to))
 	x.sendDigest(Message{VM: x.VM, Life: x.life, Report: &s.report, Crashes: crashes}, s.to)
 	if s.hello {
 		x.sendDigest(Message{VM: x.VM, Life: x.life}, x.near())
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -163,7 +163,7 @@
 		last.Prefixes = append(last.Prefixes, uint64(b.ID))
 		last.Work = uint32(b.Work)
 	}
-	return n.outbox.Waiting() || n.Crashes.Waiting()
+	return n.outbox.Waiting() || n.Crashes.Pending()
 }
 
 // Tell sends the news at hand to every peer of the domain. The heartbeat goes
@@ -178,7 +178,7 @@
 	}
 	n.outbox.Fill(news, newsBytes)
 	tellers := n.tellersOf(ctx)
-	news.Suspects = suspectsProto(n.Crashes.Due(len(tellers)))
+	news.Suspects = suspectsProto(n.Crashes.DueReports(len(tellers)))
 	for _, t := range tellers {
 		t.ring.TryPut(news)
 	}
@@ -223,7 +223,7 @@
 		Vm: string(n.VM), Incarnation: uint64(n.Incarnation), Hlc: uint64(n.Events.Clock().Now()),
 		Beat: n.beat(), FailureDomain: string(n.Domain),
 	}
-	s.Suspects = suspectsProto(n.Crashes.All())
+	s.Suspects = suspectsProto(n.Crashes.Snapshot())
 	return s
 }
 
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -64,7 +64,7 @@
 	defer n.gate.Release(1)
 	out := &peerpb.StateSnapshot{
 		Config: snapshotProto(n.Config.Since(0)), Platform: snapshotProto(n.Platform.Since(0)),
-		Hlc: uint64(n.Events.Clock().Now()), Vms: n.knownVMs(r.Vm), Suspects: suspectsProto(n.Crashes.All()),
+		Hlc: uint64(n.Events.Clock().Now()), Vms: n.knownVMs(r.Vm), Suspects: suspectsProto(n.Crashes.Snapshot()),
 	}
 	for _, t := range n.Fleet.Members.Targets(clock.Now()) {
 		if report := t.Report; report.Seq > 0 {
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -41,7 +41,7 @@
 		}
 		reports = append(reports, r)
 	}
-	n.Crashes.Heard(from, reports, passOn)
+	n.Crashes.Receive(from, reports, passOn)
 }
 
 // FleetRank is how many VMs come before this one for what one VM of the fleet does, by
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -195,7 +195,7 @@
 		f.started[vm] = f.now
 		for o, l := range f.ledgers { // its first message
 			if o != vm && f.rng.Float64() >= f.lost {
-				l.Retell()
+				l.ResendAll()
 			}
 		}
 	}
@@ -341,7 +341,7 @@
 			waiting = append(waiting, m)
 			continue
 		}
-		f.ledgers[m.to].Heard(m.from, m.what, f.tree)
+		f.ledgers[m.to].Receive(m.from, m.what, f.tree)
 	}
 	f.messages = waiting
 }
@@ -366,7 +366,7 @@
 	sec := f.now.Sub(f.start).Seconds()
 	for vm := range f.vms {
 		to := f.neighbours(vm)
-		what := f.ledgers[vm].Due(len(to))
+		what := f.ledgers[vm].DueReports(len(to))
 		if len(what) == 0 {
 			continue
 		}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -13,7 +13,7 @@
 
 // Guard stands before the sends of a VM. Its zero value, and nil, let everything through.
 type Guard struct {
-	Watch *Watch
+	Detector *Detector
 	// Rank tells how many living VMs come before this one for what one VM does for all, by
 	// a name. Nil: this VM is alone.
 	Rank func(name ids.Target) int
@@ -33,10 +33,10 @@
 
 // ledger returns what is remembered of requests; nil: nothing is.
 func (c *Call) ledger() *Ledger {
-	if c.guard == nil || c.guard.Watch == nil {
+	if c.guard == nil || c.guard.Detector == nil {
 		return nil
 	}
-	return c.guard.Watch.Ledger
+	return c.guard.Detector.Ledger
 }
 
 // Fingerprint names the request over its repeats.
@@ -48,9 +48,9 @@
 	return *c.print
 }
 
-// Printed returns the fingerprint as text if it was needed so far, for logs; empty: it was
+// FingerprintText returns the fingerprint as text if it was needed so far, for logs; empty: it was
 // not.
-func (c *Call) Printed() string {
+func (c *Call) FingerprintText() string {
 	if c.print == nil {
 		return ""
 	}
@@ -65,9 +65,9 @@
 	return c.refusal(first, (*Ledger).TrialDue)
 }
 
-// Sending refuses as Refusal does, when a replica is chosen. A trial is used up by it; one
+// RefusalAtSend refuses as Refusal does, when a replica is chosen. A trial is used up by it; one
 // that no replica could take is not.
-func (c *Call) Sending(first bool) *outcome.Error {
+func (c *Call) RefusalAtSend(first bool) *outcome.Error {
 	return c.refusal(first, (*Ledger).Trial)
 }
 
@@ -99,16 +99,16 @@
 	}
 }
 
-// Broke starts a check whether the replica of a send that broke off has ended with it.
+// ReportBroken starts a check whether the replica of a send that broke off has ended with it.
 // ended is set if that is known.
-func (c *Call) Broke(s Send, ended bool) {
+func (c *Call) ReportBroken(s Send, ended bool) {
 	if c.ledger() == nil {
 		return
 	}
 	r := run{Send: s, request: c.Fingerprint(), id: c.id}
 	if ended {
-		c.guard.Watch.ended([]run{r})
+		c.guard.Detector.ended([]run{r})
 		return
 	}
-	c.guard.Watch.broke(r)
+	c.guard.Detector.broke(r)
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -16,12 +16,12 @@
 
 // What a ledger remembers.
 const (
-	// Remembered is how long crashes count, and a request is kept from replicas, after its
+	// Retention is how long crashes count, and a request is kept from replicas, after its
 	// last crash. Then it is tried again, and one crash is enough to quarantine it anew: a
 	// request that never stops coming costs about one replica in this time.
-	Remembered = 10 * time.Minute
+	Retention = 10 * time.Minute
 	// forgottenAfter is when nothing is left of it.
-	forgottenAfter = 2 * Remembered
+	forgottenAfter = 2 * Retention
 	// trialAfter is when a quarantined request is sent once to see whether it crashes its
 	// replica: replicas are back after some seconds, and a request that many callers share
 	// is not to be turned away for long because all replicas ended one after the other.
@@ -105,7 +105,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.cases[f]
-	if e == nil || !e.quarantined || l.now().Sub(e.last()) >= Remembered {
+	if e == nil || !e.quarantined || l.now().Sub(e.last()) >= Retention {
 		return 0, false
 	}
 	return len(e.crashes), true
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -80,7 +80,7 @@
 	if !l.Trial(named("q"), 0) || l.Trial(named("q"), 0) {
 		t.Error("not tried just once")
 	}
-	c.now = c.now.Add(Remembered)
+	c.now = c.now.Add(Retention)
 	if quarantined(l, "q") {
 		t.Error("still quarantined long after the last crash")
 	}
@@ -102,17 +102,17 @@
 	for i := range 3 {
 		c.crash(l, "q", fmt.Sprint("r", i))
 	}
-	old := l.Due(1)
-	peer.Heard("a", old, false)
+	old := l.DueReports(1)
+	peer.Receive("a", old, false)
 	if !quarantined(peer, "q") {
 		t.Fatal("the peer does not hear of it")
 	}
 	l.Answered(named("q"))
-	peer.Heard("a", l.Due(1), false)
+	peer.Receive("a", l.DueReports(1), false)
 	if quarantined(l, "q") || quarantined(peer, "q") {
 		t.Error("still quarantined though it was answered")
 	}
-	peer.Heard("a", old, false) // late
+	peer.Receive("a", old, false) // late
 	if quarantined(peer, "q") {
 		t.Error("old news quarantine it again")
 	}
@@ -144,11 +144,11 @@
 	a, b := c.ledger(), c.ledger()
 	for i, l := range []*Ledger{a, b, a} {
 		c.crash(l, "q", "same")
-		report := l.Due(1)
+		report := l.DueReports(1)
 		for _, other := range []*Ledger{a, b} {
 			c.now = c.now.Add(20 * time.Millisecond)
-			other.Heard("p", report, false)
-			other.Heard("p", report, false)
+			other.Receive("p", report, false)
+			other.Receive("p", report, false)
 		}
 		for _, l := range []*Ledger{a, b} {
 			if n := len(l.cases[named("q")].crashes); n != i+1 {
@@ -173,12 +173,12 @@
 	}
 	var told [][]Report
 	for _, l := range all[:3] {
-		told = append(told, l.Due(3))
+		told = append(told, l.DueReports(3))
 	}
 	for i, l := range all {
 		for _, from := range []int{2, 0, 2, 1, 0} {
 			if from != i {
-				l.Heard(ids.VM(fmt.Sprint(from)), told[from], false)
+				l.Receive(ids.VM(fmt.Sprint(from)), told[from], false)
 			}
 		}
 		if !quarantined(l, "q") {
@@ -197,8 +197,8 @@
 	}
 	for range 3 * int(forgottenAfter/time.Minute) {
 		c.now = c.now.Add(time.Minute)
-		peer.Heard("l", l.Due(1), true)
-		l.Heard("peer", peer.Due(1), true)
+		peer.Receive("l", l.DueReports(1), true)
+		l.Receive("peer", peer.DueReports(1), true)
 		l.Sweep()
 		peer.Sweep()
 	}
@@ -240,7 +240,7 @@
 	for i := range many {
 		many[i] = ReportedCrash{Replica: Replica(i), SentMs: int64(i), EndedMs: -1}
 	}
-	l.Heard("p", []Report{
+	l.Receive("p", []Report{
 		{Request: named("a"), Crashes: []ReportedCrash{{Replica: 1, SentMs: 1, EndedMs: 5}}},
 		{Request: named("b"), Crashes: []ReportedCrash{{Replica: 1, SentMs: 1 << 60, EndedMs: 1 << 60}}},
 		{Request: named("c"), Crashes: many},
@@ -257,20 +257,20 @@
 	for _, c := range []struct {
 		state Liveness
 		cases int
-	}{{Ended, 2}, {Listens, 0}, {Unknown, 0}} {
+	}{{Ended, 2}, {Listening, 0}, {Unknown, 0}} {
 		t.Run(c.state.String(), func(t *testing.T) {
 			var looks atomic.Int64
 			release := make(chan struct{})
-			w := &Watch{Ledger: NewLedger(nil, nil), Check: func(context.Context, ids.Target, string) Liveness {
+			w := &Detector{Ledger: NewLedger(nil, nil), Check: func(context.Context, ids.Target, string) Liveness {
 				looks.Add(1)
 				<-release
 				return c.state
 			}}
 			now := time.Now()
-			guard := &Guard{Watch: w}
+			guard := &Guard{Detector: w}
 			for _, q := range []string{"one", "two", "one"} {
 				call := guard.Call("id", Request{Body: []byte(q)})
-				call.Broke(Send{Target: "r", Incarnation: 1, Sent: now.Add(-time.Second), Broke: now}, false)
+				call.ReportBroken(Send{Target: "r", Incarnation: 1, Sent: now.Add(-time.Second), Broke: now}, false)
 			}
 			close(release)
 			for end := time.Now().Add(time.Second); w.Ledger.Empty() && time.Now().Before(end) && c.cases > 0; {
@@ -287,12 +287,12 @@
 // BenchmarkNothingCrashes is what a call with a body of 18 KB costs while nothing is
 // remembered: a look before each send, and its fingerprint when it is answered.
 func BenchmarkNothingCrashes(b *testing.B) {
-	guard := &Guard{Watch: &Watch{Ledger: NewLedger(nil, nil)}}
+	guard := &Guard{Detector: &Detector{Ledger: NewLedger(nil, nil)}}
 	body := make([]byte, 18<<10)
 	for i := 0; b.Loop(); i++ {
 		binary.BigEndian.PutUint64(body, uint64(i))
 		call := guard.Call("id", Request{Workspace: "w", Method: "POST", Host: "h", URI: "/p", Body: body})
-		if call.Refusal(true) != nil || call.Sending(true) != nil {
+		if call.Refusal(true) != nil || call.RefusalAtSend(true) != nil {
 			b.Fatal("refused")
 		}
 		call.Answered(http.StatusOK)
--- a/internal/quarantine/merge_test.go
+++ b/internal/quarantine/merge_test.go
@@ -45,20 +45,20 @@
 			case 2:
 				all[vm].Answered(named(request))
 			case 3:
-				late = append(late, message{vm, all[vm].Due(vms - 1)})
+				late = append(late, message{vm, all[vm].DueReports(vms - 1)})
 			case 4:
 				if len(late) > 0 {
 					m := late[rapid.IntRange(0, len(late)-1).Draw(t, "message")]
-					all[vm].Heard(ids.VM(fmt.Sprint(m.from)), m.what, rapid.Bool().Draw(t, "passOn"))
+					all[vm].Receive(ids.VM(fmt.Sprint(m.from)), m.what, rapid.Bool().Draw(t, "passOn"))
 				}
 			}
 		}
 		for range 2 * vms {
 			for i, l := range all {
-				told := l.All()
+				told := l.Snapshot()
 				for j, o := range all {
 					if i != j {
-						o.Heard(ids.VM(fmt.Sprint(i)), told, false)
+						o.Receive(ids.VM(fmt.Sprint(i)), told, false)
 					}
 				}
 			}
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/tell.go
@@ -48,8 +48,8 @@
 	EndedMs int64 // ago
 }
 
-// Due returns what is to be told in this round, at a VM whose words reach so many peers.
-func (l *Ledger) Due(peers int) []Report {
+// DueReports returns what is to be told in this round, at a VM whose words reach so many peers.
+func (l *Ledger) DueReports(peers int) []Report {
 	if l.Empty() {
 		return nil
 	}
@@ -79,9 +79,9 @@
 	return out
 }
 
-// Retell has all that is quarantined told in the next round: a peer has started, and knows
+// ResendAll has all that is quarantined told in the next round: a peer has started, and knows
 // of none.
-func (l *Ledger) Retell() {
+func (l *Ledger) ResendAll() {
 	if l.Empty() {
 		return
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-// All returns what a VM that knows nothing is to be told: what is quarantined, and the
+// Snapshot returns what a VM that knows nothing is to be told: what is quarantined, and the
 // latest of the rest.
-func (l *Ledger) All() []Report {
+func (l *Ledger) Snapshot() []Report {
 	if l.Empty() {
 		return nil
 	}
@@ -110,8 +110,8 @@
 	return out
 }
 
-// Waiting tells whether something is to be told.
-func (l *Ledger) Waiting() bool {
+// Pending tells whether something is to be told.
+func (l *Ledger) Pending() bool {
 	if l.Empty() {
 		return false
 	}
@@ -151,9 +151,9 @@
 	return r
 }
 
-// Heard takes in what a peer tells. passOn is set where this VM stands between that peer
+// Receive takes in what a peer tells. passOn is set where this VM stands between that peer
 // and others; elsewhere what is heard is not passed on, but for what this VM finds by it.
-func (l *Ledger) Heard(from ids.VM, reports []Report, passOn bool) {
+func (l *Ledger) Receive(from ids.VM, reports []Report, passOn bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed := false
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/watch.go
@@ -15,7 +15,7 @@
 // cut link nothing answers, and a replica that breaks off single answers goes on to listen.
 const (
 	Unknown Liveness = iota
-	Listens
+	Listening
 	Ended
 )
 
@@ -37,9 +37,9 @@
 	id      ids.Request // of the caller's attempt
 }
 
-// Watch finds out whether replicas have ended under the runs that broke off there, and
+// Detector finds out whether replicas have ended under the runs that broke off there, and
 // notes those that have. Safe for concurrent use.
-type Watch struct {
+type Detector struct {
 	Ledger *Ledger
 	// Check looks whether a replica still listens.
 	Check func(ctx context.Context, t ids.Target, addr string) Liveness
@@ -52,7 +52,7 @@
 const checkWithin = time.Second
 
 // broke looks whether the replica of a run has ended. It does not wait.
-func (w *Watch) broke(r run) {
+func (w *Detector) broke(r run) {
 	name := ReplicaOf(r.Target, r.Incarnation)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // look checks a replica once for all runs that broke off there meanwhile.
-func (w *Watch) look(name Replica, r run) {
+func (w *Detector) look(name Replica, r run) {
 	ctx, cancel := context.WithTimeout(context.Background(), checkWithin)
 	defer cancel()
 	state := w.Check(ctx, r.Target, r.Addr)
@@ -83,7 +83,7 @@
 }
 
 // ended notes that the replica of these runs has ended.
-func (w *Watch) ended(runs []run) {
+func (w *Detector) ended(runs []run) {
 	w.Ledger.Crashes.Add(1)
 	findings := make([]Finding, 0, len(runs))
 	for i := range runs {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if refusal := c.guarded.Sending(len(tried) == 0); refusal != nil {
+	if refusal := c.guarded.RefusalAtSend(len(tried) == 0); refusal != nil {
 		return nil, "", refusal
 	}
 	r.Fleet.Members.Trying(target.ID, clock.Now())
@@ -217,7 +217,7 @@
 	case err == nil:
 		c.guarded.Answered(a.Status)
 	case upstream.HungUp(err) && ctx.Err() == nil && r.Fleet.Members.State(t.ID, clock.Now()) != routing.Leaving:
-		c.guarded.Broke(quarantine.Send{Target: t.ID, Addr: t.Addr, Incarnation: t.Incarnation, Sent: sent, Broke: clock.Now()}, false)
+		c.guarded.ReportBroken(quarantine.Send{Target: t.ID, Addr: t.Addr, Incarnation: t.Incarnation, Sent: sent, Broke: clock.Now()}, false)
 	}
 }
 
--- a/internal/upstream/check.go
+++ b/internal/upstream/check.go
@@ -29,7 +29,7 @@
 func (c *Client) Check(ctx context.Context, to Replica) quarantine.Liveness {
 	return check(ctx, func() quarantine.Liveness {
 		if c.pool(to.ID).sound() {
-			return quarantine.Listens
+			return quarantine.Listening
 		}
 		return dial(ctx, c.DialTimeout, to.Addr)
 	})
@@ -58,7 +58,7 @@
 	switch {
 	case err == nil:
 		_ = conn.Close()
-		return quarantine.Listens
+		return quarantine.Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return quarantine.Ended
 	default:
