--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -42,9 +42,9 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Counts returns an error where the system has no clock that counts suspended time. Now is
+// CheckSupport returns an error where the system has no clock that counts suspended time. Now is
 // then time.Now, and trust may outlive its proof by the length of a suspension.
-func Counts() error {
+func CheckSupport() error {
 	_, err := bootTime()
 	return err
 }
@@ -65,8 +65,8 @@
 // Until returns the time until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Virtual has Now follow time.Now, which tests in virtual time replace. For tests.
-func Virtual() { virtual.Store(true) }
+// UseVirtualTime has Now follow time.Now, which tests in virtual time replace. For tests.
+func UseVirtualTime() { virtual.Store(true) }
 
 // Skip lets time pass for this clock and not for timers, as a suspension does. For tests.
 func Skip(d time.Duration) { skipped.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 // TestNowGoesForward compares the clock with that of timers: they agree while the system
 // runs, and a suspension counts for one alone.
 func TestNowGoesForward(t *testing.T) {
-	if err := Counts(); err != nil {
+	if err := CheckSupport(); err != nil {
 		t.Fatalf("the system has no clock that counts suspended time: %v", err)
 	}
 	before, ran := Now(), time.Now()
--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -111,9 +111,9 @@
 
 func (d *Daemon) newsMetrics() NewsMetrics {
 	x := d.news
-	parent, children := x.Place()
+	parent, children := x.TreePosition()
 	return NewsMetrics{
-		Sent: x.Sent.Load(), PassedOn: x.PassedOn.Load(), Heard: x.Heard.Load(), Rejected: x.Rejected.Load(), Untold: x.Untold.Load(),
+		Sent: x.Sent.Load(), PassedOn: x.Forwarded.Load(), Heard: x.Received.Load(), Rejected: x.Rejected.Load(), Untold: x.Dropped.Load(),
 		Parent: parent, Children: children,
 	}
 }
--- a/internal/edge/canaries.go
+++ b/internal/edge/canaries.go
@@ -34,7 +34,7 @@
 		Living: d.livingNames, Quiet: func() bool { _, quiet := d.Rollout.QuietSince(d.started); return quiet },
 	}
 	d.Rollout.Retired = func(rec platform.Record) bool { return gate.Retires(rec.Service, rec.Software) }
-	d.news.HeardCanaries = d.canaries.Heard
+	d.news.OnCanaryReports = d.canaries.Heard
 }
 
 // softwareTargets returns what the controller needs of each target.
@@ -72,7 +72,7 @@
 	}
 	for n := 0; timing.Sleep(ctx, tellCanariesEvery); n++ {
 		for vm, reports := range d.Forward.Software.Reports(n%tellAllEvery == 0) {
-			d.news.TellCanaries(vm, reports)
+			d.news.SendCanaryReports(vm, reports)
 		}
 	}
 }
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -67,9 +67,9 @@
 		"feeds":         d.feeds.Run,
 		"retell":        d.retellCaches,
 		"watch":         every(watchEvery, d.watchReaders),
-		"hear-news":     d.news.Hear,
-		"tell-news":     d.news.Tell,
-		"tell-kv":       d.news.TellCaches,
+		"hear-news":     d.news.Receive,
+		"tell-news":     d.news.SendLoads,
+		"tell-kv":       d.news.SendCacheChanges,
 		"lease":         d.keepLease,
 		"orders":        d.giveOrders,
 		"canaries":      d.runCanaries,
@@ -142,25 +142,25 @@
 // lapsed returns what peers are to know of a lease for orders that this VM could not renew.
 // Where only the holder was cut off from the store, engines got no orders for 4.8 s, and
 // then all at once.
-func (d *Daemon) lapsed() *news.Lapsed {
+func (d *Daemon) lapsed() *news.LeaseLapse {
 	n, lapsed := d.Lease.Lapsed()
 	since, quiet := d.Rollout.QuietSince(d.started)
 	if !lapsed || !quiet {
 		return nil
 	}
-	return &news.Lapsed{Instance: n.Instance, Fence: n.Fence, Renewal: n.Renewal, QuietMs: clock.Since(since).Milliseconds()}
+	return &news.LeaseLapse{Instance: n.Instance, Fence: n.Fence, Renewal: n.Renewal, SinceLastOrderMs: clock.Since(since).Milliseconds()}
 }
 
 // heardLapsed takes in that a peer has stopped giving orders.
-func (d *Daemon) heardLapsed(l news.Lapsed) {
-	n := lease.Notice{Instance: l.Instance, Fence: l.Fence, Renewal: l.Renewal, Quiet: time.Duration(l.QuietMs) * time.Millisecond}
+func (d *Daemon) heardLapsed(l news.LeaseLapse) {
+	n := lease.Notice{Instance: l.Instance, Fence: l.Fence, Renewal: l.Renewal, Quiet: time.Duration(l.SinceLastOrderMs) * time.Millisecond}
 	if !d.Lease.Hear(n) {
 		return
 	}
 	if d.vms.rank(leaseName) >= candidates {
 		return // the few that look often take it over: 195 VMs that all looked made 195 calls
 	}
-	d.Log.Belief("lease-lapsed").Uint64("fence", l.Fence).Uint64("renewal", l.Renewal).Int64("quiet_ms", l.QuietMs).Send()
+	d.Log.Belief("lease-lapsed").Uint64("fence", l.Fence).Uint64("renewal", l.Renewal).Int64("quiet_ms", l.SinceLastOrderMs).Send()
 	select {
 	case d.leaseNews <- struct{}{}:
 	default: // it is awake
@@ -203,7 +203,7 @@
 func (d *Daemon) ordering(id ids.Target, w ids.WeightsVersion, done bool) {
 	o := news.Order{Target: id, Weights: w, Done: done, Incarnation: d.Fleet.Members.Incarnation(id)}
 	d.ordered(o)
-	d.news.TellOrder(o)
+	d.news.SendOrder(o)
 }
 
 // ordered takes in that a replica carries out an order, or has done so.
@@ -221,10 +221,10 @@
 }
 
 // named returns the weights that peers are told of.
-func (d *Daemon) named() []news.Named {
-	var out []news.Named
+func (d *Daemon) named() []news.RecentWeights {
+	var out []news.RecentWeights
 	for _, a := range d.Weights.Recent(clock.Now()) {
-		out = append(out, news.Named{Model: a.Model, Version: a.Version, AgeMs: a.Age.Milliseconds()})
+		out = append(out, news.RecentWeights{Model: a.Model, Version: a.Version, AgeMs: a.Age.Milliseconds()})
 	}
 	return out
 }
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -186,7 +186,7 @@
 	if err := d.news.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go d.news.Hear(t.Context())
+	go d.news.Receive(t.Context())
 	d.vms.at = map[string]vmRecord{}
 	var peers []news.Peer
 	for i := 0; len(peers) < candidates+1; i++ {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -263,18 +263,18 @@
 		Events: timeline.NewLog(s.VM, hlc.New(nil), s.TimelineEvents), Pace: d.Rollout.Pace,
 	}
 	d.news = &news.Exchange{
-		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, Ordered: d.ordered, Meter: d.adapter.Meter,
-		Silent: d.feeds.Silent, Named: d.named,
-		HeardNamed: func(n news.Named) {
+		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.ordered, Meter: d.adapter.Meter,
+		Unresponsive: d.feeds.Silent, RecentWeights: d.named,
+		OnRecentWeights: func(n news.RecentWeights) {
 			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
-		PeerSilent: func(peer ids.VM, silent []ids.Target) {
+		OnUnresponsive: func(peer ids.VM, silent []ids.Target) {
 			d.Fleet.Members.PeerLost(peer, silent, clock.Now())
 		},
-		StoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
-		Lapsed:    d.lapsed, HeardLapsed: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
-		Limits: d.Fleet.Members.Limits.Told, HeardLimit: d.heardLimit,
-		Resolve: d.resolve, Caches: d.cacheChanges, HeardCache: d.Fleet.Cache.Hear,
+		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
+		LeaseLapse:  d.lapsed, OnLeaseLapse: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
+		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.heardLimit,
+		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.Hear,
 	}
 	d.vms.d = d
 	d.buildCanaries()
@@ -309,7 +309,7 @@
 	}
 	d.Forward.KV.StoreDown(s.Addr, !alive, now)
 	if !alive {
-		d.news.TellStoreDown(s.Addr)
+		d.news.SendStoreDown(s.Addr)
 	}
 }
 
@@ -360,7 +360,7 @@
 	for name, duty := range d.dutyTable() {
 		d.run(name, func() error { duty(ctx); return nil })
 	}
-	if err := clock.Counts(); err != nil {
+	if err := clock.CheckSupport(); err != nil {
 		d.Log.Belief("no-suspension-clock").Str("error", err.Error()).
 			Str("consequence", "after a suspension of this VM, what was proven before it is trusted for as long as it lasted").Send()
 	}
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -173,7 +173,7 @@
 // watchReaders puts targets in doubt whose feeds' readers have all fallen silent.
 func (d *Daemon) watchReaders() {
 	now := clock.Now()
-	within := max(vouchWithin, vouchRounds*d.news.Pause())
+	within := max(vouchWithin, vouchRounds*d.news.RoundInterval())
 	for _, r := range d.Replicas.Working() {
 		if r.Role != platform.RoleEngine {
 			continue
@@ -181,7 +181,7 @@
 		vouched, near := false, false
 		alive := d.vms.living()
 		for _, vm := range alive.readersOf(ids.Target(r.ID), r.FailureDomain) {
-			heard := vm == d.Settings.VM || d.news.HeardWithin(vm, within)
+			heard := vm == d.Settings.VM || d.news.SeenWithin(vm, within)
 			vouched = vouched || heard
 			near = near || heard && alive.domain[vm] == r.FailureDomain
 		}
--- a/internal/edge/feeds_test.go
+++ b/internal/edge/feeds_test.go
@@ -32,7 +32,7 @@
 	if err := d.news.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go d.news.Hear(t.Context())
+	go d.news.Receive(t.Context())
 	d.vms.at = map[string]vmRecord{}
 	var peers []news.Peer
 	for vm, domain := range vms {
@@ -41,7 +41,7 @@
 	}
 	d.news.SetPeers(peers)
 	return d, func(vm ids.VM) {
-		for deadline := time.Now().Add(10 * time.Second); !d.news.HeardWithin(vm, 500*time.Millisecond); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(10 * time.Second); !d.news.SeenWithin(vm, 500*time.Millisecond); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("%s was not heard", vm)
 			}
--- a/internal/edge/living.go
+++ b/internal/edge/living.go
@@ -44,7 +44,7 @@
 	domain := map[ids.VM]ids.FailureDomain{own.VM: own.FailureDomain}
 	same := c.alive != nil
 	for _, r := range c.at {
-		if r.VM == own.VM || !c.d.news.HeardWithin(r.VM, aliveFor) {
+		if r.VM == own.VM || !c.d.news.SeenWithin(r.VM, aliveFor) {
 			continue
 		}
 		domain[r.VM] = r.FailureDomain
--- a/internal/edge/vms.go
+++ b/internal/edge/vms.go
@@ -194,7 +194,7 @@
 	defer c.mu.Unlock()
 	own, before := routing.VMWeight(id, c.d.Settings.VM), 0
 	for _, r := range c.at {
-		if routing.VMWeight(id, r.VM) > own && c.d.news.HeardWithin(r.VM, aliveFor) {
+		if routing.VMWeight(id, r.VM) > own && c.d.news.SeenWithin(r.VM, aliveFor) {
 			before++
 		}
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -82,8 +82,8 @@
 	return max(diff, -diff) > demandChange*float64(told)
 }
 
-// Waiting returns whether there is anything to tell beside the heartbeat.
-func (o *Outbox) Waiting() bool {
+// Pending returns whether there is anything to tell beside the heartbeat.
+func (o *Outbox) Pending() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.urgent)+len(o.loads)+len(o.dispatches)+len(o.demands) > 0
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 		told := map[uint32]bool{}
-		for round := 0; o.Waiting(); round++ {
+		for round := 0; o.Pending(); round++ {
 			if round > 200 {
 				rt.Fatalf("it does not empty within a budget of %d", budget)
 			}
--- a/internal/lease/fuzz_test.go
+++ b/internal/lease/fuzz_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestMain(m *testing.M) {
-	clock.Virtual() // tests in virtual time
+	clock.UseVirtualTime() // tests in virtual time
 	storetest.FixSeed()
 	m.Run()
 }
--- a/internal/news/bound_test.go
+++ b/internal/news/bound_test.go
@@ -40,7 +40,7 @@
 			}
 			total.Events = append(total.Events, event{VM: 1, Caches: []wireCache{{Target: 1, Held: held}}})
 		}
-		data, err := Encode(&Message{VM: "front-zone-1", Life: 1, Total: &total})
+		data, err := Encode(&Message{VM: "front-zone-1", Incarnation: 1, Total: &total})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/news/crashes_test.go
+++ b/internal/news/crashes_test.go
@@ -49,18 +49,18 @@
 		at := time.Now().Add(time.Duration(i-3) * time.Second)
 		x.Crashes.Crashed(quarantine.Finding{Request: request, Crash: quarantine.Crash{Replica: quarantine.Replica(i), Sent: at, Ended: at}})
 	}
-	x.takeMessage(t, Message{VM: "vm1", Life: 1})
+	x.takeMessage(t, Message{VM: "vm1", Incarnation: 1})
 	for x.Crashes.Waiting() {
 		x.Crashes.Due(100) // the rounds in which it is told
 	}
 	if n := len(x.Crashes.Due(100)); n != 0 {
 		t.Fatalf("%d cases are told again before their turn", n)
 	}
-	x.takeMessage(t, Message{VM: "vm1", Life: 1})
+	x.takeMessage(t, Message{VM: "vm1", Incarnation: 1})
 	if n := len(x.Crashes.Due(100)); n != 0 {
 		t.Errorf("%d cases are told again to one that has not started", n)
 	}
-	x.takeMessage(t, Message{VM: "vm1", Life: 2})
+	x.takeMessage(t, Message{VM: "vm1", Incarnation: 2})
 	if n := len(x.Crashes.Due(100)); n != 1 {
 		t.Errorf("%d cases are told to one that has started, want 1", n)
 	}
--- a/internal/news/digest.go
+++ b/internal/news/digest.go
@@ -19,11 +19,11 @@
 	Loads []wireLoad `cbor:"1,keyasint,omitempty"`
 	// Members are the VMs whose loads are in the sums, with the number of the round of each
 	// that was summed: members of 6 bytes each.
-	Members []byte       `cbor:"2,keyasint,omitempty"`
-	Silent  []wireSilent `cbor:"3,keyasint,omitempty"`
-	Named   []Named      `cbor:"4,keyasint,omitempty"`
-	Lapsed  []Lapsed     `cbor:"5,keyasint,omitempty"`
-	Events  []event      `cbor:"6,keyasint,omitempty"`
+	Members []byte          `cbor:"2,keyasint,omitempty"`
+	Silent  []wireSilent    `cbor:"3,keyasint,omitempty"`
+	Named   []RecentWeights `cbor:"4,keyasint,omitempty"`
+	Lapsed  []LeaseLapse    `cbor:"5,keyasint,omitempty"`
+	Events  []event         `cbor:"6,keyasint,omitempty"`
 	// Uses are sums by workspace.
 	Uses []allowance.Use `cbor:"7,keyasint,omitempty"`
 	// Limits are the latest words of targets' rate limits.
@@ -136,7 +136,7 @@
 			out.addNamed(n)
 		}
 		for _, l := range p.Lapsed {
-			l.QuietMs += age
+			l.SinceLastOrderMs += age
 			out.Lapsed = append(out.Lapsed, l)
 		}
 		for _, w := range aged(p.Limits, now.Sub(p.at)) {
@@ -156,8 +156,8 @@
 }
 
 // addNamed keeps the longest time for which a version is known to be named.
-func (d *digest) addNamed(n Named) {
-	i := slices.IndexFunc(d.Named, func(o Named) bool { return o.Model == n.Model && o.Version == n.Version })
+func (d *digest) addNamed(n RecentWeights) {
+	i := slices.IndexFunc(d.Named, func(o RecentWeights) bool { return o.Model == n.Model && o.Version == n.Version })
 	if i < 0 {
 		d.Named = append(d.Named, n)
 		return
--- a/internal/news/limits.go
+++ b/internal/news/limits.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		if t, ok := x.Resolve(uint32(limits[i].Target)); ok {
-			x.HeardLimit(limits[i].word(t))
+			x.OnLimit(limits[i].word(t))
 		}
 	}
 }
--- a/internal/news/main_test.go
+++ b/internal/news/main_test.go
@@ -9,6 +9,6 @@
 
 // TestMain has the tests in virtual time govern the clock of trust, too.
 func TestMain(m *testing.M) {
-	clock.Virtual()
+	clock.UseVirtualTime()
 	os.Exit(m.Run())
 }
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -48,23 +48,23 @@
 
 // Message is one datagram.
 type Message struct {
-	VM    ids.VM
-	Seq   uint64 // orders the loads of one life of a VM; zero: it tells none
-	Life  int64  // when that life began, in milliseconds of the VM's clock
-	Loads []Load // all targets with work; others have none
-	// Silent are engines that don't answer the calls by which this VM reads their feeds, or
+	VM          ids.VM
+	Seq         uint64 // orders the loads of one life of a VM; zero: it tells none
+	Incarnation int64  // when that life began, in milliseconds of the VM's clock
+	Loads       []Load // all targets with work; others have none
+	// Unresponsive are engines that don't answer the calls by which this VM reads their feeds, or
 	// have not answered the first one yet.
-	Silent []ids.Target
-	Order  *Order
-	// Named are weights that were named a short while ago.
-	Named []Named
+	Unresponsive []ids.Target
+	Order        *Order
+	// RecentWeights are weights that were named a short while ago.
+	RecentWeights []RecentWeights
 	// StoreDown is the address of a store of KV cache that does not answer.
 	StoreDown string
-	// Caches are changes of what targets hold.
-	Caches []cacheview.Change
-	// Lapsed tells that this VM could not renew the lease for orders and gives none. Nil: it
+	// CacheChanges are changes of what targets hold.
+	CacheChanges []cacheview.Change
+	// LeaseLapse tells that this VM could not renew the lease for orders and gives none. Nil: it
 	// has not held it, or holds it.
-	Lapsed *Lapsed
+	LeaseLapse *LeaseLapse
 	// Crashes are requests under which replicas crashed.
 	Crashes []quarantine.Report
 	// Uses are what this VM lets workspaces use, along with Seq.
@@ -77,26 +77,26 @@
 	Report, Total *digest
 }
 
-// Lapsed is one state of the lease's record under which its holder has stopped (package
+// LeaseLapse is one state of the lease's record under which its holder has stopped (package
 // lease).
-type Lapsed struct {
-	_        struct{} `cbor:",toarray"`
-	Instance string
-	Fence    uint64
-	Renewal  uint64
-	QuietMs  int64 // since its last order had arrived or was given up
+type LeaseLapse struct {
+	_                struct{} `cbor:",toarray"`
+	Instance         string
+	Fence            uint64
+	Renewal          uint64
+	SinceLastOrderMs int64 // since its last order had arrived or was given up
 }
 
 // Load is a VM's work at one target.
 type Load struct {
-	Target   ids.Target
-	InFlight int
-	Pending  int // prompt tokens without a first token yet
-	Bound    int // requests that can't go on at another target
+	Target       ids.Target
+	InFlight     int
+	Pending      int // prompt tokens without a first token yet
+	NotResumable int // requests that can't go on at another target
 }
 
-// Named is a version of a model's weights and for how long it has been named.
-type Named struct {
+// RecentWeights is a version of a model's weights and for how long it has been named.
+type RecentWeights struct {
 	_       struct{} `cbor:",toarray"`
 	Model   ids.Model
 	Version uint64
@@ -144,38 +144,38 @@
 	// TreeFrom is the number of peers beyond which news go over the tree. Zero: never.
 	TreeFrom int
 	Load     *loadview.Tracker
-	// Ordered is called for each order that a peer tells of.
-	Ordered func(o Order)
-	// Silent returns the engines that this VM gets no answer from, and PeerSilent is
+	// OnOrder is called for each order that a peer tells of.
+	OnOrder func(o Order)
+	// Unresponsive returns the engines that this VM gets no answer from, and PeerSilent is
 	// called with all that a peer gets none from.
-	Silent     func() []ids.Target
-	PeerSilent func(peer ids.VM, silent []ids.Target)
-	// Named returns the weights that were named a short while ago, and HeardNamed is
+	Unresponsive   func() []ids.Target
+	OnUnresponsive func(peer ids.VM, silent []ids.Target)
+	// RecentWeights returns the weights that were named a short while ago, and HeardNamed is
 	// called for each that a peer tells of.
-	Named      func() []Named
-	HeardNamed func(n Named)
-	// StoreDown is called for each store of KV cache that a peer gets no answer from.
-	StoreDown func(addr string)
+	RecentWeights   func() []RecentWeights
+	OnRecentWeights func(n RecentWeights)
+	// OnStoreDown is called for each store of KV cache that a peer gets no answer from.
+	OnStoreDown func(addr string)
 	// Resolve returns the target whose hash has the given low 32 bits.
 	Resolve func(short uint32) (ids.Target, bool)
-	// Caches returns the changes of caches that peers are to be told of, and HeardCache is
+	// CacheChanges returns the changes of caches that peers are to be told of, and HeardCache is
 	// called for each that a peer tells of.
-	Caches     func() []cacheview.Change
-	HeardCache func(c cacheview.Change)
-	// Lapsed returns what peers are to know of a lease that this VM could not renew; nil:
+	CacheChanges  func() []cacheview.Change
+	OnCacheChange func(c cacheview.Change)
+	// LeaseLapse returns what peers are to know of a lease that this VM could not renew; nil:
 	// nothing. HeardLapsed is called with what a peer tells of its own.
-	Lapsed      func() *Lapsed
-	HeardLapsed func(l Lapsed)
+	LeaseLapse   func() *LeaseLapse
+	OnLeaseLapse func(l LeaseLapse)
 	// Crashes keeps the requests under which replicas crashed. Nil: none are told of.
 	Crashes *quarantine.Ledger
 	// Allowances bounds what workspaces use over all VMs. Nil: nothing does.
 	Allowances *allowance.Limiter
 	// Limits returns what peers are to know of the rates that targets named, and HeardLimit
 	// is called with what a peer tells of one.
-	Limits     func() []ratelimit.Word
-	HeardLimit func(w ratelimit.Word)
-	// HeardCanaries is called with what a VM has counted of canaries.
-	HeardCanaries func(vm ids.VM, life int64, r []canary.Report)
+	Limits  func() []ratelimit.Word
+	OnLimit func(w ratelimit.Word)
+	// OnCanaryReports is called with what a VM has counted of canaries.
+	OnCanaryReports func(vm ids.VM, life int64, r []canary.Report)
 	// Meter counts the bytes that are sent. Nil: nothing does.
 	Meter *traffic.Meter
 
@@ -190,7 +190,7 @@
 	told  int // targets in the last round
 	idle  int // rounds since this VM last spoke
 
-	Sent, PassedOn, Heard, Rejected, Untold atomic.Int64
+	Sent, Forwarded, Received, Rejected, Dropped atomic.Int64
 }
 
 // SetPeers tells who the peers are; this VM itself is left out.
@@ -251,8 +251,8 @@
 	return started
 }
 
-// HeardWithin tells whether a peer has told something in the last d.
-func (x *Exchange) HeardWithin(vm ids.VM, d time.Duration) bool {
+// SeenWithin tells whether a peer has told something in the last d.
+func (x *Exchange) SeenWithin(vm ids.VM, d time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	at := x.heard[vm].at
@@ -271,8 +271,8 @@
 	return eris.Wrapf(err, "listen for news on %s", x.Listen)
 }
 
-// Hear takes in datagrams until ctx ends.
-func (x *Exchange) Hear(ctx context.Context) {
+// Receive takes in datagrams until ctx ends.
+func (x *Exchange) Receive(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() }) // ends the read below
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -298,15 +298,15 @@
 	if data[0] == passOn {
 		x.passOn(data)
 	}
-	x.Heard.Add(1)
-	if x.note(m.VM, m.Life, clock.Now()) {
+	x.Received.Add(1)
+	if x.note(m.VM, m.Incarnation, clock.Now()) {
 		x.Crashes.Retell()
 	}
 	if len(m.Crashes) > 0 && x.Crashes != nil {
 		x.Crashes.Heard(m.VM, m.Crashes, x.isLarge())
 	}
-	if len(m.Canaries) > 0 && x.HeardCanaries != nil {
-		x.HeardCanaries(m.VM, m.Life, m.Canaries)
+	if len(m.Canaries) > 0 && x.OnCanaryReports != nil {
+		x.OnCanaryReports(m.VM, m.Incarnation, m.Canaries)
 		return
 	}
 	if m.Report != nil || m.Total != nil {
@@ -315,56 +315,56 @@
 	}
 	x.tree.met(m.VM)
 	if m.Order != nil {
-		x.Ordered(*m.Order)
+		x.OnOrder(*m.Order)
 		return
 	}
 	if m.StoreDown != "" {
-		x.StoreDown(m.StoreDown)
+		x.OnStoreDown(m.StoreDown)
 		return
 	}
-	for _, c := range m.Caches {
-		x.HeardCache(c)
+	for _, c := range m.CacheChanges {
+		x.OnCacheChange(c)
 	}
 	if m.Seq == 0 {
 		return
 	}
 	loads := make(map[ids.Target]loadview.PeerLoad, len(m.Loads))
 	for _, l := range m.Loads {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.Bound}
+		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.NotResumable}
 	}
-	x.Load.Peer(m.VM, m.Life, m.Seq, loads, clock.Now())
+	x.Load.Peer(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
 	if !x.isLarge() { // the tree's totals say it all
-		x.Allowances.Heard(m.VM, m.Life, m.Seq, m.Uses)
+		x.Allowances.Heard(m.VM, m.Incarnation, m.Seq, m.Uses)
 	}
-	x.PeerSilent(m.VM, m.Silent)
-	for _, n := range m.Named {
-		x.HeardNamed(n)
+	x.OnUnresponsive(m.VM, m.Unresponsive)
+	for _, n := range m.RecentWeights {
+		x.OnRecentWeights(n)
 	}
-	if m.Lapsed != nil {
-		x.HeardLapsed(*m.Lapsed)
+	if m.LeaseLapse != nil {
+		x.OnLeaseLapse(*m.LeaseLapse)
 	}
 	for _, w := range m.Limits {
-		x.HeardLimit(w)
+		x.OnLimit(w)
 	}
 }
 
-// Tell sends this VM's loads round after round until ctx ends.
-func (x *Exchange) Tell(ctx context.Context) {
+// SendLoads sends this VM's loads round after round until ctx ends.
+func (x *Exchange) SendLoads(ctx context.Context) {
 	x.tellRound(Message{}) // peers know at once that this VM is there
 	for ctx.Err() == nil {
 		if x.isLarge() {
 			x.tellTree(ctx)
 			continue
 		}
-		if timing.Sleep(ctx, x.Pause()) {
+		if timing.Sleep(ctx, x.RoundInterval()) {
 			x.Load.Fade(clock.Now())
 			x.round()
 		}
 	}
 }
 
-// TellCaches tells changes of caches until ctx ends.
-func (x *Exchange) TellCaches(ctx context.Context) {
+// SendCacheChanges tells changes of caches until ctx ends.
+func (x *Exchange) SendCacheChanges(ctx context.Context) {
 	for timing.Sleep(ctx, max(shortestCaches, x.intake())) {
 		if !x.isLarge() {
 			x.tellCaches()
@@ -372,8 +372,8 @@
 	}
 }
 
-// Pause is the time between two rounds.
-func (x *Exchange) Pause() time.Duration {
+// RoundInterval is the time between two rounds.
+func (x *Exchange) RoundInterval() time.Duration {
 	if x.isLarge() {
 		return treeRound
 	}
@@ -391,10 +391,10 @@
 func (x *Exchange) round() {
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
-		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.Bound})
+		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.Bound})
 	})
-	m := Message{Loads: loads, Silent: x.Silent(), Named: x.Named(), Lapsed: x.Lapsed(), Crashes: x.Crashes.Due(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
-	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Silent) == 0 && len(m.Named) == 0 && m.Lapsed == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
+	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.Due(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
+	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
 		x.idle++
 		return
 	}
@@ -404,54 +404,54 @@
 // tellRound sends a message that orders this VM's loads.
 func (x *Exchange) tellRound(m Message) {
 	x.told, x.idle = len(m.Loads), 0
-	m.VM, m.Life, m.Seq = x.VM, x.life, x.seq.Add(1)
+	m.VM, m.Incarnation, m.Seq = x.VM, x.life, x.seq.Add(1)
 	x.send(m, 0)
 }
 
 // tellCaches tells changes of caches in as many messages as it takes. What is too much for
 // one round is left out: a belief that is missing costs a computation at most.
 func (x *Exchange) tellCaches() {
-	changes := x.Caches()
+	changes := x.CacheChanges()
 	for range maxCacheMessages {
 		n := min(len(changes), maxTold)
 		if n == 0 {
 			return
 		}
-		x.send(Message{VM: x.VM, Life: x.life, Caches: changes[:n]}, 0)
+		x.send(Message{VM: x.VM, Incarnation: x.life, CacheChanges: changes[:n]}, 0)
 		changes = changes[n:]
 	}
-	x.Untold.Add(int64(len(changes)))
+	x.Dropped.Add(int64(len(changes)))
 }
 
-// TellOrder tells all peers of an order.
-func (x *Exchange) TellOrder(o Order) {
+// SendOrder tells all peers of an order.
+func (x *Exchange) SendOrder(o Order) {
 	for copy := range orderCopies {
 		if x.isLarge() {
 			x.tree.tell(event{VM: shortenVM(x.VM), Orders: []Order{o}})
 			continue
 		}
-		x.send(Message{VM: x.VM, Life: x.life, Order: &o}, copy)
+		x.send(Message{VM: x.VM, Incarnation: x.life, Order: &o}, copy)
 	}
 }
 
-// TellCanaries tells one VM what this one has counted.
-func (x *Exchange) TellCanaries(to ids.VM, r []canary.Report) {
+// SendCanaryReports tells one VM what this one has counted.
+func (x *Exchange) SendCanaryReports(to ids.VM, r []canary.Report) {
 	if to == x.VM {
-		x.HeardCanaries(x.VM, x.life, r)
+		x.OnCanaryReports(x.VM, x.life, r)
 		return
 	}
 	for _, p := range x.list() {
 		if p.VM == to {
-			x.sendDigest(Message{VM: x.VM, Life: x.life, Canaries: r}, []Peer{p})
+			x.sendDigest(Message{VM: x.VM, Incarnation: x.life, Canaries: r}, []Peer{p})
 		}
 	}
 }
 
-// TellStoreDown tells all peers that a store of KV cache does not answer.
-func (x *Exchange) TellStoreDown(addr string) {
+// SendStoreDown tells all peers that a store of KV cache does not answer.
+func (x *Exchange) SendStoreDown(addr string) {
 	if x.isLarge() {
 		x.tree.tell(event{VM: shortenVM(x.VM), StoreDown: []string{addr}})
 		return
 	}
-	x.send(Message{VM: x.VM, Life: x.life, StoreDown: addr}, 0)
+	x.send(Message{VM: x.VM, Incarnation: x.life, StoreDown: addr}, 0)
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -14,9 +14,9 @@
 
 func newExchange() *Exchange {
 	return &Exchange{
-		VM: "vm0", FailureDomain: "z", TreeFrom: 100, Load: loadview.New(), Ordered: func(Order) {}, PeerSilent: func(ids.VM, []ids.Target) {},
-		StoreDown: func(string) {}, HeardNamed: func(Named) {}, HeardCache: func(cacheview.Change) {},
-		Resolve: resolveIn("e1", "e2"), Lapsed: func() *Lapsed { return nil }, HeardLapsed: func(Lapsed) {}, Limits: func() []ratelimit.Word { return nil }, HeardLimit: func(ratelimit.Word) {},
+		VM: "vm0", FailureDomain: "z", TreeFrom: 100, Load: loadview.New(), OnOrder: func(Order) {}, OnUnresponsive: func(ids.VM, []ids.Target) {},
+		OnStoreDown: func(string) {}, OnRecentWeights: func(RecentWeights) {}, OnCacheChange: func(cacheview.Change) {},
+		Resolve: resolveIn("e1", "e2"), LeaseLapse: func() *LeaseLapse { return nil }, OnLeaseLapse: func(LeaseLapse) {}, Limits: func() []ratelimit.Word { return nil }, OnLimit: func(ratelimit.Word) {},
 	}
 }
 
@@ -52,12 +52,12 @@
 		time.Sleep(time.Second)
 		x.SetPeers([]Peer{{VM: "vm0", Addr: "a:1"}, {VM: "vm1", Addr: "a:2"}, {VM: "vm3", Addr: "a:4"}})
 		for vm, want := range map[ids.VM]bool{"vm1": true, "vm2": false, "vm3": false, "stranger": false} {
-			if got := x.HeardWithin(vm, 2*time.Second); got != want {
+			if got := x.SeenWithin(vm, 2*time.Second); got != want {
 				t.Errorf("%s was heard: %v, want %v", vm, got, want)
 			}
 		}
 		time.Sleep(time.Second)
-		if x.HeardWithin("vm1", 2*time.Second) {
+		if x.SeenWithin("vm1", 2*time.Second) {
 			t.Error("vm1 still counts 2 s after its last news")
 		}
 	})
@@ -66,10 +66,10 @@
 // TestNamedIsTold takes in weights that a peer tells of, beside its loads.
 func TestNamedIsTold(t *testing.T) {
 	x := newExchange()
-	var heard []Named
-	x.HeardNamed = func(n Named) { heard = append(heard, n) }
-	want := Named{Model: "m", Version: 3, AgeMs: 1200}
-	x.takeMessage(t, Message{VM: "vm1", Seq: 1, Named: []Named{want}, Loads: []Load{{Target: "e1", InFlight: 2}}})
+	var heard []RecentWeights
+	x.OnRecentWeights = func(n RecentWeights) { heard = append(heard, n) }
+	want := RecentWeights{Model: "m", Version: 3, AgeMs: 1200}
+	x.takeMessage(t, Message{VM: "vm1", Seq: 1, RecentWeights: []RecentWeights{want}, Loads: []Load{{Target: "e1", InFlight: 2}}})
 	if len(heard) != 1 || heard[0] != want || x.Load.All("e1").InFlight != 2 {
 		t.Fatalf("heard %v, load %+v", heard, x.Load.All("e1"))
 	}
@@ -90,15 +90,15 @@
 	}
 	defer func() { _ = x.conn.Close() }()
 	x.SetPeers([]Peer{{VM: "vm1", Addr: peer.LocalAddr().String()}})
-	want := Named{Model: "m", Version: 3, AgeMs: 1200}
-	var named []Named
-	x.Silent = func() []ids.Target { return nil }
-	x.Named = func() []Named { return named }
+	want := RecentWeights{Model: "m", Version: 3, AgeMs: 1200}
+	var named []RecentWeights
+	x.Unresponsive = func() []ids.Target { return nil }
+	x.RecentWeights = func() []RecentWeights { return named }
 	x.round()
 	if x.Sent.Load() != 0 {
 		t.Error("there was nothing to tell")
 	}
-	named = []Named{want}
+	named = []RecentWeights{want}
 	x.round()
 	if err := peer.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 	buf := make([]byte, maxDatagram)
 	n, err := peer.Read(buf)
 	m, derr := decode(buf[:n], x.Resolve)
-	if err != nil || derr != nil || len(m.Named) != 1 || m.Named[0] != want {
+	if err != nil || derr != nil || len(m.RecentWeights) != 1 || m.RecentWeights[0] != want {
 		t.Errorf("got %q, %v", buf[:n], err)
 	}
 }
--- a/internal/news/relay.go
+++ b/internal/news/relay.go
@@ -63,7 +63,7 @@
 	data[0] = keep
 	for _, p := range x.list() {
 		if p.FailureDomain == x.FailureDomain {
-			x.write(data, p, &x.PassedOn)
+			x.write(data, p, &x.Forwarded)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 func (x *Exchange) relayOf(peers []Peer, copy int) Peer {
 	heard := make([]Peer, 0, len(peers))
 	for _, p := range peers {
-		if x.HeardWithin(p.VM, relayHeard) {
+		if x.SeenWithin(p.VM, relayHeard) {
 			heard = append(heard, p)
 		}
 	}
--- a/internal/news/relay_test.go
+++ b/internal/news/relay_test.go
@@ -14,10 +14,10 @@
 // that speaks of a target which the receiver does not know.
 func TestDatagramSaysWhatWasMeant(t *testing.T) {
 	m := Message{
-		VM: "vm1", Seq: 3, Life: 12, Loads: []Load{{Target: "e1", InFlight: 2, Pending: 9190, Bound: 1}, {Target: "unknown", InFlight: 1}},
-		Silent: []ids.Target{"e2", "unknown"}, Order: &Order{Target: "e1", Weights: "7", Done: true}, Named: []Named{{Model: "m", Version: 7, AgeMs: 40}},
+		VM: "vm1", Seq: 3, Incarnation: 12, Loads: []Load{{Target: "e1", InFlight: 2, Pending: 9190, NotResumable: 1}, {Target: "unknown", InFlight: 1}},
+		Unresponsive: []ids.Target{"e2", "unknown"}, Order: &Order{Target: "e1", Weights: "7", Done: true}, RecentWeights: []RecentWeights{{Model: "m", Version: 7, AgeMs: 40}},
 		StoreDown: "10.0.0.1:1",
-		Caches: []cacheview.Change{
+		CacheChanges: []cacheview.Change{
 			{Target: "e1", Life: 5, ID: 1}, {Target: "e1", Life: 5, ID: 2, Gone: true}, {Target: "e2", Life: 6, Emptied: true}, {Target: "unknown", ID: 9},
 		},
 	}
@@ -30,10 +30,10 @@
 		t.Fatal(err)
 	}
 	want := m
-	want.Loads, want.Silent = m.Loads[:1], m.Silent[:1]
-	want.Caches = []cacheview.Change{m.Caches[2], m.Caches[0], m.Caches[1]}
+	want.Loads, want.Unresponsive = m.Loads[:1], m.Unresponsive[:1]
+	want.CacheChanges = []cacheview.Change{m.CacheChanges[2], m.CacheChanges[0], m.CacheChanges[1]}
 	if fmt.Sprintf("%+v %+v", got, *got.Order) != fmt.Sprintf("%+v %+v", Message{
-		VM: want.VM, Seq: want.Seq, Life: want.Life, Loads: want.Loads, Silent: want.Silent, Order: got.Order, Named: want.Named, StoreDown: want.StoreDown, Caches: want.Caches,
+		VM: want.VM, Seq: want.Seq, Incarnation: want.Incarnation, Loads: want.Loads, Unresponsive: want.Unresponsive, Order: got.Order, RecentWeights: want.RecentWeights, StoreDown: want.StoreDown, CacheChanges: want.CacheChanges,
 	}, *m.Order) {
 		t.Fatalf("got %+v\nwant %+v", got, want)
 	}
@@ -60,14 +60,14 @@
 // TestDatagramsAreSmall holds a round of a busy VM of a small fleet, and a full message of
 // caches, below what one packet carries. Before: 42 bytes a load and 70 an entry of a feed.
 func TestDatagramsAreSmall(t *testing.T) {
-	loads := Message{VM: "front-wonosobo-1", Seq: 1000, Life: time.Now().UnixMilli()}
-	caches := Message{VM: "front-wonosobo-1", Life: time.Now().UnixMilli()}
+	loads := Message{VM: "front-wonosobo-1", Seq: 1000, Incarnation: time.Now().UnixMilli()}
+	caches := Message{VM: "front-wonosobo-1", Incarnation: time.Now().UnixMilli()}
 	for i := range maxTold {
 		if i < 9 {
-			loads.Loads = append(loads.Loads, Load{Target: ids.Target(fmt.Sprintf("i-%010x", i)), InFlight: 20, Pending: 9000, Bound: 3})
+			loads.Loads = append(loads.Loads, Load{Target: ids.Target(fmt.Sprintf("i-%010x", i)), InFlight: 20, Pending: 9000, NotResumable: 3})
 		}
-		caches.Caches = append(caches.Caches, cacheview.Change{Target: "i-7e4e278530", Life: 77, ID: 1<<63 + 1})
-		caches.Caches[i].ID += 2 * caches.Caches[max(i-1, 0)].ID
+		caches.CacheChanges = append(caches.CacheChanges, cacheview.Change{Target: "i-7e4e278530", Life: 77, ID: 1<<63 + 1})
+		caches.CacheChanges[i].ID += 2 * caches.CacheChanges[max(i-1, 0)].ID
 	}
 	for m, most := range map[*Message]int{&loads: 160, &caches: 1200} {
 		if data, err := Encode(m); err != nil || len(data) > most {
@@ -85,7 +85,7 @@
 		for i := range n {
 			x := newExchange()
 			x.VM, x.FailureDomain, x.Listen = ids.VM(fmt.Sprint(domain, i)), domain, "127.0.0.1:0"
-			x.Silent, x.Named = func() []ids.Target { return nil }, func() []Named { return nil }
+			x.Unresponsive, x.RecentWeights = func() []ids.Target { return nil }, func() []RecentWeights { return nil }
 			if err := x.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -136,13 +136,13 @@
 	}
 	passed := int64(0)
 	for _, x := range all[1:] {
-		if n := x.Heard.Load(); n != 1 {
+		if n := x.Received.Load(); n != 1 {
 			t.Errorf("%s heard %d datagrams, want 1", x.VM, n)
 		}
 		if l := x.Load.All("e1"); l.InFlight != 3 {
 			t.Errorf("%s knows of the load %+v", x.VM, l)
 		}
-		passed += x.PassedOn.Load()
+		passed += x.Forwarded.Load()
 	}
 	if passed != 2*5 {
 		t.Errorf("%d datagrams were passed on, want 10", passed)
@@ -154,8 +154,8 @@
 	all := fleetOf(t, relayFrom, "a", "b")
 	all[0].tellRound(Message{})
 	for _, x := range all[1:] {
-		if n := x.drain(t); n != 1 || x.PassedOn.Load() != 0 {
-			t.Errorf("%s got %d datagrams and passed on %d", x.VM, n, x.PassedOn.Load())
+		if n := x.drain(t); n != 1 || x.Forwarded.Load() != 0 {
+			t.Errorf("%s got %d datagrams and passed on %d", x.VM, n, x.Forwarded.Load())
 		}
 	}
 }
--- a/internal/news/tree.go
+++ b/internal/news/tree.go
@@ -417,7 +417,7 @@
 		if total[i].Target == l.Target {
 			total[i].InFlight = max(total[i].InFlight-l.InFlight, 0)
 			total[i].Pending = max(total[i].Pending-l.Pending, 0)
-			total[i].Bound = max(total[i].Bound-l.Bound, 0)
+			total[i].NotResumable = max(total[i].NotResumable-l.NotResumable, 0)
 		}
 	}
 }
--- a/internal/news/tree_exchange_test.go
+++ b/internal/news/tree_exchange_test.go
@@ -30,12 +30,12 @@
 	var ordered []Order
 	var changed []cacheview.Change
 	silent := map[ids.VM][]ids.Target{}
-	x.Ordered = func(o Order) { ordered = append(ordered, o) }
-	x.HeardCache = func(c cacheview.Change) { changed = append(changed, c) }
-	x.PeerSilent = func(vm ids.VM, s []ids.Target) { silent[vm] = s }
-	x.Caches = func() []cacheview.Change { return nil }
-	x.Silent = func() []ids.Target { return nil }
-	x.Named = func() []Named { return nil }
+	x.OnOrder = func(o Order) { ordered = append(ordered, o) }
+	x.OnCacheChange = func(c cacheview.Change) { changed = append(changed, c) }
+	x.OnUnresponsive = func(vm ids.VM, s []ids.Target) { silent[vm] = s }
+	x.CacheChanges = func() []cacheview.Change { return nil }
+	x.Unresponsive = func() []ids.Target { return nil }
+	x.RecentWeights = func() []RecentWeights { return nil }
 	x.SetPeers(largeFleet())
 	if !x.isLarge() {
 		t.Fatal("news don't go over the tree")
@@ -72,7 +72,7 @@
 	if s := silent["otherA0"]; len(s) != 1 || s[0] != "e2" {
 		t.Errorf("otherA0 has lost %v", s)
 	}
-	if !x.HeardWithin("far0", time.Second) || x.HeardWithin("otherA1", time.Second) {
+	if !x.SeenWithin("far0", time.Second) || x.SeenWithin("otherA1", time.Second) {
 		t.Error("who lives is not what the total says")
 	}
 }
--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -101,7 +101,7 @@
 func (f *treeFleet) round(p Peer) {
 	var own digest
 	for _, l := range f.loads[p.VM] {
-		own.Loads = append(own.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+		own.Loads = append(own.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.NotResumable})
 	}
 	s := f.trees[p.VM].next(p.VM, own, f.loads[p.VM], f.now)
 	for _, to := range s.to {
@@ -154,7 +154,7 @@
 	}
 	var total []Load
 	for _, l := range d.Loads {
-		total = append(total, Load{Target: byShort[l.Target], InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+		total = append(total, Load{Target: byShort[l.Target], InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.Bound})
 	}
 	out := map[ids.Target]int{}
 	others, _ := f.trees[vm].without(vm, total, nil, d.members())
--- a/internal/news/treetell.go
+++ b/internal/news/treetell.go
@@ -35,19 +35,19 @@
 // treeRound tells once.
 func (x *Exchange) treeRound(now time.Time) {
 	x.tellTreeCaches()
-	x.Untold.Add(x.tree.takeUntold())
+	x.Dropped.Add(x.tree.takeUntold())
 	x.Load.Fade(now)
 	own, loads := x.ownDigest()
 	s := x.tree.next(x.VM, own, loads, now)
 	crashes := x.Crashes.Due(len(s.to))
-	x.sendDigest(Message{VM: x.VM, Life: x.life, Report: &s.report, Crashes: crashes}, s.to)
+	x.sendDigest(Message{VM: x.VM, Incarnation: x.life, Report: &s.report, Crashes: crashes}, s.to)
 	if s.hello {
-		x.sendDigest(Message{VM: x.VM, Life: x.life}, x.near())
+		x.sendDigest(Message{VM: x.VM, Incarnation: x.life}, x.near())
 	}
 	if s.total == nil {
 		return
 	}
-	x.sendDigest(Message{VM: x.VM, Life: x.life, Total: s.total, Crashes: crashes}, s.kids)
+	x.sendDigest(Message{VM: x.VM, Incarnation: x.life, Total: s.total, Crashes: crashes}, s.kids)
 	if s.applies {
 		x.believe(s.total, now)
 	}
@@ -55,7 +55,7 @@
 
 // tellTreeCaches queues the changes of caches that this VM tells.
 func (x *Exchange) tellTreeCaches() {
-	for changes := x.Caches(); len(changes) > 0; {
+	for changes := x.CacheChanges(); len(changes) > 0; {
 		n := min(len(changes), maxEvents/2)
 		x.tree.tell(event{VM: shortenVM(x.VM), Caches: group(changes[:n])})
 		changes = changes[n:]
@@ -67,27 +67,27 @@
 	var d digest
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
-		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.Bound})
+		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.Bound})
 	})
 	for _, l := range loads {
-		d.Loads = append(d.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+		d.Loads = append(d.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.NotResumable})
 	}
-	if silent := x.Silent(); len(silent) > 0 {
+	if silent := x.Unresponsive(); len(silent) > 0 {
 		w := wireSilent{VM: shortenVM(x.VM)}
 		for _, id := range silent {
 			w.Targets = append(w.Targets, shorten(id))
 		}
 		d.Silent = append(d.Silent, w)
 	}
-	d.Named, d.Uses, d.Limits = x.Named(), x.Allowances.Told(), wireLimits(x.VM, x.Limits())
-	if l := x.Lapsed(); l != nil {
+	d.Named, d.Uses, d.Limits = x.RecentWeights(), x.Allowances.Told(), wireLimits(x.VM, x.Limits())
+	if l := x.LeaseLapse(); l != nil {
 		d.Lapsed = append(d.Lapsed, *l)
 	}
 	return d, loads
 }
 
-// Place returns the VM to which this one reports in the tree, and how many report to it.
-func (x *Exchange) Place() (parent ids.VM, children int) {
+// TreePosition returns the VM to which this one reports in the tree, and how many report to it.
+func (x *Exchange) TreePosition() (parent ids.VM, children int) {
 	x.tree.mu.Lock()
 	defer x.tree.mu.Unlock()
 	return x.tree.parent, len(x.tree.children)
@@ -144,15 +144,15 @@
 
 func (x *Exchange) takeEvent(e event) {
 	for _, o := range e.Orders {
-		x.Ordered(o)
+		x.OnOrder(o)
 	}
 	for _, addr := range e.StoreDown {
-		x.StoreDown(addr)
+		x.OnStoreDown(addr)
 	}
 	for i := range e.Caches {
 		if t, ok := x.Resolve(uint32(e.Caches[i].Target)); ok {
 			for _, c := range e.Caches[i].changes(t) {
-				x.HeardCache(c)
+				x.OnCacheChange(c)
 			}
 		}
 	}
@@ -170,22 +170,22 @@
 	total := make([]Load, 0, len(d.Loads))
 	for _, l := range d.Loads {
 		if t, ok := x.Resolve(uint32(l.Target)); ok {
-			total = append(total, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+			total = append(total, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.Bound})
 		}
 	}
 	loads := map[ids.Target]loadview.PeerLoad{}
 	total, uses := x.tree.without(x.VM, total, d.Uses, members)
 	x.Allowances.HeardFleet(uses)
 	for _, l := range total {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.Bound}
+		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.NotResumable}
 	}
 	x.Load.Peer(fleetVM, x.life, x.seq.Add(1), loads, now)
 	x.believeSilent(d.Silent)
 	for _, n := range d.Named {
-		x.HeardNamed(n)
+		x.OnRecentWeights(n)
 	}
 	for _, l := range d.Lapsed {
-		x.HeardLapsed(l)
+		x.OnLeaseLapse(l)
 	}
 	x.takeLimits(d.Limits)
 }
@@ -206,11 +206,11 @@
 			}
 		}
 		now[p.VM] = true
-		x.PeerSilent(p.VM, targets)
+		x.OnUnresponsive(p.VM, targets)
 	}
 	for vm := range x.tree.swapSilent(now) {
 		if !now[vm] {
-			x.PeerSilent(vm, nil)
+			x.OnUnresponsive(vm, nil)
 		}
 	}
 }
--- a/internal/news/wire.go
+++ b/internal/news/wire.go
@@ -26,18 +26,18 @@
 func shorten(t ids.Target) shortID { return shortID(routing.HashTarget(t)) }
 
 type wireMessage struct {
-	VM        ids.VM      `cbor:"1,keyasint"`
-	Seq       uint64      `cbor:"2,keyasint,omitempty"`
-	Life      int64       `cbor:"3,keyasint,omitempty"`
-	Loads     []wireLoad  `cbor:"5,keyasint,omitempty"`
-	Silent    []shortID   `cbor:"6,keyasint,omitempty"`
-	Order     *Order      `cbor:"7,keyasint,omitempty"`
-	Named     []Named     `cbor:"8,keyasint,omitempty"`
-	StoreDown string      `cbor:"9,keyasint,omitempty"`
-	Caches    []wireCache `cbor:"10,keyasint,omitempty"`
-	Lapsed    *Lapsed     `cbor:"11,keyasint,omitempty"`
-	Report    *digest     `cbor:"12,keyasint,omitempty"`
-	Total     *digest     `cbor:"13,keyasint,omitempty"`
+	VM        ids.VM          `cbor:"1,keyasint"`
+	Seq       uint64          `cbor:"2,keyasint,omitempty"`
+	Life      int64           `cbor:"3,keyasint,omitempty"`
+	Loads     []wireLoad      `cbor:"5,keyasint,omitempty"`
+	Silent    []shortID       `cbor:"6,keyasint,omitempty"`
+	Order     *Order          `cbor:"7,keyasint,omitempty"`
+	Named     []RecentWeights `cbor:"8,keyasint,omitempty"`
+	StoreDown string          `cbor:"9,keyasint,omitempty"`
+	Caches    []wireCache     `cbor:"10,keyasint,omitempty"`
+	Lapsed    *LeaseLapse     `cbor:"11,keyasint,omitempty"`
+	Report    *digest         `cbor:"12,keyasint,omitempty"`
+	Total     *digest         `cbor:"13,keyasint,omitempty"`
 
 	Crashes []quarantine.Report `cbor:"14,keyasint,omitempty"`
 	Uses    []allowance.Use     `cbor:"15,keyasint,omitempty"`
@@ -73,14 +73,14 @@
 // Encode renders a message that its receiver keeps.
 func Encode(m *Message) ([]byte, error) {
 	w := wireMessage{
-		VM: m.VM, Seq: m.Seq, Life: m.Life, Order: m.Order, Named: m.Named,
-		StoreDown: m.StoreDown, Caches: group(m.Caches), Lapsed: m.Lapsed, Report: m.Report, Total: m.Total,
+		VM: m.VM, Seq: m.Seq, Life: m.Incarnation, Order: m.Order, Named: m.RecentWeights,
+		StoreDown: m.StoreDown, Caches: group(m.CacheChanges), Lapsed: m.LeaseLapse, Report: m.Report, Total: m.Total,
 		Crashes: m.Crashes, Uses: m.Uses, Limits: wireLimits(m.VM, m.Limits), Canaries: m.Canaries,
 	}
 	for _, l := range m.Loads {
-		w.Loads = append(w.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+		w.Loads = append(w.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.NotResumable})
 	}
-	for _, t := range m.Silent {
+	for _, t := range m.Unresponsive {
 		w.Silent = append(w.Silent, shorten(t))
 	}
 	data, err := cbor.Marshal(w)
@@ -97,12 +97,12 @@
 		return Message{}, eris.Wrap(err, "decode news")
 	}
 	m := Message{
-		VM: w.VM, Seq: w.Seq, Life: w.Life, Order: w.Order, Named: w.Named, StoreDown: w.StoreDown, Lapsed: w.Lapsed, Report: w.Report, Total: w.Total,
+		VM: w.VM, Seq: w.Seq, Incarnation: w.Life, Order: w.Order, RecentWeights: w.Named, StoreDown: w.StoreDown, LeaseLapse: w.Lapsed, Report: w.Report, Total: w.Total,
 		Crashes: w.Crashes, Uses: w.Uses, Canaries: w.Canaries,
 	}
 	for _, l := range w.Loads {
 		if t, ok := resolve(uint32(l.Target)); ok {
-			m.Loads = append(m.Loads, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
+			m.Loads = append(m.Loads, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.Bound})
 		}
 	}
 	for i := range w.Limits {
@@ -112,12 +112,12 @@
 	}
 	for _, s := range w.Silent {
 		if t, ok := resolve(uint32(s)); ok {
-			m.Silent = append(m.Silent, t)
+			m.Unresponsive = append(m.Unresponsive, t)
 		}
 	}
 	for _, c := range w.Caches {
 		if t, ok := resolve(uint32(c.Target)); ok {
-			m.Caches = append(m.Caches, c.changes(t)...)
+			m.CacheChanges = append(m.CacheChanges, c.changes(t)...)
 		}
 	}
 	return m, nil
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -163,7 +163,7 @@
 		last.Prefixes = append(last.Prefixes, uint64(b.ID))
 		last.Work = uint32(b.Work)
 	}
-	return n.outbox.Waiting() || n.Crashes.Waiting()
+	return n.outbox.Pending() || n.Crashes.Waiting()
 }
 
 // Tell sends the news at hand to every peer of the domain. The heartbeat goes
