--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -163,7 +163,7 @@
 		last.Prefixes = append(last.Prefixes, uint64(b.ID))
 		last.Work = uint32(b.Work)
 	}
-	return n.outbox.Waiting() || n.Crashes.Pending()
+	return n.outbox.Pending() || n.Crashes.Pending()
 }
 
 // Tell sends the news at hand to every peer of the domain. The heartbeat goes
