--- a/internal/cli/commands/order.go
+++ b/internal/cli/commands/order.go
@@ -30,13 +30,13 @@
 			if c.Args().Len() == 0 {
 				return eris.New("order needs at least one target")
 			}
-			want := orders.Want{Weights: ids.WeightsVersion(c.String("weights")), Serve: orders.Serve(c.String("serve"))}
+			want := orders.DesiredState{Weights: ids.WeightsVersion(c.String("weights")), Serve: orders.Serve(c.String("serve"))}
 			if want.Serve != "" && want.Serve != orders.ServeOn && want.Serve != orders.ServeDrain {
 				return eris.Errorf("--serve is %q; it must be \"on\" or \"drain\"", want.Serve)
 			}
 			var done []orders.Intent
 			for _, t := range c.Args().Slice() {
-				intent := orders.Intent{Target: ids.Target(t), Want: want}
+				intent := orders.Intent{Target: ids.Target(t), Desired: want}
 				if err := record(ctx, common.Store(c), intent); err != nil {
 					return err
 				}
@@ -45,7 +45,7 @@
 			return common.Print(c, done, func(w io.Writer) {
 				common.Row(w, "TARGET", "WEIGHTS", "SERVE")
 				for _, i := range done {
-					common.Row(w, i.Target, i.Want.Weights, i.Want.Serve)
+					common.Row(w, i.Target, i.Desired.Weights, i.Desired.Serve)
 				}
 			})
 		},
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -255,7 +255,7 @@
 			d.Events.Record(timeline.Event{Kind: timeline.KindLease, Text: leaseText(now)}, token)
 		}
 		if err == nil {
-			err = d.Orders.Round(ctx)
+			err = d.Orders.Reconcile(ctx)
 		}
 		if err != nil && ctx.Err() == nil {
 			d.Log.Debug().Err(err).Str("step", "orders").Str("peer", d.Settings.Store).Msg("orders wait for the object API")
@@ -271,11 +271,11 @@
 }
 
 // Engines implements orders.Engines: what is known of this domain's engines.
-func (d *Daemon) Engines() []orders.Actual {
-	var out []orders.Actual
+func (d *Daemon) Engines() []orders.EngineStatus {
+	var out []orders.EngineStatus
 	for _, t := range d.Fleet.Members.Targets(clock.Now()) {
 		if t.Record.Role == platform.RoleEngine && t.Record.FailureDomain == d.Settings.FailureDomain {
-			out = append(out, orders.Actual{
+			out = append(out, orders.EngineStatus{
 				Target: t.ID, Model: t.Record.Model, Addr: t.Record.Addr, State: t.State, Weights: t.Weights,
 				Drained: t.Report.Leaving,
 			})
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -19,7 +19,7 @@
 //   - between events, silence for the idle time is reason enough. Time in which
 //     the caller is slow to take events does not count.
 type conn struct {
-	answer *engine.Answer
+	answer *engine.Response
 	cancel context.CancelFunc
 	timer  *time.Timer // until the answer begins
 	idle   *time.Timer // between events
@@ -28,7 +28,7 @@
 // checkEvery is how often a waiting connection looks at membership.
 const checkEvery = 500 * time.Millisecond
 
-type opener func(context.Context, *engine.Call) (*engine.Answer, error)
+type opener func(context.Context, *engine.Call) (*engine.Response, error)
 
 // open makes a connection and waits for the answer's start.
 func (r *run) open(ctx context.Context, call *engine.Call, start opener) (*conn, error) {
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -49,9 +49,9 @@
 }
 
 // whole delivers an answer that is not streamed.
-func (r *run) whole(call *engine.Call, a *engine.Answer, work *loadview.Work) error {
+func (r *run) whole(call *engine.Call, a *engine.Response, work *loadview.Work) error {
 	defer func() { _ = a.Body.Close() }()
-	body, err := engine.ReadWhole(a, call)
+	body, err := engine.ReadFull(a, call)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	}, nil)
 	life := s.conn.answer.Incarnation
 	after := s.verifier.Last()
-	cn, err := s.r.open(ctx, s.call, func(ctx context.Context, call *engine.Call) (*engine.Answer, error) {
+	cn, err := s.r.open(ctx, s.call, func(ctx context.Context, call *engine.Call) (*engine.Response, error) {
 		return s.r.d.Engine.Resume(ctx, call, after)
 	})
 	if err != nil {
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -36,7 +36,7 @@
 					r:    &run{d: &Dispatcher{Idle: idle, Stats: &Stats{}}, p: &Prompt{}, sink: sink},
 					call: &engine.Call{Target: "e1", Attempt: "a1"},
 					conn: &conn{
-						answer: &engine.Answer{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
+						answer: &engine.Response{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
 						cancel: func() { _ = body.CloseWithError(errors.New("given up")) },
 					},
 					verifier: relay.NewVerifier("a1"), work: loadview.New().Sent("e1", 0, time.Now()),
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -115,7 +115,7 @@
 	for _, r := range w.s.Records {
 		if r.Role == platform.RoleEngine && r.FailureDomain == domains[0] {
 			moved = append(moved, r.ID)
-			intent := orders.Intent{Target: ids.Target(r.ID), Want: orders.Want{Weights: "w2"}}
+			intent := orders.Intent{Target: ids.Target(r.ID), Desired: orders.DesiredState{Weights: "w2"}}
 			value, _ := json.Marshal(intent)
 			if _, err := w.s.Store.Create(t.Context(), orders.Prefix+r.ID, value); err != nil {
 				t.Fatal(err)
--- a/internal/edge/canaries.go
+++ b/internal/edge/canaries.go
@@ -31,7 +31,7 @@
 		Bounds: canary.Bounds{Share: e.CanaryShare, Slack: e.CanarySlack},
 		Decode: d.adapter.DecodeOrder, EncodeStatus: d.adapter.EncodeOrderStatus,
 		Held: func() bool { _, held := d.Lease.Held(); return held }, Targets: d.softwareTargets,
-		Living: d.livingNames, Quiet: func() bool { _, quiet := d.Rollout.QuietSince(d.started); return quiet },
+		Living: d.livingNames, Quiet: func() bool { _, quiet := d.Rollout.IdleSince(d.started); return quiet },
 	}
 	d.Rollout.Retired = func(rec platform.Record) bool { return gate.Retires(rec.Service, rec.Software) }
 	d.news.HeardCanaries = d.canaries.Heard
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -42,7 +42,7 @@
 	const margin = 600 * time.Millisecond
 	return lease.Tuning{
 		Duration: 2200 * time.Millisecond, Margin: margin, WaitOut: turn - margin + turnMargin,
-		Turn: turn + turnMargin, SuccessorOfSelf: true,
+		HandoverDelay: turn + turnMargin, ReclaimOwn: true,
 	}
 }
 
@@ -144,7 +144,7 @@
 // then all at once.
 func (d *Daemon) lapsed() *news.Lapsed {
 	n, lapsed := d.Lease.Lapsed()
-	since, quiet := d.Rollout.QuietSince(d.started)
+	since, quiet := d.Rollout.IdleSince(d.started)
 	if !lapsed || !quiet {
 		return nil
 	}
@@ -153,8 +153,8 @@
 
 // heardLapsed takes in that a peer has stopped giving orders.
 func (d *Daemon) heardLapsed(l news.Lapsed) {
-	n := lease.Notice{Instance: l.Instance, Fence: l.Fence, Renewal: l.Renewal, Quiet: time.Duration(l.QuietMs) * time.Millisecond}
-	if !d.Lease.Hear(n) {
+	n := lease.Notice{Instance: l.Instance, Fence: l.Fence, Renewal: l.Renewal, IdleFor: time.Duration(l.QuietMs) * time.Millisecond}
+	if !d.Lease.ReceiveNotice(n) {
 		return
 	}
 	if d.vms.rank(leaseName) >= candidates {
@@ -186,7 +186,7 @@
 			continue
 		}
 		began := clock.Now()
-		if err := d.Orders.Round(ctx); err != nil {
+		if err := d.Orders.Reconcile(ctx); err != nil {
 			d.Log.Belief("order-round-failed").Str("error", err.Error()).Send()
 		}
 		pause = max(roundEvery, roundRest*clock.Since(began)) // a round goes over all engines
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -96,8 +96,8 @@
 // their weights.
 func TestBeyondFollowsTheSettings(t *testing.T) {
 	d := newDaemon(t, settings.Edge{WeightsWithin: durations.Duration(10 * time.Second), WeightsAllWithin: durations.Duration(17 * time.Second)})
-	if d.Rollout.Beyond != 7*time.Second || d.Rollout.Hurry != 3*time.Second {
-		t.Errorf("beyond %v, hurry %v", d.Rollout.Beyond, d.Rollout.Hurry)
+	if d.Rollout.LoadGrace != 7*time.Second || d.Rollout.ThrottleFor != 3*time.Second {
+		t.Errorf("beyond %v, hurry %v", d.Rollout.LoadGrace, d.Rollout.ThrottleFor)
 	}
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -69,7 +69,7 @@
 type Adapter struct {
 	Store   objectapi.Store
 	Dialect forward.Dialect
-	Engines rollout.Engines
+	Engines rollout.EngineClient
 	Feeds   kvfeed.Reader
 	// Meter counts the bytes of Engines and Feeds, and of all else that this VM
 	// exchanges with targets and peers. Nil: nothing does.
@@ -254,13 +254,13 @@
 	}
 	d.Lease = lease.New(d.store, leaseName, s.VM, leaseTuning(edge.OrderTurn.D()), nil)
 	d.Rollout = &rollout.Rollout{
-		VM: s.VM, Lease: d.Lease, Replicas: d.Replicas, Named: d.Weights, Calls: d.adapter.Engines, Loads: d.Fleet, Log: d.Log, Ordering: d.ordering,
-		Hurry: time.Duration(float64(edge.WeightsWithin.D()) * hurryShare), Gone: d.ended,
-		Beyond: max(edge.WeightsAllWithin.D()-edge.WeightsWithin.D(), 1), // zero would mean no bound
+		VM: s.VM, Lease: d.Lease, Replicas: d.Replicas, Weights: d.Weights, Client: d.adapter.Engines, Targets: d.Fleet, Log: d.Log, OnOrder: d.ordering,
+		ThrottleFor: time.Duration(float64(edge.WeightsWithin.D()) * hurryShare), OnGone: d.ended,
+		LoadGrace: max(edge.WeightsAllWithin.D()-edge.WeightsWithin.D(), 1), // zero would mean no bound
 	}
 	d.Orders = &orders.Reconciler{
-		Wishes: d.Rollout, Sender: d.Rollout, Lease: d.Lease, Engines: d.Rollout,
-		Events: timeline.NewLog(s.VM, hlc.New(nil), s.TimelineEvents), Pace: d.Rollout.Pace,
+		Desired: d.Rollout, Sender: d.Rollout, Lease: d.Lease, Engines: d.Rollout,
+		Events: timeline.NewLog(s.VM, hlc.New(nil), s.TimelineEvents), MaxUnavailable: d.Rollout.MaxUnavailable,
 	}
 	d.news = &news.Exchange{
 		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, Ordered: d.ordered, Meter: d.adapter.Meter,
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -35,7 +35,7 @@
 	HeaderOutcome     = "X-Outcome"          // "not-run" when the target refused the call
 	HeaderLeaving     = "X-Leaving"          // "true" when it refused because it is leaving
 	HeaderDeadline    = "X-Deadline-Ms"      // what is left of the request's time
-	AnswerIDPrefix    = "chatcmpl-"          // of an answer's id, before the attempt
+	ResponseIDPrefix  = "chatcmpl-"          // of an answer's id, before the attempt
 	PathResume        = "/v1/resume"         // POST {attempt, after}
 	PathLoad          = "/load"              // GET
 	PathEvents        = "/cache/events"      // GET ?after=&wait=
@@ -80,8 +80,8 @@
 	}}
 }
 
-// Answer is the start of a target's answer. Body must be closed.
-type Answer struct {
+// Response is the start of a target's answer. Body must be closed.
+type Response struct {
 	Incarnation ids.Incarnation
 	Weights     ids.WeightsVersion
 	Body        io.ReadCloser
@@ -109,12 +109,12 @@
 func (e *CallerError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
 // Start sends a call and returns the answer's start.
-func (c *Client) Start(ctx context.Context, call *Call) (*Answer, error) {
+func (c *Client) Start(ctx context.Context, call *Call) (*Response, error) {
 	return c.post(ctx, call, call.Path, call.Body)
 }
 
 // Resume asks the target for the events of an attempt after a number.
-func (c *Client) Resume(ctx context.Context, call *Call, after uint64) (*Answer, error) {
+func (c *Client) Resume(ctx context.Context, call *Call, after uint64) (*Response, error) {
 	body, err := json.Marshal(struct {
 		Attempt ids.Attempt `json:"attempt"`
 		After   uint64      `json:"after"`
@@ -125,7 +125,7 @@
 	return c.post(ctx, call, PathResume, body)
 }
 
-func (c *Client) post(ctx context.Context, call *Call, path string, body []byte) (*Answer, error) {
+func (c *Client) post(ctx context.Context, call *Call, path string, body []byte) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+call.Addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "build", string(call.Target), errorPeerAway)
@@ -138,14 +138,14 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, DialError(err, call.Target)
+		return nil, SendError(err, call.Target)
 	}
 	return readAnswer(resp, call)
 }
 
-// DialError types a failure to send a call: NotRun if the connection was never
+// SendError types a failure to send a call: NotRun if the connection was never
 // made, Unknown otherwise.
-func DialError(err error, t ids.Target) *outcome.Error {
+func SendError(err error, t ids.Target) *outcome.Error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(t), errorPeerAway)
@@ -153,8 +153,8 @@
 	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "send", string(t), errorPeerFailed)
 }
 
-func readAnswer(resp *http.Response, call *Call) (*Answer, error) {
-	a := &Answer{
+func readAnswer(resp *http.Response, call *Call) (*Response, error) {
+	a := &Response{
 		Incarnation: incarnationOf(resp.Header),
 		Weights:     ids.WeightsVersion(resp.Header.Get(HeaderWeights)),
 		Body:        resp.Body,
@@ -170,7 +170,7 @@
 	return a, nil
 }
 
-func statusError(resp *http.Response, a *Answer, call *Call) error {
+func statusError(resp *http.Response, a *Response, call *Call) error {
 	peer := string(call.Target)
 	if resp.Header.Get(HeaderOutcome) == headerNotRun {
 		cause := ReadRefusal(resp)
@@ -203,9 +203,9 @@
 	return ids.Incarnation(n)
 }
 
-// ReadWhole reads an answer that is not streamed. A body that ends early, or one
+// ReadFull reads an answer that is not streamed. A body that ends early, or one
 // of another attempt, is an error.
-func ReadWhole(a *Answer, call *Call) ([]byte, error) {
+func ReadFull(a *Response, call *Call) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxWholeAnswer+1))
 	if err == nil && len(body) > maxWholeAnswer {
 		err = eris.New("the answer is too large")
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -27,9 +27,9 @@
 	PrefillRate  float64            `json:"prefill_rate"` // tokens/s
 }
 
-// Feed is a batch of cache events. Last is the number of the engine's newest
+// EventBatch is a batch of cache events. Last is the number of the engine's newest
 // event; the batch may end before it.
-type Feed struct {
+type EventBatch struct {
 	Incarnation ids.Incarnation    `json:"incarnation"`
 	Weights     ids.WeightsVersion `json:"weights"`
 	Last        uint64             `json:"last"`
@@ -49,8 +49,8 @@
 }
 
 // Events asks an engine for cache events after a number.
-func (c *Client) Events(ctx context.Context, addr string, after uint64, timeout time.Duration) (Feed, error) {
-	var f Feed
+func (c *Client) Events(ctx context.Context, addr string, after uint64, timeout time.Duration) (EventBatch, error) {
+	var f EventBatch
 	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxFeedBody, &f)
 	return f, err
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -181,8 +181,8 @@
 // StateOf returns a target's state.
 func (f *Fleet) StateOf(id ids.Target) routing.State { return f.Members.State(id, f.now()) }
 
-// NoContact tells whether a target answers nothing, as far as is known.
-func (f *Fleet) NoContact(id ids.Target) bool { return f.Members.NoContact(id, f.now()) }
+// Unresponsive tells whether a target answers nothing, as far as is known.
+func (f *Fleet) Unresponsive(id ids.Target) bool { return f.Members.NoContact(id, f.now()) }
 
 // Declines tells whether a target takes nothing from this VM now since it said so.
 func (f *Fleet) Declines(id ids.Target) bool { return f.Members.Declines(id, f.now()) }
--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -19,10 +19,10 @@
 	}
 	if g.chat {
 		return fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","created":1,"model":"lab","choices":[{"index":0,"delta":{"role":"assistant","content":%q},"finish_reason":%s}]}`,
-			engine.AnswerIDPrefix+string(g.attempt), text, reason)
+			engine.ResponseIDPrefix+string(g.attempt), text, reason)
 	}
 	return fmt.Sprintf(`{"id":%q,"object":"text_completion","created":1,"model":"lab","choices":[{"index":0,"text":%q,"finish_reason":%s}]}`,
-		engine.AnswerIDPrefix+string(g.attempt), text, reason)
+		engine.ResponseIDPrefix+string(g.attempt), text, reason)
 }
 
 func (g *generation) usageJSON() string {
@@ -32,7 +32,7 @@
 
 func (g *generation) usage() string {
 	return fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","created":1,"model":"lab","choices":[],%s}`,
-		engine.AnswerIDPrefix+string(g.attempt), g.usageJSON())
+		engine.ResponseIDPrefix+string(g.attempt), g.usageJSON())
 }
 
 // serveStream writes the events after a number, with whatever faults are armed.
@@ -107,7 +107,7 @@
 		choice, object = fmt.Sprintf(`{"index":0,"text":%q,"finish_reason":"stop"}`, text.String()), "text_completion"
 	}
 	body := fmt.Sprintf(`{"id":%q,"object":%q,"created":1,"model":"lab","choices":[%s],%s}`,
-		engine.AnswerIDPrefix+string(g.attempt), object, choice, g.usageJSON())
+		engine.ResponseIDPrefix+string(g.attempt), object, choice, g.usageJSON())
 	w.Header().Set("Content-Type", "application/json")
 	if e.faults.take(FaultTruncate) || e.faults.take(FaultLostAnswer) {
 		_, _ = w.Write([]byte(body[:len(body)/2]))
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -129,7 +129,7 @@
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
-	f := engine.Feed{Incarnation: e.incarnation, Weights: e.weights}
+	f := engine.EventBatch{Incarnation: e.incarnation, Weights: e.weights}
 	for _, ev := range e.events {
 		f.Last = ev.Seq
 		if ev.Seq > after && len(f.Events) < feedBatch {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -71,12 +71,12 @@
 	// WaitOut is how long after its end a successor waits. It must be at least the
 	// longest action. Default 10s.
 	WaitOut time.Duration
-	// Turn is the least time between the end of a holder's last action and a successor's
+	// HandoverDelay is the least time between the end of a holder's last action and a successor's
 	// first one, where a notice tells of the former. Zero: notices are not heeded.
-	Turn time.Duration
-	// SuccessorOfSelf lets a VM take over at once from its own former life, where a
+	HandoverDelay time.Duration
+	// ReclaimOwn lets a VM take over at once from its own former life, where a
 	// VM's name never has two lives at a time.
-	SuccessorOfSelf bool
+	ReclaimOwn bool
 }
 
 // DefaultTuning suits orders of up to ten seconds.
@@ -159,7 +159,7 @@
 	if rec.Released {
 		rec.Duration = l.tuning.Margin // the holder may have acted until it released
 	}
-	if former := l.tuning.SuccessorOfSelf && rec.Holder == l.vm; !former && !l.watch(obj.Version, rec, began) {
+	if former := l.tuning.ReclaimOwn && rec.Holder == l.vm; !former && !l.watch(obj.Version, rec, began) {
 		return nil
 	}
 	return l.write(ctx, began, Record{Fence: rec.Fence + 1}, obj.Version)
@@ -205,9 +205,9 @@
 	defer l.mu.Unlock()
 	if l.seen != v {
 		l.seen, l.seenAt, l.seenRec, l.duration = v, l.now(), rec, rec.Duration
-		return l.noticed() && began.Sub(l.quietAt) > l.tuning.Turn
+		return l.noticed() && began.Sub(l.quietAt) > l.tuning.HandoverDelay
 	}
-	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticed() && began.Sub(l.quietAt) > l.tuning.Turn
+	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticed() && began.Sub(l.quietAt) > l.tuning.HandoverDelay
 }
 
 // Takeover returns how long it takes until this VM may take the lease over, if its holder
@@ -219,7 +219,7 @@
 		return 0, false
 	}
 	due := l.seenAt.Add(l.duration + l.tuning.WaitOut)
-	if early := l.quietAt.Add(l.tuning.Turn); l.noticed() && early.Before(due) {
+	if early := l.quietAt.Add(l.tuning.HandoverDelay); l.noticed() && early.Before(due) {
 		due = early
 	}
 	return max(due.Sub(l.now()), 0), true
--- a/internal/lease/notice.go
+++ b/internal/lease/notice.go
@@ -7,7 +7,7 @@
 	Instance string // that holds it, by the record
 	Fence    uint64
 	Renewal  uint64
-	Quiet    time.Duration // since its last action ended
+	IdleFor  time.Duration // since its last action ended
 }
 
 // Lapsed returns the state of the record under which this VM held the lease, if its time
@@ -22,18 +22,18 @@
 	return Notice{Instance: l.held.Instance, Fence: l.held.Fence, Renewal: l.held.Renewal}, true
 }
 
-// Hear takes in a peer's notice, and tells whether it is a new one.
-func (l *Lease) Hear(n Notice) bool {
+// ReceiveNotice takes in a peer's notice, and tells whether it is a new one.
+func (l *Lease) ReceiveNotice(n Notice) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.tuning.Turn <= 0 {
+	if l.tuning.HandoverDelay <= 0 {
 		return false
 	}
 	old := l.notice
-	old.Quiet = n.Quiet
+	old.IdleFor = n.IdleFor
 	isNew := old != n
 	// What it took to get here makes the quiet longer than it says, never shorter.
-	l.notice, l.quietAt = n, l.now().Add(-n.Quiet)
+	l.notice, l.quietAt = n, l.now().Add(-n.IdleFor)
 	return isNew
 }
 
@@ -41,5 +41,5 @@
 // held.
 func (l *Lease) noticed() bool {
 	n, r := &l.notice, &l.seenRec
-	return l.tuning.Turn > 0 && n.Instance != "" && n.Instance == r.Instance && n.Fence == r.Fence && n.Renewal == r.Renewal
+	return l.tuning.HandoverDelay > 0 && n.Instance != "" && n.Instance == r.Instance && n.Fence == r.Fence && n.Renewal == r.Renewal
 }
--- a/internal/lease/notice_test.go
+++ b/internal/lease/notice_test.go
@@ -16,7 +16,7 @@
 )
 
 // noticeTuning has short turns and long waits, so that a notice matters.
-var noticeTuning = Tuning{Duration: 10 * time.Second, Margin: 2 * time.Second, WaitOut: 20 * time.Second, Turn: 3 * time.Second}
+var noticeTuning = Tuning{Duration: 10 * time.Second, Margin: 2 * time.Second, WaitOut: 20 * time.Second, HandoverDelay: 3 * time.Second}
 
 // TestOneHolderWithNotices is TestOneHolder with holders that tell when they have stopped,
 // by notices that arrive at once, late, twice or never: actions under different fencing
@@ -38,7 +38,7 @@
 				}
 			case 1:
 				if len(told) > 0 {
-					m.leases[vm].Hear(told[rapid.IntRange(0, len(told)-1).Draw(rt, "which")])
+					m.leases[vm].ReceiveNotice(told[rapid.IntRange(0, len(told)-1).Draw(rt, "which")])
 				}
 			default:
 				m.step(rt)
@@ -47,7 +47,7 @@
 			m.check(rt)
 			for i, a := range m.actions {
 				for _, b := range m.actions[:i] {
-					if a.fence != b.fence && a.began.Sub(b.end) < noticeTuning.Turn {
+					if a.fence != b.fence && a.began.Sub(b.end) < noticeTuning.HandoverDelay {
 						rt.Fatalf("actions under fences %d and %d are %v apart", b.fence, a.fence, a.began.Sub(b.end))
 					}
 				}
@@ -59,13 +59,13 @@
 // noticeOf returns a VM's notice as the daemon makes it: none while an action lasts.
 func (m *model) noticeOf(vm int) (Notice, bool) {
 	n, ok := m.leases[vm].Lapsed()
-	n.Quiet = time.Hour
+	n.IdleFor = time.Hour
 	for _, a := range m.actions {
 		if a.fence == n.Fence {
-			n.Quiet = min(n.Quiet, time.Since(a.end))
+			n.IdleFor = min(n.IdleFor, time.Since(a.end))
 		}
 	}
-	return n, ok && n.Quiet >= 0
+	return n, ok && n.IdleFor >= 0
 }
 
 // TestNoticeShortensTheWait cuts a holder off from the store, and not from its peers: with
@@ -92,8 +92,8 @@
 		for now.Sub(began) < time.Minute && !took(b) {
 			now = now.Add(100 * time.Millisecond)
 			if n, lapsed := a.Lapsed(); lapsed && noticed {
-				n.Quiet = now.Sub(began) // it has given no order
-				b.Hear(n)
+				n.IdleFor = now.Sub(began) // it has given no order
+				b.ReceiveNotice(n)
 			}
 		}
 		want := noticeTuning.Duration + noticeTuning.WaitOut
@@ -134,9 +134,9 @@
 	if !ok {
 		t.Fatal("the lease has not lapsed")
 	}
-	n.Quiet = time.Minute
+	n.IdleFor = time.Minute
 	try(a) // the store is back
-	b.Hear(n)
+	b.ReceiveNotice(n)
 	try(b)
 	now = now.Add(time.Second)
 	try(b)
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -24,8 +24,8 @@
 // Prefix is where intents live in the object API.
 const Prefix = "orders/"
 
-// Want is the state that an engine is to have.
-type Want struct {
+// DesiredState is the state that an engine is to have.
+type DesiredState struct {
 	Weights ids.WeightsVersion `json:"weights,omitempty"` // empty: as it is
 	Serve   Serve              `json:"serve,omitempty"`   // empty: as it is
 }
@@ -42,24 +42,24 @@
 
 // Intent is an operator's wish for one target, as stored.
 type Intent struct {
-	Target ids.Target `json:"target"`
-	Want   Want       `json:"want"`
+	Target  ids.Target   `json:"target"`
+	Desired DesiredState `json:"want"`
 }
 
 // Decode reads intents from their objects; those that can't be read are left out.
-func Decode(objects []objectapi.Object) map[ids.Target]Want {
-	out := map[ids.Target]Want{}
+func Decode(objects []objectapi.Object) map[ids.Target]DesiredState {
+	out := map[ids.Target]DesiredState{}
 	for _, o := range objects {
 		var i Intent
 		if json.Unmarshal(o.Value, &i) == nil && Prefix+string(i.Target) == o.Key {
-			out[i.Target] = i.Want
+			out[i.Target] = i.Desired
 		}
 	}
 	return out
 }
 
-// Actual is what is known of one engine.
-type Actual struct {
+// EngineStatus is what is known of one engine.
+type EngineStatus struct {
 	Target  ids.Target
 	Model   ids.Model
 	Addr    string
@@ -72,27 +72,27 @@
 
 // Order is one thing to tell an engine.
 type Order struct {
-	Target ids.Target
-	Addr   string
-	Want   Want
-	Loads  bool // it will read from the weight store
+	Target       ids.Target
+	Addr         string
+	Desired      DesiredState
+	LoadsWeights bool // it will read from the weight store
 }
 
-// DefaultOutShare is one in how many engines of a model may be out of service.
-const DefaultOutShare = 4
+// DefaultOneIn is one in how many engines of a model may be out of service.
+const DefaultOneIn = 4
 
-// Pace bounds how many engines of a model may be out of service at a time.
-type Pace struct {
-	// OutShare is one in how many engines may be; those that are down count.
-	OutShare int
+// MaxUnavailable bounds how many engines of a model may be out of service at a time.
+type MaxUnavailable struct {
+	// OneIn is one in how many engines may be; those that are down count.
+	OneIn int
 	// AtLeast is how many living engines may carry out orders at a time whatever is
 	// down; one if it is less. A rollout that must end in time asks for more.
 	AtLeast int
 }
 
 // places returns how many of a model's engines may carry out orders at a time.
-func (p Pace) places(total, down int) int {
-	return max(total/max(p.OutShare, 1)-down, p.AtLeast, 1)
+func (p MaxUnavailable) places(total, down int) int {
+	return max(total/max(p.OneIn, 1)-down, p.AtLeast, 1)
 }
 
 // Plan returns the orders to send now. It is a pure function. Of each model no more
@@ -102,10 +102,10 @@
 // the living ones from ever getting an order. Drains come first, since an operator who
 // drains is waiting, then the engines with the oldest weights, so that none is left
 // behind where versions follow each other closely.
-func Plan(wants map[ids.Target]Want, engines []Actual, pace func(ids.Model) Pace) []Order {
+func Plan(wants map[ids.Target]DesiredState, engines []EngineStatus, pace func(ids.Model) MaxUnavailable) []Order {
 	free := freePlaces(engines, pace)
 	engines = slices.Clone(engines)
-	slices.SortFunc(engines, func(a, b Actual) int {
+	slices.SortFunc(engines, func(a, b EngineStatus) int {
 		return cmp.Or(cmp.Compare(rank(wants[a.Target]), rank(wants[b.Target])),
 			compareWeights(a.Weights, b.Weights),
 			cmp.Compare(a.Load, b.Load), cmp.Compare(a.Target, b.Target))
@@ -124,13 +124,13 @@
 		if takesOut {
 			free[e.Model]--
 		}
-		plan = append(plan, Order{Target: e.Target, Addr: e.Addr, Want: want, Loads: loads})
+		plan = append(plan, Order{Target: e.Target, Addr: e.Addr, Desired: want, LoadsWeights: loads})
 	}
 	return plan
 }
 
 // freePlaces returns how many more engines of each model may be taken out of service.
-func freePlaces(engines []Actual, pace func(ids.Model) Pace) map[ids.Model]int {
+func freePlaces(engines []EngineStatus, pace func(ids.Model) MaxUnavailable) map[ids.Model]int {
 	total, down, busy := map[ids.Model]int{}, map[ids.Model]int{}, map[ids.Model]int{}
 	for _, e := range engines {
 		total[e.Model]++
@@ -153,13 +153,13 @@
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 }
 
-func rank(w Want) int {
+func rank(w DesiredState) int {
 	if w.Serve == ServeDrain {
 		return 0
 	}
 	return 1
 }
 
-func satisfied(w Want, e Actual) bool {
+func satisfied(w DesiredState, e EngineStatus) bool {
 	return (w.Weights == "" || w.Weights == e.Weights) && (w.Serve == "" || (w.Serve == ServeDrain) == e.Drained)
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -22,25 +22,25 @@
 // however many are down.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		wants := map[ids.Target]Want{}
-		var engines []Actual
+		wants := map[ids.Target]DesiredState{}
+		var engines []EngineStatus
 		for i := range rapid.IntRange(1, 12).Draw(rt, "engines") {
-			e := Actual{Target: ids.Target(fmt.Sprint("e", i)), Model: "m", State: routing.Live, Weights: "w1"}
+			e := EngineStatus{Target: ids.Target(fmt.Sprint("e", i)), Model: "m", State: routing.Live, Weights: "w1"}
 			if rapid.IntRange(0, 5).Draw(rt, "dead") == 0 {
 				e.State = routing.Dead
 			}
-			wants[e.Target] = Want{Weights: rapid.SampledFrom([]ids.WeightsVersion{"", "w1", "w2"}).Draw(rt, "weights")}
+			wants[e.Target] = DesiredState{Weights: rapid.SampledFrom([]ids.WeightsVersion{"", "w1", "w2"}).Draw(rt, "weights")}
 			engines = append(engines, e)
 		}
 		for range engines {
 			down := count(engines, routing.Dead)
-			plan := Plan(wants, engines, oneIn(DefaultOutShare))
+			plan := Plan(wants, engines, oneIn(DefaultOneIn))
 			if limit := max(len(engines)/4-down, 1); len(plan) > limit {
 				rt.Fatalf("%d orders at once with %d of %d down", len(plan), down, len(engines))
 			}
 			follow(engines, plan)
 		}
-		if rest := Plan(wants, engines, oneIn(DefaultOutShare)); len(rest) > 0 {
+		if rest := Plan(wants, engines, oneIn(DefaultOneIn)); len(rest) > 0 {
 			rt.Fatalf("orders without end: %+v", rest)
 		}
 		for _, e := range engines {
@@ -51,7 +51,7 @@
 	})
 }
 
-func count(engines []Actual, s routing.State) int {
+func count(engines []EngineStatus, s routing.State) int {
 	n := 0
 	for _, e := range engines {
 		if e.State == s {
@@ -61,11 +61,11 @@
 	return n
 }
 
-func follow(engines []Actual, plan []Order) {
+func follow(engines []EngineStatus, plan []Order) {
 	for _, o := range plan {
 		for i := range engines {
-			if engines[i].Target == o.Target && o.Want.Weights != "" {
-				engines[i].Weights = o.Want.Weights
+			if engines[i].Target == o.Target && o.Desired.Weights != "" {
+				engines[i].Weights = o.Desired.Weights
 			}
 		}
 	}
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -24,7 +24,7 @@
 // Message is an order on the wire.
 type Message struct {
 	Fence uint64 `json:"fence"`
-	Want
+	DesiredState
 }
 
 // MaxOrder bounds one order. The lease's WaitOut must be at least as long.
@@ -32,12 +32,12 @@
 
 // Engines tells what is known of the domain's engines.
 type Engines interface {
-	Engines() []Actual
+	Engines() []EngineStatus
 }
 
-// Wishes tells what state engines are to have.
-type Wishes interface {
-	Wants(ctx context.Context) (map[ids.Target]Want, error)
+// DesiredStateSource tells what state engines are to have.
+type DesiredStateSource interface {
+	DesiredStates(ctx context.Context) (map[ids.Target]DesiredState, error)
 }
 
 // Sender sends an order and returns when it has been carried out, or an error.
@@ -48,10 +48,10 @@
 // Intents are the wishes that operators record in the object API.
 type Intents struct{ Store objectapi.Store }
 
-var _ Wishes = Intents{}
+var _ DesiredStateSource = Intents{}
 
-// Wants implements Wishes.
-func (i Intents) Wants(ctx context.Context) (map[ids.Target]Want, error) {
+// DesiredStates implements DesiredStateSource.
+func (i Intents) DesiredStates(ctx context.Context) (map[ids.Target]DesiredState, error) {
 	objects, _, err := i.Store.List(ctx, Prefix)
 	if err != nil {
 		return nil, eris.Wrap(err, "read intents")
@@ -66,7 +66,7 @@
 
 // Send implements Sender.
 func (HTTPSender) Send(ctx context.Context, o Order, token lease.Token) error {
-	body, err := json.Marshal(Message{Fence: token.Fence, Want: o.Want})
+	body, err := json.Marshal(Message{Fence: token.Fence, DesiredState: o.Desired})
 	if err != nil {
 		return eris.Wrap(err, "encode order")
 	}
@@ -75,19 +75,19 @@
 
 // Reconciler sends orders while its VM holds the domain's lease.
 type Reconciler struct {
-	Wishes  Wishes
+	Desired DesiredStateSource
 	Sender  Sender
 	Lease   *lease.Lease
 	Engines Engines
 	Events  *timeline.Log
-	// Loads limits reads from the weight store, for the whole domain: only the
+	// LoadLimiter limits reads from the weight store, for the whole domain: only the
 	// lease's holder orders loads. A new holder begins with an empty bucket. Nil: no
 	// limit.
-	Loads *rate.Limiter
+	LoadLimiter *rate.Limiter
 
-	// Pace tells how many engines of a model may be out of service, given all engines.
+	// MaxUnavailable tells how many engines of a model may be out of service, given all engines.
 	// Nil: one in DefaultOutShare.
-	Pace func(m ids.Model, engines []Actual) Pace
+	MaxUnavailable func(m ids.Model, engines []EngineStatus) MaxUnavailable
 
 	mu   sync.Mutex
 	busy map[ids.Target]bool // orders under way
@@ -99,27 +99,27 @@
 	limiter := rate.NewLimiter(rate.Limit(loadsPerMinute/60), max(int(loadsPerMinute/60), 1))
 	limiter.AllowN(clock.Now(), limiter.Burst())
 	return &Reconciler{
-		Wishes: Intents{Store: s}, Sender: HTTPSender{}, Lease: l, Engines: e, Events: log, Loads: limiter,
+		Desired: Intents{Store: s}, Sender: HTTPSender{}, Lease: l, Engines: e, Events: log, LoadLimiter: limiter,
 		busy: map[ids.Target]bool{},
 	}
 }
 
-// Round looks once and sends what is due. Orders run on while it returns.
-func (r *Reconciler) Round(ctx context.Context) error {
+// Reconcile looks once and sends what is due. Orders run on while it returns.
+func (r *Reconciler) Reconcile(ctx context.Context) error {
 	if _, ok := r.Lease.Held(); !ok {
 		return nil
 	}
-	wants, err := r.Wishes.Wants(ctx)
+	wants, err := r.Desired.DesiredStates(ctx)
 	if err != nil {
 		return err
 	}
 	engines := r.Engines.Engines()
 	r.markBusy(engines)
-	pace := func(m ids.Model) Pace {
-		if r.Pace == nil {
-			return Pace{OutShare: DefaultOutShare}
+	pace := func(m ids.Model) MaxUnavailable {
+		if r.MaxUnavailable == nil {
+			return MaxUnavailable{OneIn: DefaultOneIn}
 		}
-		return r.Pace(m, engines)
+		return r.MaxUnavailable(m, engines)
 	}
 	for _, o := range Plan(wants, engines, pace) {
 		if !r.reserve(o) {
@@ -134,7 +134,7 @@
 }
 
 // markBusy notes which engines have an order under way.
-func (r *Reconciler) markBusy(engines []Actual) {
+func (r *Reconciler) markBusy(engines []EngineStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range engines {
@@ -150,7 +150,7 @@
 func (r *Reconciler) reserve(o Order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[o.Target] || o.Loads && r.Loads != nil && !r.Loads.Allow() {
+	if r.busy[o.Target] || o.LoadsWeights && r.LoadLimiter != nil && !r.LoadLimiter.Allow() {
 		return false
 	}
 	if r.busy == nil {
@@ -180,7 +180,7 @@
 	if err != nil {
 		text = err.Error() // the next round reads back what became of it
 	}
-	r.Events.Record(timeline.Event{Kind: timeline.KindOrder, Peer: string(o.Target), Text: text}, Message{Fence: token.Fence, Want: o.Want})
+	r.Events.Record(timeline.Event{Kind: timeline.KindOrder, Peer: string(o.Target), Text: text}, Message{Fence: token.Fence, DesiredState: o.Desired})
 }
 
 func post(ctx context.Context, url string, body []byte) error {
--- a/internal/orders/reconcile_test.go
+++ b/internal/orders/reconcile_test.go
@@ -19,13 +19,13 @@
 	asked func()
 }
 
-func (e *oneEngine) Engines() []Actual {
-	return []Actual{{Target: "a", Model: "m", State: routing.Live, Weights: "1"}}
+func (e *oneEngine) Engines() []EngineStatus {
+	return []EngineStatus{{Target: "a", Model: "m", State: routing.Live, Weights: "1"}}
 }
 
-func (e *oneEngine) Wants(context.Context) (map[ids.Target]Want, error) {
+func (e *oneEngine) DesiredStates(context.Context) (map[ids.Target]DesiredState, error) {
 	e.asked()
-	return map[ids.Target]Want{"a": {Weights: "2"}}, nil
+	return map[ids.Target]DesiredState{"a": {Weights: "2"}}, nil
 }
 
 func (e *oneEngine) Send(context.Context, Order, lease.Token) error {
@@ -48,9 +48,9 @@
 			t.Fatal(err)
 		}
 		e := &oneEngine{asked: func() { now = now.Add(c.during) }}
-		r := &Reconciler{Wishes: e, Sender: e, Lease: l, Engines: e, Events: timeline.NewLog("vm", hlc.New(nil), 8)}
+		r := &Reconciler{Desired: e, Sender: e, Lease: l, Engines: e, Events: timeline.NewLog("vm", hlc.New(nil), 8)}
 		now = now.Add(c.before)
-		if err := r.Round(t.Context()); err != nil {
+		if err := r.Reconcile(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		r.Wait()
--- a/internal/rollout/bring.go
+++ b/internal/rollout/bring.go
@@ -44,7 +44,7 @@
 // tellEnd counts and logs what came of an order.
 func (r *Rollout) tellEnd(o orders.Order, took time.Duration, err error) {
 	r.Stats.TotalMs.Add(took.Milliseconds())
-	line := r.Log.Belief("order-end").Str("target", string(o.Target)).Str("weights", string(o.Want.Weights)).Int64("took_ms", took.Milliseconds())
+	line := r.Log.Belief("order-end").Str("target", string(o.Target)).Str("weights", string(o.Desired.Weights)).Int64("took_ms", took.Milliseconds())
 	if err == nil {
 		r.Stats.Done.Add(1)
 	} else {
@@ -185,9 +185,9 @@
 func (r *Rollout) read(ctx context.Context, c *Command) (State, error) {
 	call, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	s, err := r.Calls.Read(call, c.Target, c.Addr)
+	s, err := r.Client.Read(call, c.Target, c.Addr)
 	if errors.Is(err, ErrGone) {
-		r.Gone(c.Target, c.Incarnation)
+		r.OnGone(c.Target, c.Incarnation)
 	}
 	if err != nil {
 		return s, eris.Wrapf(err, "read the state of %s", c.Target)
--- a/internal/rollout/bring_test.go
+++ b/internal/rollout/bring_test.go
@@ -39,10 +39,10 @@
 }
 
 var (
-	_ Engines  = (*scripted)(nil)
-	_ Replicas = (*scripted)(nil)
-	_ Loads    = (*scripted)(nil)
-	_ Newest   = (*scripted)(nil)
+	_ EngineClient   = (*scripted)(nil)
+	_ Replicas       = (*scripted)(nil)
+	_ TargetStatus   = (*scripted)(nil)
+	_ DesiredWeights = (*scripted)(nil)
 )
 
 func (s *scripted) Read(context.Context, ids.Target, string) (State, error) { return s.read() }
@@ -60,7 +60,7 @@
 
 func (s *scripted) StateOf(ids.Target) routing.State { return s.member }
 
-func (s *scripted) NoContact(ids.Target) bool { return s.silent }
+func (s *scripted) Unresponsive(ids.Target) bool { return s.silent }
 
 func (s *scripted) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
 	if later := s.later.Load(); later != nil {
@@ -104,22 +104,22 @@
 		t.Fatal(err)
 	}
 	r := &Rollout{
-		VM: "vm", Lease: l, Replicas: s, Named: s, Calls: s, Loads: s,
-		Ordering: func(_ ids.Target, w ids.WeightsVersion, done bool) {
+		VM: "vm", Lease: l, Replicas: s, Weights: s, Client: s, Targets: s,
+		OnOrder: func(_ ids.Target, w ids.WeightsVersion, done bool) {
 			if done {
 				s.done = append(s.done, w)
 			} else {
 				s.ordered = append(s.ordered, w)
 			}
 		},
-		Gone: func(ids.Target, ids.Incarnation) { s.gone++ },
+		OnGone: func(ids.Target, ids.Incarnation) { s.gone++ },
 	}
 	return s, r
 }
 
 func (s *scripted) send(t *testing.T, r *Rollout) error {
 	t.Helper()
-	return r.Send(t.Context(), orders.Order{Target: "e1", Want: orders.Want{Weights: s.newest}}, lease.Token{})
+	return r.Send(t.Context(), orders.Order{Target: "e1", Desired: orders.DesiredState{Weights: s.newest}}, lease.Token{})
 }
 
 // TestSpokenIsLive checks that an engine whose answer to a look has just come counts as
@@ -160,7 +160,7 @@
 	s, r := newScripted(t)
 	for weights, want := range map[ids.WeightsVersion]int{"1": 1, "2": 0, "3": 0} {
 		s.record.Weights = weights
-		if wants, err := r.Wants(t.Context()); err != nil || len(wants) != want {
+		if wants, err := r.DesiredStates(t.Context()); err != nil || len(wants) != want {
 			t.Errorf("weights %s: got %v, %v, want %d wishes", weights, wants, err, want)
 		}
 	}
--- a/internal/rollout/deadline_test.go
+++ b/internal/rollout/deadline_test.go
@@ -13,7 +13,7 @@
 )
 
 func newReconciler(r *Rollout) *orders.Reconciler {
-	return &orders.Reconciler{Wishes: r, Sender: r, Lease: r.Lease, Engines: r, Pace: r.Pace, Events: timeline.NewLog(r.VM, hlc.New(nil), 64)}
+	return &orders.Reconciler{Desired: r, Sender: r, Lease: r.Lease, Engines: r, MaxUnavailable: r.MaxUnavailable, Events: timeline.NewLog(r.VM, hlc.New(nil), 64)}
 }
 
 // TestRolloutInTime follows rollouts under all pairs of load and loss. Each living engine
@@ -220,7 +220,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(300 * time.Millisecond) // the lease ends before the second order
-		if err := h.orders.Round(t.Context()); err != nil {
+		if err := h.orders.Reconcile(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		h.orders.Wait()
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -34,7 +34,7 @@
 	began := clock.Now()
 	defer func() { r.Stats.DrainMs.Add(clock.Since(began).Milliseconds()) }()
 	r.announce(c.Target, "", false)
-	left, _ := r.Named.Left(c.Model, has, began)
+	left, _ := r.Weights.Left(c.Model, has, began)
 	most := min(drainMost, time.Duration(float64(left)*drainPart))
 	for clock.Since(began) < most && timing.Sleep(ctx, drainEvery) {
 		if clock.Since(began) >= drainLeast && r.mayCutOff(c.Target) {
@@ -49,7 +49,7 @@
 
 // mayCutOff tells whether the runs at a replica can all go on elsewhere.
 func (r *Rollout) mayCutOff(id ids.Target) bool {
-	work, _ := r.Loads.WorkOf(id)
+	work, _ := r.Targets.WorkOf(id)
 	return work.Bound == 0 && work.InFlight <= cutMost
 }
 
@@ -64,8 +64,8 @@
 // goOn chooses between the two ways in which runs go on at a replica. They may finish if
 // there is time for that; how long they take is taken from other orders.
 func (r *Rollout) goOn(c *Command, has ids.WeightsVersion) Method {
-	left, _ := r.Named.Left(c.Model, has, clock.Now())
-	if r.Beyond > 0 && left+r.Beyond < r.orderTime.mean(clock.Now(), 0)+finishDoubt {
+	left, _ := r.Weights.Left(c.Model, has, clock.Now())
+	if r.LoadGrace > 0 && left+r.LoadGrace < r.orderTime.mean(clock.Now(), 0)+finishDoubt {
 		return KeepOn
 	}
 	return Finish
--- a/internal/rollout/give.go
+++ b/internal/rollout/give.go
@@ -75,9 +75,9 @@
 	r.giving.Done()
 }
 
-// QuietSince returns when the last order of this VM had arrived or was given up, or the
+// IdleSince returns when the last order of this VM had arrived or was given up, or the
 // given time if there was none since; false while one is on its way.
-func (r *Rollout) QuietSince(started time.Time) (time.Time, bool) {
+func (r *Rollout) IdleSince(started time.Time) (time.Time, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.quietAt.Before(started) {
@@ -102,13 +102,13 @@
 	if c.Method == CutOff && !r.mayCutOff(c.Target) {
 		c.Method = r.lastResort(c, s.Weights[c.Model]) // calls came while the lease was waited for
 	}
-	c.Fence, c.Expected, c.Weights = token.Fence, s.Orders, r.Named.Newest(c.Model)
+	c.Fence, c.Expected, c.Weights = token.Fence, s.Orders, r.Weights.Newest(c.Model)
 	r.announce(c.Target, c.Weights, false)
 	call, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	r.Stats.Orders.Add(1)
 	sent = true
-	err = r.Calls.Order(call, *c)
+	err = r.Client.Order(call, *c)
 	line := r.Log.Belief("order").Str("target", string(c.Target)).Str("weights", string(c.Weights)).Uint64("fence", c.Fence).
 		Uint64("expected", c.Expected).Str("method", c.Method.String()).Str("before", string(s.Weights[c.Model]))
 	if err != nil {
@@ -117,7 +117,7 @@
 	line.Send()
 	switch {
 	case errors.Is(err, ErrGone):
-		r.Gone(c.Target, c.Incarnation)
+		r.OnGone(c.Target, c.Incarnation)
 		return err
 	case errors.Is(err, ErrRefused):
 		return err
--- a/internal/rollout/give_test.go
+++ b/internal/rollout/give_test.go
@@ -113,7 +113,7 @@
 		s, r := newScripted(t)
 		s.order = func(Command) error { return ErrRefused }
 		var told []bool
-		r.Ordering = func(_ ids.Target, _ ids.WeightsVersion, done bool) { told = append(told, done) }
+		r.OnOrder = func(_ ids.Target, _ ids.WeightsVersion, done bool) { told = append(told, done) }
 		if err := s.send(t, r); !errors.Is(err, ErrRefused) {
 			t.Fatalf("got %v", err)
 		}
@@ -136,7 +136,7 @@
 func TestShortDrainCutsOffNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, r := newScripted(t)
-		r.Beyond = 4 * time.Second
+		r.LoadGrace = 4 * time.Second
 		s.within = time.Second
 		s.work = loadview.PeerLoad{InFlight: 3}
 		if m := r.drain(t.Context(), &Command{Target: "e1", Model: "m"}, "1"); m != KeepOn {
@@ -159,11 +159,11 @@
 		time.Sleep(leaseTerm - 600*time.Millisecond - orderTimeout + time.Millisecond) // too little is left: the order waits
 		go func() { _ = r.give(t.Context(), &Command{Target: "e000", Model: "m"}, w.engines["e000"].state()) }()
 		synctest.Wait()
-		if _, quiet := r.QuietSince(w.began); quiet {
+		if _, quiet := r.IdleSince(w.began); quiet {
 			t.Error("it says that it is quiet while an order looks at the lease")
 		}
 		time.Sleep(2 * leaseWait)
-		if since, quiet := r.QuietSince(w.began); !quiet || !since.Equal(w.began) {
+		if since, quiet := r.IdleSince(w.began); !quiet || !since.Equal(w.began) {
 			t.Errorf("quiet %v since %v after an order that was not given, want since the start", quiet, since)
 		}
 	})
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -41,10 +41,10 @@
 // told at once though half of them could have served until the other half had loaded.
 const lastBegin = 1200 * time.Millisecond
 
-// Pace returns how many engines of a model may be out of service at a time: by how long
+// MaxUnavailable returns how many engines of a model may be out of service at a time: by how long
 // callers wait at those that are in it, and as many as it takes to be done in time,
 // whatever callers wait for and whatever is down.
-func (r *Rollout) Pace(m ids.Model, engines []orders.Actual) orders.Pace {
+func (r *Rollout) MaxUnavailable(m ids.Model, engines []orders.EngineStatus) orders.MaxUnavailable {
 	now := clock.Now()
 	var sum time.Duration
 	n := 0
@@ -52,12 +52,12 @@
 		if e.Model != m || e.Busy || e.State < routing.Joining {
 			continue
 		}
-		_, wait := r.Loads.WorkOf(e.Target)
+		_, wait := r.Targets.WorkOf(e.Target)
 		sum += wait
 		n++
 	}
 	mean := sum / time.Duration(max(n, 1))
-	pace := orders.Pace{OutShare: r.shareFor(mean, n, r.Named.Since(m, now)), AtLeast: r.needed(m, engines, mean, now)}
+	pace := orders.MaxUnavailable{OneIn: r.shareFor(mean, n, r.Weights.Since(m, now)), AtLeast: r.needed(m, engines, mean, now)}
 	r.tell(m, pace, mean)
 	return pace
 }
@@ -70,7 +70,7 @@
 		return paceIdleLarge
 	case wait < waitBusy:
 		return paceIdle
-	case wait < waitFull || since > r.Hurry:
+	case wait < waitFull || since > r.ThrottleFor:
 		return paceBusy
 	default:
 		return paceFull
@@ -80,11 +80,11 @@
 // needed returns how many living engines must carry out orders at a time, so that each
 // has taken its order while its weights may still be used. Those whose time is up first
 // come first. wait is how long callers wait.
-func (r *Rollout) needed(m ids.Model, engines []orders.Actual, wait time.Duration, now time.Time) int {
+func (r *Rollout) needed(m ids.Model, engines []orders.EngineStatus, wait time.Duration, now time.Time) int {
 	var lefts []time.Duration // of the engines that wait for their order
 	busy := 0
 	for _, e := range engines {
-		left, _ := r.Named.Left(m, e.Weights, now)
+		left, _ := r.Weights.Left(m, e.Weights, now)
 		switch {
 		case e.Model != m || !r.isBehind(m, e.Weights, now) || e.State < routing.Joining && !e.Busy:
 		case e.Busy:
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -67,22 +67,22 @@
 func TestNeeded(t *testing.T) {
 	s, r := newScripted(t)
 	s.within = lastBegin - time.Millisecond // all must begin now
-	engine := func(id ids.Target) orders.Actual {
-		return orders.Actual{Target: id, Model: "m", State: routing.Live, Weights: "1"}
+	engine := func(id ids.Target) orders.EngineStatus {
+		return orders.EngineStatus{Target: id, Model: "m", State: routing.Live, Weights: "1"}
 	}
 	other, fresh, down, busy := engine("b"), engine("c"), engine("d"), engine("e")
 	other.Model, fresh.Weights, down.State = "other", "2", routing.Suspect
 	busy.Busy, busy.State = true, routing.Suspect
 	for _, c := range []struct {
 		name string
-		with []orders.Actual
+		with []orders.EngineStatus
 		want int
 	}{
 		{"two wait", nil, 2},
-		{"one of another model", []orders.Actual{other}, 2},
-		{"one has the weights", []orders.Actual{fresh}, 2},
-		{"one is down", []orders.Actual{down}, 2},
-		{"one is under an order", []orders.Actual{busy}, 3}, // its place is free too late
+		{"one of another model", []orders.EngineStatus{other}, 2},
+		{"one has the weights", []orders.EngineStatus{fresh}, 2},
+		{"one is down", []orders.EngineStatus{down}, 2},
+		{"one is under an order", []orders.EngineStatus{busy}, 3}, // its place is free too late
 	} {
 		if got := r.needed("m", append(c.with, engine("a"), engine("z")), 0, s.began); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
@@ -93,7 +93,7 @@
 // TestShareFor checks the paces by callers' waits, and that the slowest one is left when
 // the version has been named for a while.
 func TestShareFor(t *testing.T) {
-	r := &Rollout{Hurry: 3 * time.Second}
+	r := &Rollout{ThrottleFor: 3 * time.Second}
 	for _, c := range []struct {
 		wait    time.Duration
 		engines int
@@ -103,8 +103,8 @@
 		{0, largeFleet, 0, paceIdle},
 		{0, largeFleet + 1, 0, paceIdleLarge},
 		{waitBusy, 9, 0, paceBusy},
-		{waitFull, 9, r.Hurry, paceFull},
-		{waitFull, 9, r.Hurry + 1, paceBusy},
+		{waitFull, 9, r.ThrottleFor, paceFull},
+		{waitFull, 9, r.ThrottleFor + 1, paceBusy},
 	} {
 		if got := r.shareFor(c.wait, c.engines, c.since); got != c.want {
 			t.Errorf("%+v: one in %d", c, got)
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -38,13 +38,13 @@
 		if !r.isBehind(rec.Model, rec.Weights, now) {
 			continue
 		}
-		left, _ := r.Named.Left(rec.Model, rec.Weights, now)
+		left, _ := r.Weights.Left(rec.Model, rec.Weights, now)
 		p, known := out[rec.Model]
 		if !known || left < p.Left {
 			p.Left = left
 		}
 		p.Behind++
-		if r.Loads.NoContact(ids.Target(rec.ID)) {
+		if r.Targets.Unresponsive(ids.Target(rec.ID)) {
 			p.Down++
 		}
 		out[rec.Model] = p
@@ -53,7 +53,7 @@
 }
 
 // tell logs the progress of a model's rollout when it has changed, with its pace.
-func (r *Rollout) tell(m ids.Model, pace orders.Pace, wait time.Duration) {
+func (r *Rollout) tell(m ids.Model, pace orders.MaxUnavailable, wait time.Duration) {
 	now, behind := r.Progress(clock.Now())[m]
 	if !behind {
 		return
@@ -68,9 +68,9 @@
 		r.told = map[ids.Model]told{}
 	}
 	r.told[m] = line
-	r.Log.Belief("rollout").Str("model", string(m)).Str("weights", string(r.Named.Newest(m))).
+	r.Log.Belief("rollout").Str("model", string(m)).Str("weights", string(r.Weights.Newest(m))).
 		Int("behind", now.Behind).Int("down", now.Down).Int64("left_ms", now.Left.Milliseconds()).
-		Int("one_in", pace.OutShare).Int("at_least", pace.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
+		Int("one_in", pace.OneIn).Int("at_least", pace.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
 		Int64("wait_ms", wait.Milliseconds()).Send()
 }
 
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -83,8 +83,8 @@
 // ErrRefused says that a replica will not carry out an order, however often it is given.
 var ErrRefused = errors.New("the replica refuses the order")
 
-// Engines are the calls to model replicas.
-type Engines interface {
+// EngineClient are the calls to model replicas.
+type EngineClient interface {
 	Read(ctx context.Context, id ids.Target, addr string) (State, error)
 	// Order sends a command. Any error but ErrGone and ErrRefused leaves open whether it
 	// is carried out.
@@ -102,12 +102,12 @@
 	Restarted(id ids.Target, inc ids.Incarnation, from string)
 }
 
-// Loads tells how replicas are doing.
-type Loads interface {
+// TargetStatus tells how replicas are doing.
+type TargetStatus interface {
 	// StateOf returns a replica's state, as far as this VM knows.
 	StateOf(id ids.Target) routing.State
-	// NoContact tells whether a replica answers nothing, as far as is known.
-	NoContact(id ids.Target) bool
+	// Unresponsive tells whether a replica answers nothing, as far as is known.
+	Unresponsive(id ids.Target) bool
 	// Declines tells whether a replica takes no calls now since it said so.
 	Declines(id ids.Target) bool
 	// WorkOf returns a replica's work, and how long a new request waits for its turn
@@ -115,8 +115,8 @@
 	WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration)
 }
 
-// Newest tells which weights operators want.
-type Newest interface {
+// DesiredWeights tells which weights operators want.
+type DesiredWeights interface {
 	Newest(m ids.Model) ids.WeightsVersion
 	// Since returns for how long the newest version has been named.
 	Since(m ids.Model, now time.Time) time.Duration
@@ -130,24 +130,24 @@
 	VM       ids.VM
 	Lease    *lease.Lease
 	Replicas Replicas
-	Named    Newest
-	Calls    Engines
-	Loads    Loads
+	Weights  DesiredWeights
+	Client   EngineClient
+	Targets  TargetStatus
 	Log      *eventlog.Log
-	// Hurry is how long after a version was named the slowest pace is left.
-	Hurry time.Duration
-	// Beyond is how long after their weights may no longer be used engines may still
+	// ThrottleFor is how long after a version was named the slowest pace is left.
+	ThrottleFor time.Duration
+	// LoadGrace is how long after their weights may no longer be used engines may still
 	// have them. Zero: for as long as it takes.
-	Beyond time.Duration
-	// Ordering is called when a replica is about to get an order, and when it has
+	LoadGrace time.Duration
+	// OnOrder is called when a replica is about to get an order, and when it has
 	// been carried out.
-	Ordering func(id ids.Target, w ids.WeightsVersion, done bool)
+	OnOrder func(id ids.Target, w ids.WeightsVersion, done bool)
 	// Retired tells whether a replica's software is about to be stopped: it gets no orders. Nil:
 	// none is.
 	Retired func(rec platform.Record) bool
-	// Gone is called for an incarnation of a replica that has ended, though it may still be
+	// OnGone is called for an incarnation of a replica that has ended, though it may still be
 	// listed.
-	Gone func(id ids.Target, inc ids.Incarnation)
+	OnGone func(id ids.Target, inc ids.Incarnation)
 
 	Stats Stats
 
@@ -166,29 +166,29 @@
 }
 
 var (
-	_ orders.Wishes  = (*Rollout)(nil)
-	_ orders.Engines = (*Rollout)(nil)
-	_ orders.Sender  = (*Rollout)(nil)
+	_ orders.DesiredStateSource = (*Rollout)(nil)
+	_ orders.Engines            = (*Rollout)(nil)
+	_ orders.Sender             = (*Rollout)(nil)
 )
 
-// Wants implements orders.Wishes.
-func (r *Rollout) Wants(context.Context) (map[ids.Target]orders.Want, error) {
-	wants, now := map[ids.Target]orders.Want{}, clock.Now()
+// DesiredStates implements orders.DesiredStateSource.
+func (r *Rollout) DesiredStates(context.Context) (map[ids.Target]orders.DesiredState, error) {
+	wants, now := map[ids.Target]orders.DesiredState{}, clock.Now()
 	for _, rec := range r.Replicas.Records() {
 		if rec.Role != platform.RoleEngine || r.Retired != nil && r.Retired(rec) {
 			continue
 		}
 		// A replica may have weights of which this VM has not heard yet. It keeps them.
 		if r.isBehind(rec.Model, rec.Weights, now) {
-			wants[ids.Target(rec.ID)] = orders.Want{Weights: r.Named.Newest(rec.Model)}
+			wants[ids.Target(rec.ID)] = orders.DesiredState{Weights: r.Weights.Newest(rec.Model)}
 		}
 	}
 	return wants, nil
 }
 
 // Engines implements orders.Engines.
-func (r *Rollout) Engines() []orders.Actual {
-	var out []orders.Actual
+func (r *Rollout) Engines() []orders.EngineStatus {
+	var out []orders.EngineStatus
 	for _, rec := range r.Replicas.Records() {
 		if rec.Role != platform.RoleEngine || rec.State == platform.StateLeaving {
 			continue
@@ -198,8 +198,8 @@
 		if state == routing.Leaving {
 			continue
 		}
-		work, _ := r.Loads.WorkOf(id)
-		out = append(out, orders.Actual{
+		work, _ := r.Targets.WorkOf(id)
+		out = append(out, orders.EngineStatus{
 			Target: id, Model: rec.Model, Addr: rec.Addr, State: state, Weights: rec.Weights, Load: work.InFlight,
 		})
 	}
@@ -211,7 +211,7 @@
 	r.mu.Lock()
 	r.setAside(id, !done)
 	r.mu.Unlock()
-	r.Ordering(id, w, done)
+	r.OnOrder(id, w, done)
 }
 
 // setAside notes whether a replica gets no calls for an order. The lock is held.
@@ -229,7 +229,7 @@
 // spared tells whether a replica must go on taking calls, since no other one of its model does
 // while others rest, and there is time left. It is no longer aside then.
 func (r *Rollout) spared(c *Command, has ids.WeightsVersion) bool {
-	if left, _ := r.Named.Left(c.Model, has, clock.Now()); left <= lastBegin {
+	if left, _ := r.Weights.Left(c.Model, has, clock.Now()); left <= lastBegin {
 		return false
 	}
 	records := r.Replicas.Records()
@@ -241,9 +241,9 @@
 		if rec.Model != c.Model || id == c.Target || rec.State == platform.StateLeaving {
 			continue
 		}
-		declines := r.Loads.Declines(id)
+		declines := r.Targets.Declines(id)
 		rests = rests || declines
-		if !declines && !r.aside[id] && !r.Loads.NoContact(id) {
+		if !declines && !r.aside[id] && !r.Targets.Unresponsive(id) {
 			return false
 		}
 	}
@@ -283,11 +283,11 @@
 	failedAt, refusedAt, spokeAt := r.failed[id], r.refused[id], r.spoke[id]
 	r.mu.Unlock()
 	switch {
-	case r.Loads.StateOf(id) == routing.Leaving:
+	case r.Targets.StateOf(id) == routing.Leaving:
 		return routing.Leaving
 	case clock.Since(failedAt) < retryPause, clock.Since(refusedAt) < refusedPause:
 		return routing.Dead
-	case r.Loads.NoContact(id) && clock.Since(spokeAt) >= spokeFor:
+	case r.Targets.Unresponsive(id) && clock.Since(spokeAt) >= spokeFor:
 		return routing.Suspect
 	default:
 		return routing.Live
@@ -307,6 +307,6 @@
 
 // isBehind tells whether weights are older than the newest that operators want.
 func (r *Rollout) isBehind(m ids.Model, has ids.WeightsVersion, now time.Time) bool {
-	_, behind := r.Named.Left(m, has, now)
-	return behind && has != r.Named.Newest(m)
+	_, behind := r.Weights.Left(m, has, now)
+	return behind && has != r.Weights.Newest(m)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -19,7 +19,7 @@
 
 func (f *fakeLoads) StateOf(ids.Target) routing.State { return routing.Live }
 
-func (f *fakeLoads) NoContact(ids.Target) bool { return false }
+func (f *fakeLoads) Unresponsive(ids.Target) bool { return false }
 
 func (f *fakeLoads) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
 	l := f.looks[0]
@@ -35,9 +35,9 @@
 func TestDrainWaitsForBoundRequests(t *testing.T) {
 	var told []string
 	r := &Rollout{
-		Named:    muchTime{},
-		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
-		Ordering: func(id ids.Target, _ ids.WeightsVersion, _ bool) { told = append(told, string(id)) },
+		Weights: muchTime{},
+		Targets: &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
+		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { told = append(told, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
 		t.Fatalf("got %v, want the rest to be cut off", m)
@@ -51,9 +51,9 @@
 // off, however long they take.
 func TestDrainGivesUp(t *testing.T) {
 	r := &Rollout{
-		Named:    muchTime{},
-		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
-		Ordering: func(ids.Target, ids.WeightsVersion, bool) {},
+		Weights: muchTime{},
+		Targets: &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
+		OnOrder: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
 		t.Fatalf("got %v, want them to finish", m)
@@ -99,15 +99,15 @@
 	var gone []ids.Target
 	calls := &goneEngines{}
 	r := &Rollout{
-		Calls: calls, Replicas: oneReplica{}, Loads: &fakeLoads{looks: []loadview.PeerLoad{{}}},
-		Gone: func(id ids.Target, _ ids.Incarnation) { gone = append(gone, id) },
+		Client: calls, Replicas: oneReplica{}, Targets: &fakeLoads{looks: []loadview.PeerLoad{{}}},
+		OnGone: func(id ids.Target, _ ids.Incarnation) { gone = append(gone, id) },
 	}
-	err := r.Send(t.Context(), orders.Order{Target: "e1", Want: orders.Want{Weights: "2"}}, lease.Token{})
+	err := r.Send(t.Context(), orders.Order{Target: "e1", Desired: orders.DesiredState{Weights: "2"}}, lease.Token{})
 	if !errors.Is(err, ErrGone) || len(gone) != 1 || gone[0] != "e1" {
 		t.Fatalf("got %v, gone %v", err, gone)
 	}
-	wants := map[ids.Target]orders.Want{"e1": {Weights: "2"}}
-	if plan := orders.Plan(wants, r.Engines(), func(ids.Model) orders.Pace { return orders.Pace{OutShare: 1} }); len(plan) != 0 || calls.orders != 0 {
+	wants := map[ids.Target]orders.DesiredState{"e1": {Weights: "2"}}
+	if plan := orders.Plan(wants, r.Engines(), func(ids.Model) orders.MaxUnavailable { return orders.MaxUnavailable{OneIn: 1} }); len(plan) != 0 || calls.orders != 0 {
 		t.Fatalf("got the plan %v after %d orders", plan, calls.orders)
 	}
 }
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -214,8 +214,8 @@
 	return id == ids.Target(fmt.Sprintf("e%03d", w.scenario.engines-1)) && d >= w.rests.from && d < w.rests.to
 }
 
-// NoContact implements Loads.
-func (w *world) NoContact(id ids.Target) bool {
+// Unresponsive implements Loads.
+func (w *world) Unresponsive(id ids.Target) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.engines[id].down || time.Since(w.began) < w.blind
@@ -253,8 +253,8 @@
 func (w *world) newHolder(store objectapi.Store, vm ids.VM) *holder {
 	l := lease.New(store, "orders", vm, lease.Tuning{Duration: leaseTerm, Margin: 600 * time.Millisecond, WaitOut: leaseAfter}, nil)
 	r := &Rollout{
-		VM: vm, Lease: l, Replicas: w, Named: w, Calls: w, Loads: w, Hurry: within / 3, Beyond: beyond,
-		Ordering: w.ordering, Gone: func(ids.Target, ids.Incarnation) {},
+		VM: vm, Lease: l, Replicas: w, Weights: w, Client: w, Targets: w, ThrottleFor: within / 3, LoadGrace: beyond,
+		OnOrder: w.ordering, OnGone: func(ids.Target, ids.Incarnation) {},
 	}
 	return &holder{lease: l, orders: newReconciler(r)}
 }
@@ -280,7 +280,7 @@
 		if err := h.lease.Try(life); err != nil {
 			t.Fatal(err)
 		}
-		if err := h.orders.Round(life); err != nil {
+		if err := h.orders.Reconcile(life); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(roundEvery)
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -250,7 +250,7 @@
 	}
 	resp, err := r.http.Do(req)
 	if err != nil {
-		return nil, engine.DialError(err, t.ID)
+		return nil, engine.SendError(err, t.ID)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return readAnswer(resp, attempt, t.ID)
