--- a/internal/lease/fuzz_test.go
+++ b/internal/lease/fuzz_test.go
@@ -21,14 +21,14 @@
 	m.Run()
 }
 
-// action is something done under a token, as the oracle sees it.
+// action is one action under a token, as the test records it.
 type action struct {
 	fence      uint64
 	began, end time.Time
 }
 
-// model runs VMs that try for a lease and act under it, with a store whose every
-// call's order and fate is drawn. Actions take up to WaitOut.
+// model runs VMs that compete for a lease and act under it. The test draws the order and
+// the result of every store call. Actions take up to WaitOut.
 type model struct {
 	store   *storetest.Store
 	weather storetest.Weather
@@ -49,8 +49,7 @@
 	}()
 }
 
-// act does something that takes some time, if the lease is held, as orders do:
-// begun only when held at this moment.
+// act records an action of the given duration if the VM holds the lease at this moment.
 func (m *model) act(i int, takes time.Duration) {
 	token, ok := m.leases[i].Held()
 	if !ok {
@@ -60,8 +59,8 @@
 	m.actions = append(m.actions, action{fence: token.Fence, began: now, end: now.Add(takes)})
 }
 
-// TestOneHolder: actions under different fencing numbers never overlap, and
-// fencing numbers grow with time.
+// TestOneHolder checks that actions under different fencing numbers never overlap, and
+// that fencing numbers increase with time.
 func TestOneHolder(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
 		m := &model{store: storetest.New(), weather: storetest.DrawWeather(rt), busy: make([]atomic.Bool, vms)}
@@ -113,8 +112,9 @@
 	}
 }
 
-// A lone VM gets the lease, keeps it by renewing, and loses it when it stops.
-func TestLifeOfALease(t *testing.T) {
+// TestAcquireRenewExpire checks that a single VM acquires the lease, keeps it by renewing,
+// and loses it when it stops renewing.
+func TestAcquireRenewExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := storetest.New()
 		l := New(s.Store, "x", "vm0", DefaultTuning, nil)
@@ -124,7 +124,7 @@
 				t.Fatal(err)
 			}
 			if _, ok := l.Held(); !ok {
-				t.Fatal("not held")
+				t.Fatal("lease not held after Try")
 			}
 			_ = other.Try(t.Context())
 			time.Sleep(3 * time.Second)
@@ -132,15 +132,15 @@
 		_ = other.Try(t.Context())
 		time.Sleep(DefaultTuning.Duration + DefaultTuning.WaitOut + time.Second)
 		if _, ok := l.Held(); ok {
-			t.Fatal("still held without renewal")
+			t.Fatal("lease still held without renewal")
 		}
 		_ = other.Try(t.Context())
 		token, ok := other.Held()
 		if !ok || token.Fence != 2 {
-			t.Fatalf("successor has %+v, %v", token, ok)
+			t.Fatalf("the successor holds %+v, %v; want fence 2", token, ok)
 		}
 		if _ = l.Try(t.Context()); l.until != (time.Time{}) {
-			t.Fatal("the former holder took it back at once")
+			t.Fatal("the former holder took the lease back at once")
 		}
 	})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,36 +1,37 @@
-// Package lease lets one VM at a time act for its failure domain, by an object of
-// the platform's object API with a fencing number.
+// Package lease elects one VM at a time to act for its failure domain, by a record with
+// a fencing number in the platform's object API.
 //
 // # Protocol
 //
-// The record names a holder, a fencing number and a duration. Nobody's wall clock
-// is compared with anybody else's:
+// The record names a holder, a fencing number and a duration. VMs never compare their
+// wall clocks:
 //
-//   - The holder counts the duration from before it sent the write that acquired
-//     or renewed the lease, on its own clock, which counts suspensions, and stops Margin early.
-//   - Another VM takes over only after it has seen the record unchanged for the
-//     duration plus WaitOut on its own clock, by a write conditional on that
-//     record, with the next fencing number.
+//   - The holder counts the duration from before it sent the write that acquired or
+//     renewed the lease, on its own clock, which counts suspensions, and stops acting
+//     Margin before the end.
+//   - Another VM takes over only after it has seen the record unchanged for the duration
+//     plus WaitOut on its own clock. It does so by a write conditional on that record,
+//     with the next fencing number.
 //
 // # Notices
 //
-// A holder that can no longer renew, since the store is out of its reach, may still reach
-// its peers. It tells them that it has stopped under one exact state of the record, and
-// when its last action ended (notice.go). Whoever finds the record in that state takes over
-// as soon as Turn has passed since, in place of the whole wait. If the holder has renewed
-// meanwhile the record differs and the notice is void; if both write, the condition of the
-// write lets one of them through.
+// A holder that cannot renew because it does not reach the store may still reach its
+// peers. It notifies them that it has stopped acting under one exact state of the record,
+// and when its last action ended (notice.go). A VM that finds the record in that state
+// takes over as soon as HandoverDelay has passed since that action, instead of after the
+// full wait. If the holder has renewed in the meantime, the record differs and the notice
+// is void; if both VMs write, the conditional write lets only one of them succeed.
 //
-// # What remains possible
+// # Limits
 //
-// A holder that is paused between looking at the lease and acting acts late.
-// WaitOut bounds the harm: it must be at least the longest action, so an action
-// begun in time ends before a successor begins. An action begun late, after a
-// pause longer than Margin, is refused by targets that check fencing numbers. At
-// targets that ignore them it can still happen; so actions must state what is
-// wanted and not a step, and the successor reads back what it finds.
+// A holder that is paused between its check of the lease and its action acts late.
+// WaitOut limits the damage: it must be at least as long as the longest action, so that
+// an action started in time ends before a successor acts. Targets that check fencing
+// numbers refuse an action started late, after a pause longer than Margin. Targets that
+// ignore them may still carry it out; therefore an action must state the desired state
+// and not a step, and the successor must read back the actual state.
 //
-// spec/lease.pml models this; its comments name the functions here.
+// spec/lease.pml is a formal model of this protocol; its comments name the functions here.
 package lease
 
 import (
@@ -48,38 +49,38 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Prefix is where leases live in the object API.
+// Prefix is the key prefix of leases in the object API.
 const Prefix = "leases/"
 
-// Record is a lease as stored.
+// Record is the stored form of a lease.
 type Record struct {
 	Holder   ids.VM        `json:"holder"`
-	Instance string        `json:"instance"` // one life of the holder
-	Fence    uint64        `json:"fence"`    // grows with every new holder
+	Instance string        `json:"instance"` // incarnation of the holder's process
+	Fence    uint64        `json:"fence"`    // increases with every new holder
 	Renewal  uint64        `json:"renewal"`
 	Duration time.Duration `json:"duration_ns"`
-	// Released tells that the holder has stopped before the lease's end.
+	// Released is set if the holder gave the lease up before its end.
 	Released bool `json:"released,omitempty"`
 }
 
-// Tuning holds a lease's times.
+// Tuning holds the durations of the lease protocol.
 type Tuning struct {
 	// Duration is how long a lease lasts without renewal. Default 10s.
 	Duration time.Duration
-	// Margin is how long before its end the holder stops. Default 2s.
+	// Margin is how long before the lease's end the holder stops acting. Default 2s.
 	Margin time.Duration
-	// WaitOut is how long after its end a successor waits. It must be at least the
-	// longest action. Default 10s.
+	// WaitOut is how long after the lease's end a successor waits. It must be at least as
+	// long as the longest action. Default 10s.
 	WaitOut time.Duration
-	// HandoverDelay is the least time between the end of a holder's last action and a successor's
-	// first one, where a notice tells of the former. Zero: notices are not heeded.
+	// HandoverDelay is the minimum time between the end of a holder's last action, as
+	// reported by its notice, and a successor's first action. Zero disables notices.
 	HandoverDelay time.Duration
-	// ReclaimOwn lets a VM take over at once from its own former life, where a
-	// VM's name never has two lives at a time.
+	// ReclaimOwn lets a VM take over at once from its own previous incarnation. It
+	// requires that a VM never has two incarnations at a time.
 	ReclaimOwn bool
 }
 
-// DefaultTuning suits orders of up to ten seconds.
+// DefaultTuning suits actions of up to 10 s.
 var DefaultTuning = Tuning{Duration: 10 * time.Second, Margin: 2 * time.Second, WaitOut: 10 * time.Second}
 
 // Lease is one VM's side of a lease. Safe for concurrent use.
@@ -94,18 +95,18 @@
 	mu       sync.Mutex
 	held     Record
 	version  objectapi.Revision
-	sure     bool      // the store's record is held, at version
-	until    time.Time // zero: not held
-	released bool      // for good: this VM stops
+	inSync   bool      // the stored record is held, at version
+	until    time.Time // zero if not held
+	released bool      // this VM stops and never acquires the lease again
 	seen     objectapi.Revision
-	seenAt   time.Time // when the record was first seen at this version
+	seenAt   time.Time // when the record was first seen at version seen
 	seenRec  Record
 	duration time.Duration
 	notice   Notice
-	quietAt  time.Time // when the last action of the notice's holder had ended
+	idleAt   time.Time // when the last action of the notice's sender had ended
 }
 
-// New returns a lease that is not held. now is nil for that of package clock.
+// New returns a lease that is not held. A nil now means clock.Now.
 func New(store objectapi.Store, name string, vm ids.VM, t Tuning, now func() time.Time) *Lease {
 	if now == nil {
 		now = clock.Now
@@ -113,13 +114,13 @@
 	return &Lease{store: store, key: Prefix + name, vm: vm, instance: uuid.NewString(), tuning: t, now: now}
 }
 
-// Token is the right to act until a moment.
+// Token is the right to act until a point in time.
 type Token struct {
 	Fence uint64
 	Until time.Time // by the clock of the VM that holds it
 }
 
-// Held returns the token if the lease is held now.
+// Held returns the token if this VM holds the lease now.
 func (l *Lease) Held() (Token, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,15 +130,16 @@
 	return Token{Fence: l.held.Fence, Until: l.until}, true
 }
 
-// Try acquires or renews the lease, or watches it. A duty calls it a few times in
-// each duration. An error is one of the store; the lease then runs out by itself.
+// Try acquires, renews or watches the lease. The caller should call it a few times per
+// lease duration. An error comes from the store; a lease that is not renewed expires by
+// itself.
 func (l *Lease) Try(ctx context.Context) error {
 	if l.isReleased() {
 		return nil
 	}
 	began := l.now()
 	if rec, version, ok := l.renewable(); ok {
-		if err := l.write(ctx, began, rec, version); err != nil || l.isSure() {
+		if err := l.write(ctx, began, rec, version); err != nil || l.isInSync() {
 			return err
 		}
 	}
@@ -150,68 +152,69 @@
 	}
 	var rec Record
 	if err := json.Unmarshal(obj.Value, &rec); err != nil {
-		return eris.Wrap(err, "read lease")
+		return eris.Wrap(err, "decode lease")
 	}
 	if rec.Instance == l.instance {
 		return l.write(ctx, began, Record{Fence: rec.Fence, Renewal: rec.Renewal + 1}, obj.Version)
 	}
 	l.lose()
 	if rec.Released {
-		rec.Duration = l.tuning.Margin // the holder may have acted until it released
+		rec.Duration = l.tuning.Margin // the holder may have acted until it released the lease
 	}
-	if former := l.tuning.ReclaimOwn && rec.Holder == l.vm; !former && !l.watch(obj.Version, rec, began) {
+	if own := l.tuning.ReclaimOwn && rec.Holder == l.vm; !own && !l.watch(obj.Version, rec, began) {
 		return nil
 	}
 	return l.write(ctx, began, Record{Fence: rec.Fence + 1}, obj.Version)
 }
 
-// renewable returns the next renewal of a lease that is held and whose record is known: a
-// look at it first would double the calls of renewing. After a write that failed, the
-// record is read.
+// renewable returns the next renewal of a lease that is held and whose stored record is
+// known. Reading the record first would double the store calls of each renewal, so Try
+// reads it only after a failed write.
 func (l *Lease) renewable() (Record, objectapi.Revision, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.sure || !l.now().Before(l.until) {
+	if !l.inSync || !l.now().Before(l.until) {
 		return Record{}, 0, false
 	}
 	return Record{Fence: l.held.Fence, Renewal: l.held.Renewal + 1}, l.version, true
 }
 
-// setSure notes whether the record is the one that this VM knows.
-func (l *Lease) setSure(sure bool) {
+// setInSync records whether the stored record is known to be the one that this VM holds.
+func (l *Lease) setInSync(inSync bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sure = sure
+	l.inSync = inSync
 }
 
-func (l *Lease) isSure() bool {
+func (l *Lease) isInSync() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sure
+	return l.inSync
 }
 
-// lose forgets a lease that another holds.
+// lose records that another VM holds the lease.
 func (l *Lease) lose() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.until, l.held, l.sure = time.Time{}, Record{}, false
+	l.until, l.held, l.inSync = time.Time{}, Record{}, false
 }
 
-// watch remembers since when the record stands unchanged, and tells whether it had run
-// out and been waited out when the look began. What a look shows for the first time may
-// be as young as its answer.
+// watch records since when the stored record has been unchanged, and reports whether this
+// VM may take over: whether the lease had expired and the wait had passed when the read
+// began. A record that a read returns for the first time may have been written just
+// before the response, so its wait starts when the read ends.
 func (l *Lease) watch(v objectapi.Revision, rec Record, began time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.seen != v {
 		l.seen, l.seenAt, l.seenRec, l.duration = v, l.now(), rec, rec.Duration
-		return l.noticed() && began.Sub(l.quietAt) > l.tuning.HandoverDelay
+		return l.noticed() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
 	}
-	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticed() && began.Sub(l.quietAt) > l.tuning.HandoverDelay
+	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticed() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
 }
 
-// Takeover returns how long it takes until this VM may take the lease over, if its holder
-// does not renew it; false if it knows of no record of another VM.
+// Takeover returns the time until this VM may take the lease over if the holder does not
+// renew it; false if this VM knows of no record of another VM.
 func (l *Lease) Takeover() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,14 +222,14 @@
 		return 0, false
 	}
 	due := l.seenAt.Add(l.duration + l.tuning.WaitOut)
-	if early := l.quietAt.Add(l.tuning.HandoverDelay); l.noticed() && early.Before(due) {
+	if early := l.idleAt.Add(l.tuning.HandoverDelay); l.noticed() && early.Before(due) {
 		due = early
 	}
 	return max(due.Sub(l.now()), 0), true
 }
 
-// write stores a record of ours. Its time is counted from began, before the read
-// that it builds on: whenever the write took effect, it was later.
+// write stores a record of this VM. The lease duration counts from began, which precedes
+// the read that the record builds on, so the write always takes effect later than that.
 func (l *Lease) write(ctx context.Context, began time.Time, rec Record, version objectapi.Revision) error {
 	rec.Holder, rec.Instance, rec.Duration = l.vm, l.instance, l.tuning.Duration
 	value, err := json.Marshal(rec)
@@ -243,9 +246,9 @@
 	} else {
 		obj, err = objectapi.ResolveUpdate(ctx, l.store, l.key, value, version, mine)
 	}
-	l.setSure(err == nil)
+	l.setInSync(err == nil)
 	if errors.Is(err, objectapi.ErrExists) || errors.Is(err, objectapi.ErrConflict) {
-		return nil // somebody was faster
+		return nil // another VM wrote first
 	}
 	if err != nil {
 		return eris.Wrap(err, "write lease")
@@ -254,7 +257,7 @@
 	defer l.mu.Unlock()
 	l.held, l.version = rec, obj.Version
 	if l.released {
-		return nil // it was given up while this write was under way; it runs out
+		return nil // released during this write; the new record expires by itself
 	}
 	l.until = began.Add(l.tuning.Duration - l.tuning.Margin)
 	return nil
@@ -266,8 +269,8 @@
 	return l.released
 }
 
-// Release gives the lease up for good, so that a successor has to wait for Margin and
-// WaitOut only. This VM never acquires it again.
+// Release gives the lease up for good, so that a successor waits only for Margin and
+// WaitOut. This VM never acquires the lease again.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	rec, version, held := l.held, l.version, !l.until.IsZero()
--- a/internal/lease/notice.go
+++ b/internal/lease/notice.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Notice says that a holder no longer acts under one state of the lease's record.
+// Notice states that a holder no longer acts under one state of the lease's record.
 type Notice struct {
-	Instance string // that holds it, by the record
+	Instance string // of the holder, as in the record
 	Fence    uint64
 	Renewal  uint64
-	IdleFor  time.Duration // since its last action ended
+	IdleFor  time.Duration // time since the holder's last action ended
 }
 
-// Lapsed returns the state of the record under which this VM held the lease, if its time
-// has run out and nobody else is known to hold it. This VM acts no more under that state:
-// to act again it has to renew, which changes it.
+// Lapsed returns the state of the record under which this VM held the lease, without
+// IdleFor, if the lease has expired and no other VM is known to hold it. This VM no longer
+// acts under that state: to act again it must renew the lease, which changes the record.
 func (l *Lease) Lapsed() (Notice, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,7 +22,8 @@
 	return Notice{Instance: l.held.Instance, Fence: l.held.Fence, Renewal: l.held.Renewal}, true
 }
 
-// ReceiveNotice takes in a peer's notice, and tells whether it is a new one.
+// ReceiveNotice records a peer's notice and reports whether it is new. It returns false
+// if the tuning disables notices.
 func (l *Lease) ReceiveNotice(n Notice) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,13 +33,13 @@
 	old := l.notice
 	old.IdleFor = n.IdleFor
 	isNew := old != n
-	// What it took to get here makes the quiet longer than it says, never shorter.
-	l.notice, l.quietAt = n, l.now().Add(-n.IdleFor)
+	// The transit time makes the actual idle time longer than IdleFor, never shorter.
+	l.notice, l.idleAt = n, l.now().Add(-n.IdleFor)
 	return isNew
 }
 
-// noticed tells whether the notice is about the record as it was last seen. The lock is
-// held.
+// noticed reports whether the notice is about the record as last seen. The caller holds
+// the lock.
 func (l *Lease) noticed() bool {
 	n, r := &l.notice, &l.seenRec
 	return l.tuning.HandoverDelay > 0 && n.Instance != "" && n.Instance == r.Instance && n.Fence == r.Fence && n.Renewal == r.Renewal
--- a/internal/lease/notice_test.go
+++ b/internal/lease/notice_test.go
@@ -15,12 +15,13 @@
 	"github.com/threadwall/threadwall/internal/storetest"
 )
 
-// noticeTuning has short turns and long waits, so that a notice matters.
+// noticeTuning has a short HandoverDelay and a long WaitOut, so that a notice makes a
+// difference.
 var noticeTuning = Tuning{Duration: 10 * time.Second, Margin: 2 * time.Second, WaitOut: 20 * time.Second, HandoverDelay: 3 * time.Second}
 
-// TestOneHolderWithNotices is TestOneHolder with holders that tell when they have stopped,
-// by notices that arrive at once, late, twice or never: actions under different fencing
-// numbers are at least Turn apart.
+// TestOneHolderWithNotices is TestOneHolder with holders that send notices when they have
+// stopped. Notices arrive at once, late, twice or never. Actions under different fencing
+// numbers must be at least HandoverDelay apart.
 func TestOneHolderWithNotices(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
 		m := &model{store: storetest.New(), weather: storetest.DrawWeather(rt), busy: make([]atomic.Bool, vms)}
@@ -28,17 +29,17 @@
 			m.leases = append(m.leases, New(m.store.As(i), "orders", ids.VM(fmt.Sprint("vm", i)), noticeTuning, nil))
 		}
 		defer m.store.Drain()
-		var told []Notice
+		var notices []Notice
 		for range rapid.IntRange(20, 200).Draw(rt, "steps") {
-			vm := rapid.IntRange(0, vms-1).Draw(rt, "speaker")
+			vm := rapid.IntRange(0, vms-1).Draw(rt, "vm")
 			switch rapid.IntRange(0, 3).Draw(rt, "notice") {
 			case 0:
 				if n, ok := m.noticeOf(vm); ok {
-					told = append(told, n)
+					notices = append(notices, n)
 				}
 			case 1:
-				if len(told) > 0 {
-					m.leases[vm].ReceiveNotice(told[rapid.IntRange(0, len(told)-1).Draw(rt, "which")])
+				if len(notices) > 0 {
+					m.leases[vm].ReceiveNotice(notices[rapid.IntRange(0, len(notices)-1).Draw(rt, "which")])
 				}
 			default:
 				m.step(rt)
@@ -56,7 +57,7 @@
 	})
 }
 
-// noticeOf returns a VM's notice as the daemon makes it: none while an action lasts.
+// noticeOf returns a VM's notice as the daemon builds it: none during an action.
 func (m *model) noticeOf(vm int) (Notice, bool) {
 	n, ok := m.leases[vm].Lapsed()
 	n.IdleFor = time.Hour
@@ -68,10 +69,10 @@
 	return n, ok && n.IdleFor >= 0
 }
 
-// TestNoticeShortensTheWait cuts a holder off from the store, and not from its peers: with
-// its notice a successor takes over a turn after the holder's last action, without it
-// after the whole wait.
-func TestNoticeShortensTheWait(t *testing.T) {
+// TestNoticeShortensTakeover cuts a holder off from the store but not from its peers. With
+// its notice a successor takes over HandoverDelay after the holder's last action, without
+// it after the full wait.
+func TestNoticeShortensTakeover(t *testing.T) {
 	for _, noticed := range []bool{false, true} {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
@@ -92,7 +93,7 @@
 		for now.Sub(began) < time.Minute && !took(b) {
 			now = now.Add(100 * time.Millisecond)
 			if n, lapsed := a.Lapsed(); lapsed && noticed {
-				n.IdleFor = now.Sub(began) // it has given no order
+				n.IdleFor = now.Sub(began) // a has not acted at all
 				b.ReceiveNotice(n)
 			}
 		}
@@ -104,20 +105,20 @@
 			t.Errorf("with notice %v: b took over after %v, want %v", noticed, waited, want)
 		}
 		if n, lapsed := a.Lapsed(); noticed && !lapsed {
-			t.Errorf("a does not say that it stopped: %+v", n)
+			t.Errorf("a reports no lapsed lease: %+v", n)
 		}
 		if took(a) {
 			t.Error("a took the lease back from b at once")
 		}
 		if _, lapsed := a.Lapsed(); lapsed {
-			t.Error("a speaks of a lease that b holds")
+			t.Error("a reports a lapsed lease although b holds it")
 		}
 	}
 }
 
-// TestNoticeOfAnotherState checks that a notice about an earlier state of the record is void:
-// the holder has renewed the lease since.
-func TestNoticeOfAnotherState(t *testing.T) {
+// TestOutdatedNoticeIsIgnored checks that a notice about an earlier state of the record is
+// void, since the holder has renewed the lease afterwards.
+func TestOutdatedNoticeIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	store := objectapi.NewMemory()
@@ -135,7 +136,7 @@
 		t.Fatal("the lease has not lapsed")
 	}
 	n.IdleFor = time.Minute
-	try(a) // the store is back
+	try(a) // a reaches the store again and renews
 	b.ReceiveNotice(n)
 	try(b)
 	now = now.Add(time.Second)
--- a/internal/lease/release_test.go
+++ b/internal/lease/release_test.go
@@ -8,9 +8,9 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// TestReleaseIsFinal lets a VM release its lease while its duty goes on to try: the
-// VM must not take it back, and a successor waits for as long after the release as
-// after an order of the holder's last moment: Margin and WaitOut.
+// TestReleaseIsFinal checks that a VM that has released its lease does not acquire it again
+// when it goes on calling Try. A successor waits for Margin and WaitOut after the release,
+// since the holder may have acted until then.
 func TestReleaseIsFinal(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
@@ -34,20 +34,20 @@
 	if try(a) {
 		t.Fatal("a released lease was taken back")
 	}
-	try(b) // sees the release
+	try(b) // reads the released record
 	now = now.Add(tuning.WaitOut + 100*time.Millisecond)
 	if try(b) {
 		t.Fatal("the successor did not wait for the margin")
 	}
 	now = now.Add(tuning.Margin)
 	if !try(b) {
-		t.Fatal("the successor waits for longer than it must")
+		t.Fatal("the successor waits longer than margin and WaitOut")
 	}
 }
 
-// TestTakeover checks when a VM may take a lease over, as far as it knows: after the
-// duration and WaitOut, or after Margin and WaitOut when it was released; never its own.
-// At that moment a try must succeed, and not a moment before.
+// TestTakeover checks the time that Takeover returns: the duration plus WaitOut, or Margin
+// plus WaitOut after a release, and none for a lease that the VM itself holds. Try must
+// succeed right after that time, and not before.
 func TestTakeover(t *testing.T) {
 	for _, released := range []bool{false, true} {
 		now := time.Unix(1000, 0)
@@ -66,7 +66,7 @@
 		due := func(l *Lease, want time.Duration, known bool) {
 			t.Helper()
 			if got, ok := l.Takeover(); ok != known || got != want {
-				t.Errorf("released %v: due in %v, known %v; want %v, %v", released, got, ok, want, known)
+				t.Errorf("released %v: takeover in %v, %v; want %v, %v", released, got, ok, want, known)
 			}
 		}
 		due(b, 0, false)
@@ -84,28 +84,28 @@
 		now = now.Add(span)
 		due(b, 0, true)
 		if try(b) {
-			t.Errorf("released %v: taken over a moment too soon", released)
+			t.Errorf("released %v: taken over too early", released)
 		}
 		now = now.Add(1)
 		due(b, 0, true)
 		if !try(b) {
-			t.Errorf("released %v: not taken over when it was due", released)
+			t.Errorf("released %v: not taken over when due", released)
 		}
 		due(b, 0, false)
-		try(a) // sees the new holder, if it has not released for good
+		try(a) // reads the new holder's record, unless a has released the lease
 		if _, known := a.Takeover(); known == released {
 			t.Errorf("released %v: the former holder expects to take over: %v", released, known)
 		}
 	}
 }
 
-// updating calls functions around an update.
-type updating struct {
+// hookedUpdates is a store that calls before and after around its next update.
+type hookedUpdates struct {
 	objectapi.Store
 	before, after func()
 }
 
-func (u *updating) Update(ctx context.Context, key string, value []byte, v objectapi.Revision) (objectapi.Revision, error) {
+func (u *hookedUpdates) Update(ctx context.Context, key string, value []byte, v objectapi.Revision) (objectapi.Revision, error) {
 	before, after := u.before, u.after
 	u.before, u.after = func() {}, func() {}
 	before()
@@ -113,15 +113,15 @@
 	return u.Store.Update(ctx, key, value, v)
 }
 
-// TestReleaseDuringARenewal releases a lease while its renewal is under way, before and
-// after this has taken effect: the VM does not hold it any more. A VM that stops waits for
-// no lease of others.
-func TestReleaseDuringARenewal(t *testing.T) {
+// TestReleaseDuringRenewal releases a lease during its renewal, before and after the
+// renewal takes effect: the VM must not hold the lease afterwards. A VM that has released
+// must not expect to take over the lease of another VM.
+func TestReleaseDuringRenewal(t *testing.T) {
 	nothing := func() {}
-	for _, effective := range []bool{false, true} {
+	for _, applied := range []bool{false, true} {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
-		store := &updating{Store: objectapi.NewMemory(), before: nothing, after: nothing}
+		store := &hookedUpdates{Store: objectapi.NewMemory(), before: nothing, after: nothing}
 		tuning := Tuning{Duration: 2 * time.Second, Margin: 600 * time.Millisecond, WaitOut: 2700 * time.Millisecond}
 		a, b := New(store, "orders", "a", tuning, clock), New(store, "orders", "b", tuning, clock)
 		for _, l := range []*Lease{a, b} {
@@ -129,15 +129,15 @@
 				t.Fatal(err)
 			}
 		}
-		release := func() { _ = a.Release(t.Context()) } // fails behind the renewal, which runs out
-		if effective {
+		release := func() { _ = a.Release(t.Context()) } // fails if the renewal came first; the lease then expires
+		if applied {
 			store.after = release
 		} else {
 			store.before = release
 		}
 		_ = a.Try(t.Context())
 		if token, held := a.Held(); held {
-			t.Errorf("renewed before %v: it holds %+v though it was released", effective, token)
+			t.Errorf("renewed before %v: a holds %+v after its release", applied, token)
 		}
 		if _, known := b.Takeover(); !known {
 			t.Error("the other VM does not expect to take over")
@@ -146,7 +146,7 @@
 			t.Fatal(err)
 		}
 		if due, known := b.Takeover(); known {
-			t.Errorf("a VM that stops expects to take over in %v", due)
+			t.Errorf("a VM that has released the lease expects to take over in %v", due)
 		}
 	}
 }
--- a/internal/lease/slow_test.go
+++ b/internal/lease/slow_test.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// slowGet is a store whose reads take a while.
+// slowGet is a store that calls before ahead of every read.
 type slowGet struct {
 	objectapi.Store
 	before func()
@@ -19,19 +19,20 @@
 	return s.Store.Get(ctx, key)
 }
 
-// TestSlowLook lets a look at the lease take long while its holder renews it: what it shows
-// may be as young as its answer, and the successor waits for as long from then on.
-func TestSlowLook(t *testing.T) {
+// TestSlowRead checks that a successor waits for the full time after a slow read of the
+// lease has ended. The holder may renew during the read, so the record may have been
+// written just before the response.
+func TestSlowRead(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	store := objectapi.NewMemory()
-	const turn = 3 * time.Second
-	tuning := Tuning{Duration: 2200 * time.Millisecond, Margin: 600 * time.Millisecond, WaitOut: turn - 600*time.Millisecond + 200*time.Millisecond}
+	const handover = 3 * time.Second
+	tuning := Tuning{Duration: 2200 * time.Millisecond, Margin: 600 * time.Millisecond, WaitOut: handover - 600*time.Millisecond + 200*time.Millisecond}
 	a := New(store, "orders", "a", tuning, clock)
 	slow := slowGet{store, func() {}}
 	b := New(&slow, "orders", "b", tuning, clock)
 	_ = a.Try(context.Background())
-	slow.before = func() { // the question is 800 ms under way, and a renews meanwhile
+	slow.before = func() { // the read takes 800 ms to reach the store, and a renews in the meantime
 		now = now.Add(800 * time.Millisecond)
 		_ = a.Try(context.Background())
 	}
@@ -45,7 +46,7 @@
 			break
 		}
 	}
-	if gap := now.Sub(token.Until); gap < turn {
-		t.Errorf("b holds %v after a stops, want %v", gap, turn)
+	if gap := now.Sub(token.Until); gap < handover {
+		t.Errorf("b holds the lease %v after a stops, want %v", gap, handover)
 	}
 }
