--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,10 @@
-// Package engine speaks to model engines: the OpenAI-compatible protocol, and
-// the headers and calls that docs/TARGETS.md lists.
+// Package engine is the HTTP client for model engines. It implements the
+// OpenAI-compatible protocol and the headers and endpoints that docs/TARGETS.md
+// lists.
 //
-// Every failure is typed by outcome here, where it is known how far the call
-// got. A call is NotRun only if the connection was never made or the target
-// itself said so; anything else that fails is Unknown.
+// The package assigns an outcome to every failure, since it knows how far a call
+// got. A call is NotRun only if the client never connected or the target itself
+// reported that it did not run the call; any other failure is Unknown.
 package engine
 
 import (
@@ -26,30 +27,30 @@
 	"github.com/threadwall/threadwall/internal/retry"
 )
 
-// Headers between threadwall and targets.
+// Headers, paths and limits of the protocol between threadwall and targets.
 const (
-	HeaderRequestID   = "X-Request-Id"       // the attempt; the answer's id is made from it
-	HeaderAttempt     = "X-Attempt"          // echoed by the target
-	HeaderIncarnation = "X-Incarnation"      // of the target
-	HeaderWeights     = "X-Weights-Version"  // of the target
-	HeaderOutcome     = "X-Outcome"          // "not-run" when the target refused the call
-	HeaderLeaving     = "X-Leaving"          // "true" when it refused because it is leaving
-	HeaderDeadline    = "X-Deadline-Ms"      // what is left of the request's time
-	ResponseIDPrefix  = "chatcmpl-"          // of an answer's id, before the attempt
-	PathResume        = "/v1/resume"         // POST {attempt, after}
-	PathLoad          = "/load"              // GET
-	PathEvents        = "/cache/events"      // GET ?after=&wait=
-	headerNotRun      = "not-run"            // value of HeaderOutcome
-	maxWholeAnswer    = 8 << 20              // bytes of an answer that is not streamed
-	maxErrorBody      = 4 << 10              // bytes of an error answer kept
-	contentTypeJSON   = "application/json"   // of requests
-	contentTypeEvents = "text/event-stream"  // of streamed answers
-	errorPeerRefused  = "the target refused" // message
-	errorPeerFailed   = "the target failed"  // message
-	errorPeerAway     = "no connection to the target"
+	HeaderRequestID   = "X-Request-Id"      // the attempt; the response id is derived from it
+	HeaderAttempt     = "X-Attempt"         // echoed by the target
+	HeaderIncarnation = "X-Incarnation"     // of the target
+	HeaderWeights     = "X-Weights-Version" // of the target
+	HeaderOutcome     = "X-Outcome"         // "not-run" if the target refused the call
+	HeaderLeaving     = "X-Leaving"         // "true" if the target refused because it is leaving
+	HeaderDeadline    = "X-Deadline-Ms"     // time left for the request
+	ResponseIDPrefix  = "chatcmpl-"         // precedes the attempt in a response id
+	PathResume        = "/v1/resume"        // POST {attempt, after}
+	PathLoad          = "/load"             // GET
+	PathEvents        = "/cache/events"     // GET ?after=&wait=
+	headerNotRun      = "not-run"           // value of HeaderOutcome
+	maxFullResponse   = 8 << 20             // bytes of a response that is not streamed
+	maxErrorBody      = 4 << 10             // bytes kept of an error response
+	contentTypeJSON   = "application/json"  // of requests
+	contentTypeEvents = "text/event-stream" // of streamed responses
+	errorRefused      = "the target refused"
+	errorFailed       = "the target failed"
+	errorNoConnection = "no connection to the target"
 )
 
-// Call is one attempt.
+// Call is one attempt of a request at one target.
 type Call struct {
 	Attempt ids.Attempt
 	Target  ids.Target
@@ -58,16 +59,17 @@
 	Body    []byte
 }
 
-// Client speaks to engines. Safe for concurrent use.
+// Client sends calls to engines. Safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// Limits of connections to one engine.
+// Limits of idle connections to one engine.
 const (
 	idleConnsPerEngine = 64
 	idleConnTimeout    = 90 * time.Second
 )
 
-// NewClient returns a client whose dials are bounded by dialTimeout.
+// NewClient returns a client that gives up dialing after dialTimeout. It follows no
+// redirects.
 func NewClient(dialTimeout time.Duration) *Client {
 	return &Client{http: &http.Client{
 		Transport: &http.Transport{
@@ -80,17 +82,17 @@
 	}}
 }
 
-// Response is the start of a target's answer. Body must be closed.
+// Response is a response whose headers have arrived. The caller must close Body.
 type Response struct {
 	Incarnation ids.Incarnation
 	Weights     ids.WeightsVersion
 	Body        io.ReadCloser
 }
 
-// Refusal is a target's word that it did not run a call.
+// Refusal is the error for a call that the target reported it did not run.
 type Refusal struct {
 	Leaving     bool
-	Rest        time.Duration // it wants nothing from this VM for so long; zero: it does not say
+	Rest        time.Duration // backoff that the target asks of this VM; zero if it asks for none
 	Incarnation ids.Incarnation
 	Status      int
 }
@@ -98,8 +100,8 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("refused with status %d", r.Status) }
 
-// CallerError is a target's word that the caller's request is at fault; another
-// target would say the same.
+// CallerError is the error for a response that is neither a success nor a refusal. With
+// a 4xx status the caller's request is invalid, and another target would reject it too.
 type CallerError struct {
 	Status int
 	Body   []byte
@@ -108,12 +110,13 @@
 // Error implements error.
 func (e *CallerError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// Start sends a call and returns the answer's start.
+// Start sends a call and returns the response once its headers have arrived. Errors are
+// of type *outcome.Error.
 func (c *Client) Start(ctx context.Context, call *Call) (*Response, error) {
 	return c.post(ctx, call, call.Path, call.Body)
 }
 
-// Resume asks the target for the events of an attempt after a number.
+// Resume asks the target for the events of an attempt that follow event number after.
 func (c *Client) Resume(ctx context.Context, call *Call, after uint64) (*Response, error) {
 	body, err := json.Marshal(struct {
 		Attempt ids.Attempt `json:"attempt"`
@@ -128,9 +131,9 @@
 func (c *Client) post(ctx context.Context, call *Call, path string, body []byte) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+call.Addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "build", string(call.Target), errorPeerAway)
+		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "build", string(call.Target), errorNoConnection)
 	}
-	req.GetBody = nil // no retry behind our back
+	req.GetBody = nil // keeps the HTTP transport from retrying the call by itself
 	req.Header.Set("Content-Type", contentTypeJSON)
 	req.Header.Set(HeaderRequestID, string(call.Attempt))
 	if d, ok := ctx.Deadline(); ok {
@@ -140,20 +143,20 @@
 	if err != nil {
 		return nil, SendError(err, call.Target)
 	}
-	return readAnswer(resp, call)
+	return readResponse(resp, call)
 }
 
-// SendError types a failure to send a call: NotRun if the connection was never
-// made, Unknown otherwise.
+// SendError assigns an outcome to a failure to send a call: NotRun if the client never
+// connected, Unknown otherwise.
 func SendError(err error, t ids.Target) *outcome.Error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(t), errorPeerAway)
+		return outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(t), errorNoConnection)
 	}
-	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "send", string(t), errorPeerFailed)
+	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "send", string(t), errorFailed)
 }
 
-func readAnswer(resp *http.Response, call *Call) (*Response, error) {
+func readResponse(resp *http.Response, call *Call) (*Response, error) {
 	a := &Response{
 		Incarnation: incarnationOf(resp.Header),
 		Weights:     ids.WeightsVersion(resp.Header.Get(HeaderWeights)),
@@ -165,7 +168,7 @@
 	}
 	if echo := resp.Header.Get(HeaderAttempt); echo != "" && echo != string(call.Attempt) {
 		_ = resp.Body.Close()
-		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(call.Target), "the target sent the answer of another request")
+		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(call.Target), "the target sent the response to another request")
 	}
 	return a, nil
 }
@@ -174,23 +177,23 @@
 	peer := string(call.Target)
 	if resp.Header.Get(HeaderOutcome) == headerNotRun {
 		cause := ReadRefusal(resp)
-		return outcome.Wrap(cause, outcome.NotRun, outcome.CodeUpstream, "answer", peer, errorPeerRefused)
+		return outcome.Wrap(cause, outcome.NotRun, outcome.CodeUpstream, "answer", peer, errorRefused)
 	}
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	cause := &CallerError{Status: resp.StatusCode, Body: body}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
-		return outcome.Wrap(cause, outcome.Ran, outcome.CodeBadRequest, "answer", peer, "the target says that the request is at fault")
+		return outcome.Wrap(cause, outcome.Ran, outcome.CodeBadRequest, "answer", peer, "the target rejected the request as invalid")
 	}
-	return outcome.Wrap(cause, outcome.Unknown, outcome.CodeUpstream, "answer", peer, errorPeerFailed)
+	return outcome.Wrap(cause, outcome.Unknown, outcome.CodeUpstream, "answer", peer, errorFailed)
 }
 
-// Signals are what the target says of itself. Leaving holds for one incarnation, so it counts
-// only where the target names its own.
+// Signals returns the state that the target reports about itself. Leaving applies to one
+// incarnation, so it counts only if the target names its incarnation.
 func (r *Refusal) Signals() membership.Signals {
 	return membership.Signals{Leaving: r.Leaving && r.Incarnation != 0, Rest: r.Rest}
 }
 
-// ReadRefusal reads what an answer says of its target that says that the call did not run.
+// ReadRefusal reads the headers of a response to a call that the target did not run.
 func ReadRefusal(resp *http.Response) *Refusal {
 	return &Refusal{
 		Leaving: resp.Header.Get(HeaderLeaving) == "true", Rest: retry.After(resp.Header),
@@ -203,29 +206,29 @@
 	return ids.Incarnation(n)
 }
 
-// ReadFull reads an answer that is not streamed. A body that ends early, or one
-// of another attempt, is an error.
+// ReadFull reads the body of a response that is not streamed. A truncated body, or one
+// that belongs to another attempt, is an error.
 func ReadFull(a *Response, call *Call) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWholeAnswer+1))
-	if err == nil && len(body) > maxWholeAnswer {
-		err = eris.New("the answer is too large")
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxFullResponse+1))
+	if err == nil && len(body) > maxFullResponse {
+		err = eris.New("the response is larger than 8 MiB")
 	}
 	if err == nil && !json.Valid(body) {
-		err = eris.New("the answer is cut off or no JSON")
+		err = eris.New("the response is truncated or not JSON")
 	}
 	if err == nil && !bytes.Contains(body, []byte(call.Attempt)) {
-		err = eris.New("the answer is that of another request")
+		err = eris.New("the response does not contain the id of the attempt")
 	}
 	if err == nil && !bytes.Contains(body, []byte(`"finish_reason"`)) {
-		err = eris.New("the answer has no finish reason")
+		err = eris.New("the response has no finish reason")
 	}
 	if err != nil {
-		return nil, outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(call.Target), "the target's answer is not whole")
+		return nil, outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(call.Target), "the target's response is incomplete or invalid")
 	}
 	return body, nil
 }
 
-// Usage is the token count of an answer.
+// Usage holds the token counts of a response.
 type Usage struct {
 	PromptTokens     int32 `json:"prompt_tokens"`
 	CompletionTokens int32 `json:"completion_tokens"`
@@ -234,7 +237,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// UsageOf returns the usage in a chunk or whole answer, if there is one.
+// UsageOf returns the usage in a stream chunk or a full response body; false if there is
+// none.
 func UsageOf(data []byte) (Usage, bool) {
 	if !bytes.Contains(data, []byte(`"usage":{`)) {
 		return Usage{}, false
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -14,8 +14,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Load is a target's answer to a probe. Plain services leave the engine's fields
-// out.
+// Load is a target's response to a probe. Services that are not engines omit the fields
+// that only engines have.
 type Load struct {
 	Incarnation  ids.Incarnation    `json:"incarnation"`
 	Leaving      bool               `json:"leaving,omitempty"`
@@ -27,8 +27,8 @@
 	PrefillRate  float64            `json:"prefill_rate"` // tokens/s
 }
 
-// EventBatch is a batch of cache events. Last is the number of the engine's newest
-// event; the batch may end before it.
+// EventBatch is a batch of cache events. Last is the number of the engine's newest event,
+// which may come after the last event of the batch.
 type EventBatch struct {
 	Incarnation ids.Incarnation    `json:"incarnation"`
 	Weights     ids.WeightsVersion `json:"weights"`
@@ -36,22 +36,23 @@
 	Events      []cacheview.Event  `json:"events"`
 }
 
+// Size limits of response bodies in bytes.
 const (
-	maxLoadBody = 64 << 10
-	maxFeedBody = 4 << 20
+	maxLoadBody   = 64 << 10
+	maxEventsBody = 4 << 20
 )
 
-// Probe asks a target for its load.
+// Probe reads a target's load.
 func (c *Client) Probe(ctx context.Context, addr string, timeout time.Duration) (Load, error) {
 	var l Load
 	err := c.get(ctx, "http://"+addr+PathLoad, timeout, maxLoadBody, &l)
 	return l, err
 }
 
-// Events asks an engine for cache events after a number.
+// Events reads the engine's cache events that follow event number after.
 func (c *Client) Events(ctx context.Context, addr string, after uint64, timeout time.Duration) (EventBatch, error) {
 	var f EventBatch
-	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxFeedBody, &f)
+	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxEventsBody, &f)
 	return f, err
 }
 
