--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -1,14 +1,14 @@
-// Package orders brings engines to the state that operators want: which weights
+// Package orders reconciles engines with the state that operators want: which weights
 // they serve, and whether they drain.
 //
-// An operator records an intent, by conditional update. One VM of each failure
-// domain, under lease, compares intents with what engines say of themselves and
-// sends orders, each with the lease's fencing number. An order states what is
-// wanted and not a step, so a repeated or late one does no more than the last
-// intent known to its sender; the next holder reads back and corrects it.
+// An operator records an intent by a conditional update. In each failure domain the VM
+// that holds the lease compares the intents with the state that engines report and
+// sends orders, each with the lease's fencing number. An order states the desired state
+// and not a step, so a repeated or late order does no more than the last intent known
+// to its sender; the next lease holder reads the state back and corrects it.
 //
-// Orders go out in small groups, so that most of a model's engines serve at any
-// time, and within the weight store's rate.
+// The reconciler sends orders to a few engines of a model at a time, so that most of
+// them keep serving, and within the read rate of the weight store.
 package orders
 
 import (
@@ -21,32 +21,34 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Prefix is where intents live in the object API.
+// Prefix is the key prefix of intents in the object API.
 const Prefix = "orders/"
 
-// DesiredState is the state that an engine is to have.
+// DesiredState is the state that an operator wants of an engine. An empty field means no
+// change.
 type DesiredState struct {
-	Weights ids.WeightsVersion `json:"weights,omitempty"` // empty: as it is
-	Serve   Serve              `json:"serve,omitempty"`   // empty: as it is
+	Weights ids.WeightsVersion `json:"weights,omitempty"`
+	Serve   Serve              `json:"serve,omitempty"`
 }
 
-// Serve says whether an engine is to take new work.
+// Serve states whether an engine should accept new requests.
 type Serve string
 
-// The wishes. An engine that leaves because the platform told it to must not be
-// brought back by an order about weights, so there is a third: no wish.
+// Values of Serve. The empty value leaves the engine as it is: an order about weights
+// must not bring back an engine that drains because the platform is removing it.
 const (
 	ServeOn    Serve = "on"
 	ServeDrain Serve = "drain"
 )
 
-// Intent is an operator's wish for one target, as stored.
+// Intent is the stored form of the desired state of one target.
 type Intent struct {
 	Target  ids.Target   `json:"target"`
 	Desired DesiredState `json:"want"`
 }
 
-// Decode reads intents from their objects; those that can't be read are left out.
+// Decode returns the desired states in objects. It skips objects that are not valid JSON
+// or whose key does not match their target.
 func Decode(objects []objectapi.Object) map[ids.Target]DesiredState {
 	out := map[ids.Target]DesiredState{}
 	for _, o := range objects {
@@ -58,61 +60,62 @@
 	return out
 }
 
-// EngineStatus is what is known of one engine.
+// EngineStatus is the last known state of one engine.
 type EngineStatus struct {
 	Target  ids.Target
 	Model   ids.Model
 	Addr    string
 	State   routing.State
 	Weights ids.WeightsVersion
-	Drained bool // it says that it takes no new work
-	Busy    bool // an order to it is under way
-	Load    int  // requests that it works on; of equals the least loaded comes first
+	Drained bool // it reports that it accepts no new requests
+	Busy    bool // an order to it is in progress
+	Load    int  // requests in progress; of otherwise equal engines Plan takes the least loaded first
 }
 
-// Order is one thing to tell an engine.
+// Order asks one engine to change to a desired state.
 type Order struct {
 	Target       ids.Target
 	Addr         string
 	Desired      DesiredState
-	LoadsWeights bool // it will read from the weight store
+	LoadsWeights bool // the engine will read from the weight store
 }
 
-// DefaultOneIn is one in how many engines of a model may be out of service.
+// DefaultOneIn is the default of MaxUnavailable.OneIn.
 const DefaultOneIn = 4
 
-// MaxUnavailable bounds how many engines of a model may be out of service at a time.
+// MaxUnavailable limits how many engines of a model may be out of service at a time.
 type MaxUnavailable struct {
-	// OneIn is one in how many engines may be; those that are down count.
+	// OneIn limits the number to one in OneIn engines, including those that are down.
 	OneIn int
-	// AtLeast is how many living engines may carry out orders at a time whatever is
-	// down; one if it is less. A rollout that must end in time asks for more.
+	// AtLeast is how many live engines may carry out orders at a time, regardless of how
+	// many are down; values below 1 mean 1. A rollout with a deadline raises it.
 	AtLeast int
 }
 
-// places returns how many of a model's engines may carry out orders at a time.
-func (p MaxUnavailable) places(total, down int) int {
-	return max(total/max(p.OneIn, 1)-down, p.AtLeast, 1)
+// slots returns how many of a model's engines may carry out orders at a time.
+func (u MaxUnavailable) slots(total, down int) int {
+	return max(total/max(u.OneIn, 1)-down, u.AtLeast, 1)
 }
 
-// Plan returns the orders to send now. It is a pure function. Of each model no more
-// engines may be out of service at a time than its pace allows, those that carry out
-// an order included; an engine that is down takes the place of a living one, but for
-// the places that the pace grants whatever is down: else a few dead engines would keep
-// the living ones from ever getting an order. Drains come first, since an operator who
-// drains is waiting, then the engines with the oldest weights, so that none is left
-// behind where versions follow each other closely.
-func Plan(wants map[ids.Target]DesiredState, engines []EngineStatus, pace func(ids.Model) MaxUnavailable) []Order {
-	free := freePlaces(engines, pace)
+// Plan returns the orders to send now. It is a pure function.
+//
+// For each model, engines out of service stay within the limit that maxUnavailable
+// returns; engines that carry out an order count as out of service. An engine that is
+// down uses up a slot, except for the AtLeast slots: otherwise a few dead engines would
+// keep the live ones from ever getting an order. Drains come first, since an operator
+// waits for them, then the engines with the oldest weights, so that no engine is left
+// behind when versions follow each other quickly.
+func Plan(desired map[ids.Target]DesiredState, engines []EngineStatus, maxUnavailable func(ids.Model) MaxUnavailable) []Order {
+	free := freeSlots(engines, maxUnavailable)
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b EngineStatus) int {
-		return cmp.Or(cmp.Compare(rank(wants[a.Target]), rank(wants[b.Target])),
+		return cmp.Or(cmp.Compare(rank(desired[a.Target]), rank(desired[b.Target])),
 			compareWeights(a.Weights, b.Weights),
 			cmp.Compare(a.Load, b.Load), cmp.Compare(a.Target, b.Target))
 	})
 	var plan []Order
 	for _, e := range engines {
-		want, ok := wants[e.Target]
+		want, ok := desired[e.Target]
 		if !ok || e.Busy || e.State == routing.Dead || satisfied(want, e) {
 			continue
 		}
@@ -129,8 +132,8 @@
 	return plan
 }
 
-// freePlaces returns how many more engines of each model may be taken out of service.
-func freePlaces(engines []EngineStatus, pace func(ids.Model) MaxUnavailable) map[ids.Model]int {
+// freeSlots returns how many more engines of each model may be taken out of service.
+func freeSlots(engines []EngineStatus, maxUnavailable func(ids.Model) MaxUnavailable) map[ids.Model]int {
 	total, down, busy := map[ids.Model]int{}, map[ids.Model]int{}, map[ids.Model]int{}
 	for _, e := range engines {
 		total[e.Model]++
@@ -143,16 +146,18 @@
 	}
 	free := map[ids.Model]int{}
 	for m, n := range total {
-		free[m] = pace(m).places(n, down[m]) - busy[m]
+		free[m] = maxUnavailable(m).slots(n, down[m]) - busy[m]
 	}
 	return free
 }
 
-// compareWeights orders versions that are numbers by value, others as texts.
+// compareWeights compares decimal versions by value. It compares other versions by
+// length and then as strings.
 func compareWeights(a, b ids.WeightsVersion) int {
 	return cmp.Or(cmp.Compare(len(a), len(b)), cmp.Compare(a, b))
 }
 
+// rank returns the priority of a desired state; lower values come first.
 func rank(w DesiredState) int {
 	if w.Serve == ServeDrain {
 		return 0
@@ -160,6 +165,7 @@
 	return 1
 }
 
+// satisfied reports whether an engine has its desired state.
 func satisfied(w DesiredState, e EngineStatus) bool {
 	return (w.Weights == "" || w.Weights == e.Weights) && (w.Serve == "" || (w.Serve == ServeDrain) == e.Drained)
 }
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -18,34 +18,34 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// PathOrders is where engines take orders: POST Message.
+// PathOrders is the path at which engines accept orders: POST with a Message.
 const PathOrders = "/orders"
 
-// Message is an order on the wire.
+// Message is the request body of an order.
 type Message struct {
 	Fence uint64 `json:"fence"`
 	DesiredState
 }
 
-// MaxOrder bounds one order. The lease's WaitOut must be at least as long.
+// MaxOrder is the timeout of one order. The lease's WaitOut must be at least as long.
 const MaxOrder = 10 * time.Second
 
-// Engines tells what is known of the domain's engines.
+// Engines returns the state of the engines of the failure domain.
 type Engines interface {
 	Engines() []EngineStatus
 }
 
-// DesiredStateSource tells what state engines are to have.
+// DesiredStateSource returns the desired states of engines.
 type DesiredStateSource interface {
 	DesiredStates(ctx context.Context) (map[ids.Target]DesiredState, error)
 }
 
-// Sender sends an order and returns when it has been carried out, or an error.
+// Sender sends an order. Send returns nil once the engine has carried it out.
 type Sender interface {
 	Send(ctx context.Context, o Order, token lease.Token) error
 }
 
-// Intents are the wishes that operators record in the object API.
+// Intents reads the desired states that operators record in the object API.
 type Intents struct{ Store objectapi.Store }
 
 var _ DesiredStateSource = Intents{}
@@ -59,7 +59,7 @@
 	return Decode(objects), nil
 }
 
-// HTTPSender sends orders to engines that take them at PathOrders.
+// HTTPSender posts orders to engines at PathOrders.
 type HTTPSender struct{}
 
 var _ Sender = HTTPSender{}
@@ -73,28 +73,29 @@
 	return post(ctx, "http://"+o.Addr+PathOrders, body)
 }
 
-// Reconciler sends orders while its VM holds the domain's lease.
+// Reconciler sends orders while its VM holds the failure domain's lease.
 type Reconciler struct {
 	Desired DesiredStateSource
 	Sender  Sender
 	Lease   *lease.Lease
 	Engines Engines
 	Events  *timeline.Log
-	// LoadLimiter limits reads from the weight store, for the whole domain: only the
-	// lease's holder orders loads. A new holder begins with an empty bucket. Nil: no
-	// limit.
+	// LoadLimiter limits reads from the weight store for the whole failure domain, since
+	// only the lease holder orders loads. A new holder starts with an empty bucket. Nil
+	// means no limit.
 	LoadLimiter *rate.Limiter
 
-	// MaxUnavailable tells how many engines of a model may be out of service, given all engines.
-	// Nil: one in DefaultOutShare.
+	// MaxUnavailable returns how many engines of a model may be out of service, given all
+	// engines. Nil means one in DefaultOneIn.
 	MaxUnavailable func(m ids.Model, engines []EngineStatus) MaxUnavailable
 
 	mu   sync.Mutex
-	busy map[ids.Target]bool // orders under way
+	busy map[ids.Target]bool // targets with an order in progress
 	wg   sync.WaitGroup
 }
 
-// NewReconciler returns a reconciler that orders at most loadsPerMinute loads.
+// NewReconciler returns a reconciler of the intents in s that orders at most
+// loadsPerMinute loads of weights.
 func NewReconciler(s objectapi.Store, l *lease.Lease, e Engines, log *timeline.Log, loadsPerMinute float64) *Reconciler {
 	limiter := rate.NewLimiter(rate.Limit(loadsPerMinute/60), max(int(loadsPerMinute/60), 1))
 	limiter.AllowN(clock.Now(), limiter.Burst())
@@ -104,36 +105,37 @@
 	}
 }
 
-// Reconcile looks once and sends what is due. Orders run on while it returns.
+// Reconcile compares desired and reported states once and starts the orders that are due.
+// It does not wait for them; see Wait.
 func (r *Reconciler) Reconcile(ctx context.Context) error {
 	if _, ok := r.Lease.Held(); !ok {
 		return nil
 	}
-	wants, err := r.Desired.DesiredStates(ctx)
+	desired, err := r.Desired.DesiredStates(ctx)
 	if err != nil {
 		return err
 	}
 	engines := r.Engines.Engines()
 	r.markBusy(engines)
-	pace := func(m ids.Model) MaxUnavailable {
+	maxUnavailable := func(m ids.Model) MaxUnavailable {
 		if r.MaxUnavailable == nil {
 			return MaxUnavailable{OneIn: DefaultOneIn}
 		}
 		return r.MaxUnavailable(m, engines)
 	}
-	for _, o := range Plan(wants, engines, pace) {
+	for _, o := range Plan(desired, engines, maxUnavailable) {
 		if !r.reserve(o) {
 			continue
 		}
 		r.wg.Go(func() {
-			defer r.free(o.Target)
+			defer r.release(o.Target)
 			r.send(ctx, o)
 		})
 	}
 	return nil
 }
 
-// markBusy notes which engines have an order under way.
+// markBusy sets Busy on engines with an order in progress.
 func (r *Reconciler) markBusy(engines []EngineStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,11 +144,11 @@
 	}
 }
 
-// Wait waits for orders that are under way.
+// Wait waits until the orders in progress have ended.
 func (r *Reconciler) Wait() { r.wg.Wait() }
 
-// reserve takes an order if its target has none and the weight store's rate
-// allows it.
+// reserve marks the order's target as busy and returns true if the target has no other
+// order and the rate limit of the weight store allows the load.
 func (r *Reconciler) reserve(o Order) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,14 +162,14 @@
 	return true
 }
 
-func (r *Reconciler) free(t ids.Target) {
+func (r *Reconciler) release(t ids.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.busy, t)
 }
 
-// send sends one order, unless the lease has ended. The order may take longer
-// than the lease lasts: a successor waits for MaxOrder beyond its end.
+// send sends one order, unless the lease has ended. The order may outlast the lease: a
+// successor waits for MaxOrder after the lease's end.
 func (r *Reconciler) send(ctx context.Context, o Order) {
 	ctx, cancel := context.WithTimeout(ctx, MaxOrder)
 	defer cancel()
@@ -178,7 +180,7 @@
 	err := r.Sender.Send(ctx, o, token)
 	text := "done"
 	if err != nil {
-		text = err.Error() // the next round reads back what became of it
+		text = err.Error() // the next call of Reconcile reads the resulting state
 	}
 	r.Events.Record(timeline.Event{Kind: timeline.KindOrder, Peer: string(o.Target), Text: text}, Message{Fence: token.Fence, DesiredState: o.Desired})
 }
@@ -199,8 +201,8 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
-		return eris.New("refused: the target knows a newer fencing number")
+		return eris.New("order refused: the target has seen a newer fencing number")
 	default:
-		return eris.Errorf("refused with status %d", resp.StatusCode)
+		return eris.Errorf("order refused with status %d", resp.StatusCode)
 	}
 }
--- a/internal/orders/reconcile_test.go
+++ b/internal/orders/reconcile_test.go
@@ -13,7 +13,7 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// oneEngine is an engine that lacks its weights, and counts what it is sent.
+// oneEngine is an engine with outdated weights that counts the orders it is sent.
 type oneEngine struct {
 	sent  int
 	asked func()
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// TestNoOrderWithoutTheLease lets the lease end before a round, and while the round finds
-// out what is wanted: no order goes out.
+// TestNoOrderWithoutTheLease checks that no order is sent if the lease ends before
+// Reconcile, or while Reconcile reads the desired states.
 func TestNoOrderWithoutTheLease(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, during time.Duration
 		want           int
 	}{
-		"held": {0, 0, 1}, "ended before": {time.Second, 0, 0}, "ended in the round": {0, time.Second, 0},
+		"held": {0, 0, 1}, "ended before": {time.Second, 0, 0}, "ended during": {0, time.Second, 0},
 	} {
 		now := time.Unix(1000, 0)
 		l := lease.New(objectapi.NewMemory(), "orders", "vm", lease.Tuning{Duration: time.Second}, func() time.Time { return now })
@@ -55,7 +55,7 @@
 		}
 		r.Wait()
 		if e.sent != c.want {
-			t.Errorf("%s: %d orders went out, want %d", name, e.sent, c.want)
+			t.Errorf("%s: sent %d orders, want %d", name, e.sent, c.want)
 		}
 	}
 }
