--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -11,66 +11,68 @@
 
 // Bounds of the drain before an order.
 const (
-	// drainLeast is how long all VMs need to hear that a replica gets no new requests,
-	// and to tell what they have there.
-	drainLeast = 350 * time.Millisecond
-	// drainMost is how long requests that can't go on elsewhere are waited for: most
-	// have short answers.
-	drainMost = 1500 * time.Millisecond
-	// drainPart is the part of the time left to the replica's weights in which it is
-	// drained at most: the order must reach it before the time is up.
-	drainPart = 0.25
-	// drainEvery is the pause between two looks.
-	drainEvery = 50 * time.Millisecond
-	// cutMost is how many runs may be cut off: each costs a retry of the budget that
-	// all VMs share.
-	cutMost = 24
+	// drainMin is how long it takes until all VMs know that a replica gets no new requests
+	// and have reported the requests that they have there.
+	drainMin = 350 * time.Millisecond
+	// drainMax is the longest wait for requests that are not resumable elsewhere; most of
+	// them have short responses.
+	drainMax = 1500 * time.Millisecond
+	// drainFraction limits the drain to this fraction of the time for which the replica's
+	// weights may still be used: the order must reach the replica before that time is up.
+	drainFraction = 0.25
+	// drainPollInterval is the pause between two checks of the replica's load.
+	drainPollInterval = 50 * time.Millisecond
+	// maxCutOff is how many requests an order may cut off: each costs a retry from the
+	// budget that all VMs share.
+	maxCutOff = 24
 )
 
-// drain keeps new requests from a replica until none is left there that can't go on
-// elsewhere, and returns what is to become of the rest. An order right away would
-// wait for the longest run, some seconds, while the replica takes nothing new.
+// drain keeps new requests away from a replica until all requests left there can resume
+// elsewhere, and returns what the order should do with them. An immediate order would wait
+// for the longest request, some seconds, while the replica accepts nothing new.
 func (r *Rollout) drain(ctx context.Context, c *Command, has ids.WeightsVersion) Method {
 	began := clock.Now()
 	defer func() { r.Stats.DrainMs.Add(clock.Since(began).Milliseconds()) }()
 	r.announce(c.Target, "", false)
 	left, _ := r.Weights.Left(c.Model, has, began)
-	most := min(drainMost, time.Duration(float64(left)*drainPart))
-	for clock.Since(began) < most && timing.Sleep(ctx, drainEvery) {
-		if clock.Since(began) >= drainLeast && r.mayCutOff(c.Target) {
+	most := min(drainMax, time.Duration(float64(left)*drainFraction))
+	for clock.Since(began) < most && timing.Sleep(ctx, drainPollInterval) {
+		if clock.Since(began) >= drainMin && r.canCutOff(c.Target) {
 			return CutOff
 		}
 	}
-	if clock.Since(began) < drainLeast {
-		return r.goOn(c, has) // calls may be there that this VM does not know of
+	if clock.Since(began) < drainMin {
+		return r.finishOrKeepOn(c, has) // the replica may have requests that this VM does not know of
 	}
-	return r.lastResort(c, has)
+	return r.methodAfterDrain(c, has)
 }
 
-// mayCutOff tells whether the runs at a replica can all go on elsewhere.
-func (r *Rollout) mayCutOff(id ids.Target) bool {
+// canCutOff reports whether all requests at a replica can resume elsewhere, and are few
+// enough for that.
+func (r *Rollout) canCutOff(id ids.Target) bool {
 	work, _ := r.Targets.WorkOf(id)
-	return work.Bound == 0 && work.InFlight <= cutMost
+	return work.Bound == 0 && work.InFlight <= maxCutOff
 }
 
-// lastResort chooses what becomes of the runs at a replica whose drain is over.
-func (r *Rollout) lastResort(c *Command, has ids.WeightsVersion) Method {
-	if r.mayCutOff(c.Target) {
+// methodAfterDrain returns what an order should do with the requests left at a replica
+// after its drain.
+func (r *Rollout) methodAfterDrain(c *Command, has ids.WeightsVersion) Method {
+	if r.canCutOff(c.Target) {
 		return CutOff
 	}
-	return r.goOn(c, has)
+	return r.finishOrKeepOn(c, has)
 }
 
-// goOn chooses between the two ways in which runs go on at a replica. They may finish if
-// there is time for that; how long they take is taken from other orders.
-func (r *Rollout) goOn(c *Command, has ids.WeightsVersion) Method {
+// finishOrKeepOn chooses between the two methods that continue requests at the replica. It
+// returns Finish if there is time for that, estimated from how long other orders took.
+func (r *Rollout) finishOrKeepOn(c *Command, has ids.WeightsVersion) Method {
 	left, _ := r.Weights.Left(c.Model, has, clock.Now())
-	if r.LoadGrace > 0 && left+r.LoadGrace < r.orderTime.mean(clock.Now(), 0)+finishDoubt {
+	if r.LoadGrace > 0 && left+r.LoadGrace < r.orderTime.mean(clock.Now(), 0)+finishSlack {
 		return KeepOn
 	}
 	return Finish
 }
 
-// finishDoubt is how much longer than the mean an order may take at a replica that
-// finishes its runs first: it waits for the longest of them.
-const finishDoubt = 3500 * time.Millisecond
+// finishSlack is how much longer than the mean an order may take at a replica that first
+// finishes its requests, since it waits for the longest of them.
+const finishSlack = 3500 * time.Millisecond
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -10,25 +10,26 @@
 	"github.com/threadwall/threadwall/internal/platform"
 )
 
-// Progress is how far the rollout of a model's newest weights is.
+// Progress is the state of the rollout of a model's newest weights.
 type Progress struct {
-	Behind int // engines that lack them
-	Down   int // of these, engines that answer nothing
-	// Left is how much longer the oldest of the weights in use may be used; negative
-	// when they no longer may.
+	Behind int // engines without the newest weights
+	Down   int // of these, unresponsive engines
+	// Left is how much longer the oldest weights in use may be used; negative once that
+	// time is over.
 	Left time.Duration
 }
 
-// Stats count what came of orders. Safe for concurrent use.
+// Stats counts orders and their results. Safe for concurrent use.
 type Stats struct {
 	Orders  atomic.Int64 // orders sent
-	Done    atomic.Int64 // replicas brought to the weights that were wanted
-	Failed  atomic.Int64 // tries that came to nothing
-	DrainMs atomic.Int64 // time spent draining, of all tries
-	TotalMs atomic.Int64 // time spent on all tries, draining included
+	Done    atomic.Int64 // updates that ended without an error
+	Failed  atomic.Int64 // updates that failed
+	DrainMs atomic.Int64 // total time spent draining
+	TotalMs atomic.Int64 // total time spent on updates, including draining
 }
 
-// Progress returns how far the rollout is, for each model that has engines behind.
+// Progress returns the state of the rollout of each model with engines that lack the newest
+// weights.
 func (r *Rollout) Progress(now time.Time) map[ids.Model]Progress {
 	out := map[ids.Model]Progress{}
 	for _, rec := range r.Replicas.Records() {
@@ -52,27 +53,28 @@
 	return out
 }
 
-// tell logs the progress of a model's rollout when it has changed, with its pace.
-func (r *Rollout) tell(m ids.Model, pace orders.MaxUnavailable, wait time.Duration) {
+// logProgress logs the progress of a model's rollout if it has changed, with the limit of
+// engines out of service.
+func (r *Rollout) logProgress(m ids.Model, limit orders.MaxUnavailable, wait time.Duration) {
 	now, behind := r.Progress(clock.Now())[m]
 	if !behind {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	line := told{behind: now.Behind, down: now.Down}
-	if r.told[m] == line {
+	line := loggedProgress{behind: now.Behind, down: now.Down}
+	if r.logged[m] == line {
 		return
 	}
-	if r.told == nil {
-		r.told = map[ids.Model]told{}
+	if r.logged == nil {
+		r.logged = map[ids.Model]loggedProgress{}
 	}
-	r.told[m] = line
+	r.logged[m] = line
 	r.Log.Belief("rollout").Str("model", string(m)).Str("weights", string(r.Weights.Newest(m))).
 		Int("behind", now.Behind).Int("down", now.Down).Int64("left_ms", now.Left.Milliseconds()).
-		Int("one_in", pace.OneIn).Int("at_least", pace.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
+		Int("one_in", limit.OneIn).Int("at_least", limit.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
 		Int64("wait_ms", wait.Milliseconds()).Send()
 }
 
-// told is what was last logged of a model's rollout.
-type told struct{ behind, down int }
+// loggedProgress is the progress of a model's rollout that was last logged.
+type loggedProgress struct{ behind, down int }
--- a/internal/rollout/rest_test.go
+++ b/internal/rollout/rest_test.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// Two of three engines were drained for their orders when the third asked all VMs for a rest of
-// two seconds; for the 0.6 s of the orders every call was refused, though there were five seconds
-// left for them. Whether other engines took calls was looked at before an engine was drained and
-// not after, and one that rests counted as in service.
-
-// TestRestWhileOrdersAreDue has the last of few engines rest around the moment at which the others
-// get their orders, before the first of these has gone out. But for the time of one drain, in which a rest may begin, one of them takes calls.
-func TestRestWhileOrdersAreDue(t *testing.T) {
+// TestRestDuringRollout lets the last of few engines ask for a rest shortly before the others
+// get their orders. Except for the time of one drain, during which a rest may begin, at least
+// one engine must accept requests.
+//
+// The test guards against this failure: two of three engines were drained for their orders when
+// the third asked all VMs for a rest of 2 s. Every call was refused for the 0.6 s of the orders,
+// though 5 s were left to send them. The rollout checked whether other engines accept requests
+// only before the drain and not after it, and a resting engine counted as in service.
+func TestRestDuringRollout(t *testing.T) {
 	for _, engines := range []int{2, 3, 4} {
 		for _, from := range []time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond} {
 			synctest.Test(t, func(t *testing.T) {
 				s := scenario{engines: engines}
 				s.rests.from, s.rests.to = from, from+2*time.Second
-				w := newWorld(s)
+				sim := newSimulation(s)
 				const step = 10 * time.Millisecond
 				none := time.Duration(0)
 				go func() {
 					for range int(s.rests.to / step) {
 						time.Sleep(step)
-						if w.serving() == 0 {
+						if sim.serving() == 0 {
 							none += step
 						}
 					}
 				}()
-				w.run(t, allWithin)
-				if none > drainLeast+2*roundEvery {
-					t.Errorf("%d engines, rest from %v: none took calls for %v", engines, from, none)
+				sim.run(t, loadedWithin)
+				if none > drainMin+2*reconcileEvery {
+					t.Errorf("%d engines, rest from %v: none accepted requests for %v", engines, from, none)
 				}
-				if last, never := w.latest(); len(never) > 0 || last > within {
-					t.Errorf("%d engines, rest from %v: the last one took its order after %v, %d never did", engines, from, last, len(never))
+				if last, never := sim.lastAccepted(); len(never) > 0 || last > within {
+					t.Errorf("%d engines, rest from %v: the last one accepted its order after %v, %d never did", engines, from, last, len(never))
 				}
 			})
 		}
 	}
 }
 
-// serving is how many engines take calls.
-func (w *world) serving() (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, e := range w.engines {
-		if !e.out && !e.down && !w.Declines(id) {
+// serving returns how many engines accept requests.
+func (sim *simulation) serving() (n int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for id, e := range sim.engines {
+		if !e.out && !e.down && !sim.Declines(id) {
 			n++
 		}
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,24 +1,24 @@
-// Package rollout brings model replicas to the weights that operators name.
+// Package rollout updates model replicas to the weights that operators want.
 //
-// One VM acts at a time, under lease (package lease); package orders decides which
-// replicas are told, a part of each model's at once. An order goes out only to a
-// replica whose state was just read, and names the number of orders that the
-// replica had accepted then: one that is carried out late, after newer ones, does
-// nothing. An order without an answer is never repeated blindly: the state is read
-// again.
+// One VM acts at a time, under a lease (package lease); package orders decides which
+// replicas get orders, a fraction of each model's replicas at a time. The VM sends an order
+// only to a replica whose state it has just read, and the order names the number of orders
+// that the replica had accepted by then: a replica ignores an order that arrives late,
+// after newer ones. If an order gets no response, the VM reads the state again before it
+// sends another order.
 //
-// # Time
+// # Deadline
 //
-// Old weights may be used for a bounded time after newer ones were named. How many
-// replicas are told at a time follows from what is left of it (pace.go) and from how long
-// orders take (meantime.go). That calls keep the bound does not rest on this: package
-// forward withdraws those that have not begun.
+// Old weights may be used for a limited time after operators set newer ones. How many
+// replicas are updated at a time depends on the time left (unavailable.go) and on how long
+// orders take (duration.go). Requests keep this limit even if a rollout is late: package
+// forward withdraws those that have not started.
 //
 // # Files
 //
-// rollout.go tells package orders what is wanted and what is there; bring.go takes one
-// replica through drain.go (keep calls away), give.go (the order, under the lease) and the
-// wait for its end; progress.go shows how far it is.
+// rollout.go supplies package orders with desired and reported states. update.go updates one
+// replica: drain.go keeps requests away from it, send.go sends the order under the lease,
+// and update.go waits until the replica has carried it out. progress.go reports progress.
 package rollout
 
 import (
@@ -37,95 +37,95 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
-	// Incarnation is zero where the engine does not tell it.
+	// Incarnation is zero if the engine does not report it.
 	Incarnation ids.Incarnation
 	Weights     map[ids.Model]ids.WeightsVersion
 	Busy        bool   // it carries out an order
-	Orders      uint64 // how many orders it has accepted in this incarnation
+	Orders      uint64 // number of orders accepted in this incarnation
 }
 
-// Command is one order as it goes to an engine.
+// Command is one order to an engine.
 type Command struct {
 	Target      ids.Target
-	Incarnation ids.Incarnation // as listed when the order was begun
+	Incarnation ids.Incarnation // as listed when the update began
 	Addr        string
 	Model       ids.Model
 	Weights     ids.WeightsVersion
 	Holder      ids.VM
 	Fence       uint64
-	Expected    uint64 // orders accepted so far
+	Expected    uint64 // State.Orders as last read
 	Method      Method
 }
 
-// Method is what becomes of the runs at hand when weights are loaded.
+// Method is what an engine does with its current requests when it loads weights.
 type Method uint8
 
-// The methods.
+// Methods of loading weights.
 const (
-	// Finish lets them end first. It takes as long as the longest of them.
+	// Finish lets the requests end first. It takes as long as the longest of them.
 	Finish Method = iota
-	// CutOff ends them at once; those that can are resumed at other replicas.
+	// CutOff ends the requests at once; resumable ones continue at other replicas.
 	CutOff
-	// KeepOn lets them go on under the new weights. Their callers get whole answers, of
-	// which a part is made on other weights than the rest.
+	// KeepOn continues the requests with the new weights. Callers get complete responses
+	// that mix the output of two versions of weights.
 	KeepOn
 )
 
 // String returns the method's name in logs.
 func (m Method) String() string { return [...]string{"finish", "cut-off", "keep-on"}[m] }
 
-// ErrGone says that another incarnation answers at a replica's address: the replica
-// has ended and carries out nothing any more.
+// ErrGone means that another incarnation responds at a replica's address: the replica has
+// ended and carries out no orders any more.
 var ErrGone = errors.New("the replica has ended")
 
-// ErrRefused says that a replica will not carry out an order, however often it is given.
+// ErrRefused means that a replica will not carry out an order, however often it is sent.
 var ErrRefused = errors.New("the replica refuses the order")
 
-// EngineClient are the calls to model replicas.
+// EngineClient calls model replicas.
 type EngineClient interface {
 	Read(ctx context.Context, id ids.Target, addr string) (State, error)
-	// Order sends a command. Any error but ErrGone and ErrRefused leaves open whether it
-	// is carried out.
+	// Order sends a command. After any error but ErrGone and ErrRefused the replica may or
+	// may not carry it out.
 	Order(ctx context.Context, c Command) error
 }
 
-// Replicas are what is known of the replicas.
+// Replicas is the list of known replicas.
 type Replicas interface {
-	// Records returns all replicas, and must not be changed. It may cost as much as there are.
+	// Records returns all replicas. Callers must not modify the result. The cost may be
+	// linear in the number of replicas.
 	Records() []platform.Record
-	// Deployed returns the versions of weights that they have.
+	// Deployed returns the models and versions of weights of the replicas.
 	Deployed() []platform.Deployed
 	SetWeights(id ids.Target, w ids.WeightsVersion, from string)
-	// Restarted records that a replica is known to be in an incarnation.
+	// Restarted records the current incarnation of a replica.
 	Restarted(id ids.Target, inc ids.Incarnation, from string)
 }
 
-// TargetStatus tells how replicas are doing.
+// TargetStatus returns the health and load of replicas, as far as this VM knows.
 type TargetStatus interface {
-	// StateOf returns a replica's state, as far as this VM knows.
+	// StateOf returns a replica's state for requests.
 	StateOf(id ids.Target) routing.State
-	// Unresponsive tells whether a replica answers nothing, as far as is known.
+	// Unresponsive reports whether a replica does not respond, as far as this VM and its peers know.
 	Unresponsive(id ids.Target) bool
-	// Declines tells whether a replica takes no calls now since it said so.
+	// Declines reports whether a replica has asked not to be sent requests for now.
 	Declines(id ids.Target) bool
-	// WorkOf returns a replica's work, and how long a new request waits for its turn
-	// there.
+	// WorkOf returns a replica's load, and how long a new request would wait there.
 	WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration)
 }
 
-// DesiredWeights tells which weights operators want.
+// DesiredWeights returns the weights that operators want.
 type DesiredWeights interface {
 	Newest(m ids.Model) ids.WeightsVersion
-	// Since returns for how long the newest version has been named.
+	// Since returns the time since operators set the newest version.
 	Since(m ids.Model, now time.Time) time.Duration
-	// Left tells whether weights are older than the newest, and how much longer they
-	// may be used; negative when they no longer may.
+	// Left reports whether weights are older than the newest, and how much longer they may
+	// be used; left is negative once that time is over.
 	Left(m ids.Model, has ids.WeightsVersion, now time.Time) (left time.Duration, behind bool)
 }
 
-// Rollout supplies package orders with wishes, engines and a sender.
+// Rollout supplies package orders with desired states, engine states and a sender.
 type Rollout struct {
 	VM       ids.VM
 	Lease    *lease.Lease
@@ -134,35 +134,35 @@
 	Client   EngineClient
 	Targets  TargetStatus
 	Log      *eventlog.Log
-	// ThrottleFor is how long after a version was named the slowest pace is left.
+	// ThrottleFor is how long after operators set a version the lowest limit of engines out
+	// of service, oneInFull, applies.
 	ThrottleFor time.Duration
-	// LoadGrace is how long after their weights may no longer be used engines may still
-	// have them. Zero: for as long as it takes.
+	// LoadGrace is how long after their weights may no longer be used engines may still have
+	// them loaded. Zero means without limit.
 	LoadGrace time.Duration
-	// OnOrder is called when a replica is about to get an order, and when it has
-	// been carried out.
+	// OnOrder is called when a replica is taken out of service for an order, repeatedly
+	// until the order ends, and with done when it accepts requests again.
 	OnOrder func(id ids.Target, w ids.WeightsVersion, done bool)
-	// Retired tells whether a replica's software is about to be stopped: it gets no orders. Nil:
-	// none is.
+	// Retired reports whether a replica is about to be stopped with its software; such a
+	// replica gets no orders. Nil means no replica is.
 	Retired func(rec platform.Record) bool
-	// OnGone is called for an incarnation of a replica that has ended, though it may still be
-	// listed.
+	// OnGone is called when an incarnation of a replica has ended, which may still be listed.
 	OnGone func(id ids.Target, inc ids.Incarnation)
 
 	Stats Stats
 
-	orderTime meanTime
+	orderTime orderDuration
 
-	giving  sync.WaitGroup // orders on their way
-	mu      sync.Mutex
-	stopped bool                     // no order may be given any more
-	onWay   int                      // orders on their way
-	quietAt time.Time                // when the last of them had arrived or was given up
-	failed  map[ids.Target]time.Time // when the last order to a replica came to nothing
-	refused map[ids.Target]time.Time // when a replica last refused an order for good
-	spoke   map[ids.Target]time.Time // when a replica last answered a look at its state
-	told    map[ids.Model]told       // as last logged
-	aside   map[ids.Target]bool      // replicas that get no calls for an order
+	sending      sync.WaitGroup // orders in transit
+	mu           sync.Mutex
+	stopped      bool                         // set by Quiesce: this VM sends no more orders
+	inFlight     int                          // orders in transit
+	idleSince    time.Time                    // when the last of them arrived or timed out
+	failed       map[ids.Target]time.Time     // when the last order to a replica failed
+	refused      map[ids.Target]time.Time     // when a replica last returned ErrRefused
+	responded    map[ids.Target]time.Time     // when a read of a replica's state last succeeded
+	logged       map[ids.Model]loggedProgress // progress as last logged
+	outOfService map[ids.Target]bool          // replicas that get no requests because of an order
 }
 
 var (
@@ -173,17 +173,17 @@
 
 // DesiredStates implements orders.DesiredStateSource.
 func (r *Rollout) DesiredStates(context.Context) (map[ids.Target]orders.DesiredState, error) {
-	wants, now := map[ids.Target]orders.DesiredState{}, clock.Now()
+	desired, now := map[ids.Target]orders.DesiredState{}, clock.Now()
 	for _, rec := range r.Replicas.Records() {
 		if rec.Role != platform.RoleEngine || r.Retired != nil && r.Retired(rec) {
 			continue
 		}
-		// A replica may have weights of which this VM has not heard yet. It keeps them.
+		// A replica may have newer weights than this VM knows of. It keeps them.
 		if r.isBehind(rec.Model, rec.Weights, now) {
-			wants[ids.Target(rec.ID)] = orders.DesiredState{Weights: r.Weights.Newest(rec.Model)}
+			desired[ids.Target(rec.ID)] = orders.DesiredState{Weights: r.Weights.Newest(rec.Model)}
 		}
 	}
-	return wants, nil
+	return desired, nil
 }
 
 // Engines implements orders.Engines.
@@ -206,95 +206,99 @@
 	return out
 }
 
-// announce tells the VMs that a replica gets no calls for an order, or gets them again.
+// announce records, and notifies the VMs, that a replica gets no requests because of an
+// order or, with done, gets them again.
 func (r *Rollout) announce(id ids.Target, w ids.WeightsVersion, done bool) {
 	r.mu.Lock()
-	r.setAside(id, !done)
+	r.setOutOfService(id, !done)
 	r.mu.Unlock()
 	r.OnOrder(id, w, done)
 }
 
-// setAside notes whether a replica gets no calls for an order. The lock is held.
-func (r *Rollout) setAside(id ids.Target, aside bool) {
-	if r.aside == nil {
-		r.aside = map[ids.Target]bool{}
+// setOutOfService records whether a replica gets no requests because of an order. The caller
+// holds the lock.
+func (r *Rollout) setOutOfService(id ids.Target, out bool) {
+	if r.outOfService == nil {
+		r.outOfService = map[ids.Target]bool{}
 	}
-	if aside {
-		r.aside[id] = true
+	if out {
+		r.outOfService[id] = true
 	} else {
-		delete(r.aside, id)
+		delete(r.outOfService, id)
 	}
 }
 
-// spared tells whether a replica must go on taking calls, since no other one of its model does
-// while others rest, and there is time left. It is no longer aside then.
-func (r *Rollout) spared(c *Command, has ids.WeightsVersion) bool {
-	if left, _ := r.Weights.Left(c.Model, has, clock.Now()); left <= lastBegin {
+// lastServing reports whether a replica must keep accepting requests, since other replicas of
+// its model rest and none of them accepts requests, and there is time left for its order. If
+// so, the replica no longer counts as out of service.
+func (r *Rollout) lastServing(c *Command, has ids.WeightsVersion) bool {
+	if left, _ := r.Weights.Left(c.Model, has, clock.Now()); left <= latestStart {
 		return false
 	}
 	records := r.Replicas.Records()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rests := false
+	resting := false
 	for _, rec := range records {
 		id := ids.Target(rec.ID)
 		if rec.Model != c.Model || id == c.Target || rec.State == platform.StateLeaving {
 			continue
 		}
 		declines := r.Targets.Declines(id)
-		rests = rests || declines
-		if !declines && !r.aside[id] && !r.Targets.Unresponsive(id) {
+		resting = resting || declines
+		if !declines && !r.outOfService[id] && !r.Targets.Unresponsive(id) {
 			return false
 		}
 	}
-	if rests {
-		r.setAside(c.Target, false)
+	if resting {
+		r.setOutOfService(c.Target, false)
 	}
-	return rests
+	return resting
 }
 
-// Forget drops what is remembered of a replica's orders: it has ended or started again.
+// Forget drops the results of earlier orders to a replica that has ended or restarted.
 func (r *Rollout) Forget(id ids.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.failed, id)
 	delete(r.refused, id)
-	delete(r.spoke, id)
+	delete(r.responded, id)
 }
 
-// retryPause is how long a replica gets no order after one that came to nothing: one
-// that is down is back after some seconds, and each try takes an engine's place in
-// the rollout and a priced look at its state.
+// retryPause is how long a replica gets no order after a failed one. A replica that is down
+// returns after some seconds, and each attempt occupies a slot of the rollout and costs a
+// read of the replica's state, which is billed.
 const retryPause = time.Second
 
-// refusedPause is how long a replica gets no order after it has refused one for good:
-// each try would drain it, and it is asked now and then in case it is set right.
+// refusedPause is how long a replica gets no order after ErrRefused. Each attempt drains the
+// replica; occasional attempts find out whether an operator has repaired it.
 const refusedPause = 30 * time.Second
 
-// spokeFor is how long a replica that has answered a look at its state counts as alive,
-// whatever this VM's other calls to it say: as long as the word of peers counts.
-const spokeFor = 2 * time.Second
+// responsiveFor is how long a replica counts as live after a successful read of its state,
+// regardless of the results of this VM's other calls to it. It equals the time for which
+// reports from peers count.
+const responsiveFor = 2 * time.Second
 
 // stateOf returns a replica's state for package orders. It differs from the state for
-// requests: a replica that is full, slow or under an order is in service, and one that
-// answers nothing is tried all the same, unless an order to it has just failed.
+// requests: a replica that is full, slow or carrying out an order is in service, and an
+// unresponsive one still gets an attempt, unless an order to it has just failed.
 func (r *Rollout) stateOf(id ids.Target) routing.State {
 	r.mu.Lock()
-	failedAt, refusedAt, spokeAt := r.failed[id], r.refused[id], r.spoke[id]
+	failedAt, refusedAt, respondedAt := r.failed[id], r.refused[id], r.responded[id]
 	r.mu.Unlock()
 	switch {
 	case r.Targets.StateOf(id) == routing.Leaving:
 		return routing.Leaving
 	case clock.Since(failedAt) < retryPause, clock.Since(refusedAt) < refusedPause:
 		return routing.Dead
-	case r.Targets.Unresponsive(id) && clock.Since(spokeAt) >= spokeFor:
+	case r.Targets.Unresponsive(id) && clock.Since(respondedAt) >= responsiveFor:
 		return routing.Suspect
 	default:
 		return routing.Live
 	}
 }
 
-// Behind tells whether any replica lacks the weights that are wanted.
+// Behind reports whether any replica has older weights than operators want.
 func (r *Rollout) Behind() bool {
 	now := clock.Now()
 	for _, d := range r.Replicas.Deployed() {
@@ -305,7 +309,7 @@
 	return false
 }
 
-// isBehind tells whether weights are older than the newest that operators want.
+// isBehind reports whether weights are older than the newest that operators want.
 func (r *Rollout) isBehind(m ids.Model, has ids.WeightsVersion, now time.Time) bool {
 	_, behind := r.Weights.Left(m, has, now)
 	return behind && has != r.Weights.Newest(m)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,45 +14,45 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// fakeLoads answers with loads that change with every look.
-type fakeLoads struct{ looks []loadview.PeerLoad }
+// fakeStatus returns the next of its loads with every call.
+type fakeStatus struct{ loads []loadview.PeerLoad }
 
-func (f *fakeLoads) StateOf(ids.Target) routing.State { return routing.Live }
+func (f *fakeStatus) StateOf(ids.Target) routing.State { return routing.Live }
 
-func (f *fakeLoads) Unresponsive(ids.Target) bool { return false }
+func (f *fakeStatus) Unresponsive(ids.Target) bool { return false }
 
-func (f *fakeLoads) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
-	l := f.looks[0]
-	if len(f.looks) > 1 {
-		f.looks = f.looks[1:]
+func (f *fakeStatus) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
+	l := f.loads[0]
+	if len(f.loads) > 1 {
+		f.loads = f.loads[1:]
 	}
 	return l, 0
 }
 
-// TestDrainWaitsForBoundRequests checks that runs are cut off only when none is
-// left that can't go on elsewhere; before, every order waited for the longest
-// stream, up to 5 s, and a version needed more than 10 s (bac scale-1).
-func TestDrainWaitsForBoundRequests(t *testing.T) {
-	var told []string
+// TestDrainWaitsForNonResumableRequests checks that an order cuts requests off only once all of
+// them can resume elsewhere. When orders let all requests finish instead, each waited for the
+// longest stream, up to 5 s, and the rollout of a version took more than 10 s.
+func TestDrainWaitsForNonResumableRequests(t *testing.T) {
+	var announced []string
 	r := &Rollout{
-		Weights: muchTime{},
-		Targets: &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
-		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { told = append(told, string(id)) },
+		Weights: ampleTime{},
+		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
+		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { announced = append(announced, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
 		t.Fatalf("got %v, want the rest to be cut off", m)
 	}
-	if len(told) != 1 || told[0] != "e1" {
-		t.Fatalf("peers were told %v, want once of e1", told)
+	if len(announced) != 1 || announced[0] != "e1" {
+		t.Fatalf("announced %v, want e1 once", announced)
 	}
 }
 
-// TestDrainGivesUp checks that requests which can't go on elsewhere are never cut
-// off, however long they take.
-func TestDrainGivesUp(t *testing.T) {
+// TestDrainTimeoutDoesNotCutOff checks that non-resumable requests are never cut off, however
+// long they take.
+func TestDrainTimeoutDoesNotCutOff(t *testing.T) {
 	r := &Rollout{
-		Weights: muchTime{},
-		Targets: &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
+		Weights: ampleTime{},
+		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
 		OnOrder: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
@@ -60,24 +60,24 @@
 	}
 }
 
-// muchTime leaves a minute to old weights.
-type muchTime struct{}
+// ampleTime lets old weights be used for another minute.
+type ampleTime struct{}
 
-func (muchTime) Newest(ids.Model) ids.WeightsVersion      { return "2" }
-func (muchTime) Since(ids.Model, time.Time) time.Duration { return 0 }
-func (muchTime) Left(_ ids.Model, has ids.WeightsVersion, _ time.Time) (time.Duration, bool) {
+func (ampleTime) Newest(ids.Model) ids.WeightsVersion      { return "2" }
+func (ampleTime) Since(ids.Model, time.Time) time.Duration { return 0 }
+func (ampleTime) Left(_ ids.Model, has ids.WeightsVersion, _ time.Time) (time.Duration, bool) {
 	return time.Minute, has != "2"
 }
 
-// goneEngines answer that another incarnation sits at a replica's address.
-type goneEngines struct{ reads, orders int }
+// endedEngines reports another incarnation at every replica's address.
+type endedEngines struct{ reads, orders int }
 
-func (e *goneEngines) Read(context.Context, ids.Target, string) (State, error) {
+func (e *endedEngines) Read(context.Context, ids.Target, string) (State, error) {
 	e.reads++
 	return State{}, ErrGone
 }
 
-func (e *goneEngines) Order(context.Context, Command) error {
+func (e *endedEngines) Order(context.Context, Command) error {
 	e.orders++
 	return ErrGone
 }
@@ -91,15 +91,14 @@
 
 func (oneReplica) Restarted(ids.Target, ids.Incarnation, string) {}
 
-// TestNoOrderToAnEndedReplica checks that a replica that has ended is reported and
-// gets no order in the next rounds, though it is still listed. Before, such replicas
-// were given order after order until their entries ran out, and took the places of
-// the living in the rollout (bac scale-2).
-func TestNoOrderToAnEndedReplica(t *testing.T) {
+// TestNoOrderToEndedReplica checks that a replica that has ended is reported and gets no order
+// while it is still listed. Such replicas used to get order after order until their entries
+// expired, and occupied the slots of live replicas in the rollout.
+func TestNoOrderToEndedReplica(t *testing.T) {
 	var gone []ids.Target
-	calls := &goneEngines{}
+	calls := &endedEngines{}
 	r := &Rollout{
-		Client: calls, Replicas: oneReplica{}, Targets: &fakeLoads{looks: []loadview.PeerLoad{{}}},
+		Client: calls, Replicas: oneReplica{}, Targets: &fakeStatus{loads: []loadview.PeerLoad{{}}},
 		OnGone: func(id ids.Target, _ ids.Incarnation) { gone = append(gone, id) },
 	}
 	err := r.Send(t.Context(), orders.Order{Target: "e1", Desired: orders.DesiredState{Weights: "2"}}, lease.Token{})
@@ -115,5 +114,5 @@
 // Deployed implements Replicas.
 func (o oneReplica) Deployed() []platform.Deployed { return deployed(o.Records()) }
 
-// Declines implements Loads.
-func (f *fakeLoads) Declines(ids.Target) bool { return false }
+// Declines implements TargetStatus.
+func (f *fakeStatus) Declines(ids.Target) bool { return false }
--- a/internal/rollout/suspend_test.go
+++ b/internal/rollout/suspend_test.go
@@ -11,11 +11,11 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// TestSuspendedGivesNoOrder suspends the VM that gives orders before it looks for the right
-// to: the lease that it held may have passed to another one meanwhile, so it gives none
-// unless the suspension was shorter than what was left. On a clock that stands still
-// meanwhile the lease seemed to last.
-func TestSuspendedGivesNoOrder(t *testing.T) {
+// TestNoOrderAfterSuspension suspends the lease holder before it checks its lease. Another VM
+// may have taken the lease over in the meantime, so it must send no order unless the
+// suspension was shorter than the time left. On a clock that stops during a suspension the
+// lease still seemed to be held.
+func TestNoOrderAfterSuspension(t *testing.T) {
 	for _, suspended := range []time.Duration{200 * time.Millisecond, 2 * time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			_, r := newScripted(t)
