--- a/internal/rollout/update_test.go
+++ b/internal/rollout/update_test.go
@@ -198,7 +198,7 @@
 			t.Errorf("got %v after %d orders and %v", err, len(s.sent), time.Since(began))
 		}
 		if got := r.Engines()[0].State; got != routing.Dead {
-			t.Errorf("got state %v, want %v", got, routing.Dead)
+			t.Errorf("got state %v, want dead", got)
 		}
 	})
 }
