--- a/internal/cacheview/changes.go
+++ b/internal/cacheview/changes.go
@@ -8,18 +8,18 @@
 // Change is a change of what one target holds, for peers.
 type Change struct {
 	Target  ids.Target
-	Life    uint16 // the low 16 bits of the target's life
+	Generation    uint16 // the low 16 bits of the target's life
 	ID      prefix.ID
-	Gone    bool // it no longer holds the prefix
-	Emptied bool // it holds nothing any more; ID says nothing
+	Removed    bool // it no longer holds the prefix
+	Cleared bool // it holds nothing any more; ID says nothing
 }
 
 // maxChanges bounds the changes kept for peers between two rounds. One round of a busy VM
 // has some tens.
 const maxChanges = 2048
 
-// Learned is Holds for what peers can't know yet: what is new is kept for them.
-func (x *Index) Learned(t ids.Target, life Life, levels []prefix.Level) {
+// AddAndReport is Holds for what peers can't know yet: what is new is kept for them.
+func (x *Index) AddAndReport(t ids.Target, life Generation, levels []prefix.Level) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -28,15 +28,15 @@
 	}
 	for _, l := range levels {
 		if x.find(l.ID, n) == nil {
-			x.keep(Change{Target: t, Life: uint16(life), ID: l.ID})
+			x.keep(Change{Target: t, Generation: uint16(life), ID: l.ID})
 		}
 		x.put(l.ID, n)
 	}
 }
 
-// Lost is Drop for what peers can't know yet. Peers are told of what this VM
+// RemoveAndReport is Drop for what peers can't know yet. Peers are told of what this VM
 // believed only: the rest was told by nobody.
-func (x *Index) Lost(t ids.Target, life Life, id prefix.ID) {
+func (x *Index) RemoveAndReport(t ids.Target, life Generation, id prefix.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -44,18 +44,18 @@
 		return
 	}
 	if x.find(id, n) != nil {
-		x.keep(Change{Target: t, Life: uint16(life), ID: id, Gone: true})
+		x.keep(Change{Target: t, Generation: uint16(life), ID: id, Removed: true})
 	}
-	x.drop(id, n)
+	x.remove(id, n)
 }
 
-// Emptied is Void for what peers can't know yet.
-func (x *Index) Emptied(t ids.Target) {
+// ClearAndReport is Void for what peers can't know yet.
+func (x *Index) ClearAndReport(t ids.Target) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := &x.targets[x.number(t)]
 	x.newEpoch(s)
-	x.keep(Change{Target: t, Life: uint16(s.current), Emptied: true})
+	x.keep(Change{Target: t, Generation: uint16(s.current), Cleared: true})
 }
 
 // keep keeps a change for peers. The lock is held.
@@ -76,25 +76,25 @@
 	return c
 }
 
-// Hear takes in a peer's change.
-func (x *Index) Hear(c Change) {
+// ApplyPeerChange takes in a peer's change.
+func (x *Index) ApplyPeerChange(c Change) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(c.Target)
 	s := &x.targets[n]
 	switch {
-	case uint16(s.current) != c.Life || s.incarnation == 0:
-	case c.Emptied:
+	case uint16(s.current) != c.Generation || s.incarnation == 0:
+	case c.Cleared:
 		x.newEpoch(s)
-	case c.Gone:
-		x.drop(c.ID, n)
+	case c.Removed:
+		x.remove(c.ID, n)
 	default:
 		x.put(c.ID, n)
 	}
 }
 
-// Retell keeps for peers all that is believed of the targets for which wanted returns true.
-func (x *Index) Retell(wanted func(t ids.Target) bool) {
+// ReportAgain keeps for peers all that is believed of the targets for which wanted returns true.
+func (x *Index) ReportAgain(wanted func(t ids.Target) bool) {
 	tell := x.numbersOf(wanted)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -103,7 +103,7 @@
 			continue // a free slot names no target
 		}
 		if s := &x.targets[e.target]; s.epoch == e.epoch {
-			x.keep(Change{Target: s.name, Life: uint16(s.current), ID: e.id})
+			x.keep(Change{Target: s.name, Generation: uint16(s.current), ID: e.id})
 		}
 	}
 }
--- a/internal/cacheview/feed.go
+++ b/internal/cacheview/feed.go
@@ -16,7 +16,7 @@
 // prefixes that the index knows: of all block events, those few at level
 // boundaries. It returns true when an entry is missing; the target's beliefs
 // are void from then on until answers and events renew them.
-func (x *Index) Feed(t ids.Target, life Life, events []Event) (gap bool) {
+func (x *Index) Feed(t ids.Target, life Generation, events []Event) (gap bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -35,7 +35,7 @@
 		}
 		s.lastSeq = ev.Seq
 		if !ev.Stored {
-			x.drop(ev.Block, n)
+			x.remove(ev.Block, n)
 		} else if x.known(ev.Block) {
 			x.put(ev.Block, n)
 		}
--- a/internal/cacheview/fuzz_test.go
+++ b/internal/cacheview/fuzz_test.go
@@ -48,34 +48,34 @@
 	})
 }
 
-func (o *oracle) life(t ids.Target) Life { return LifeOf(o.inc[t], o.w[t]) }
+func (o *oracle) life(t ids.Target) Generation { return GenerationOf(o.inc[t], o.w[t]) }
 
 func (o *oracle) step(rt *rapid.T, x *Index, t ids.Target) {
 	id := prefix.ID(rapid.IntRange(1, 12).Draw(rt, "prefix"))
 	level := []prefix.Level{{ID: id, Tokens: 16}}
-	stale := LifeOf(o.inc[t]+7, "other")
+	stale := GenerationOf(o.inc[t]+7, "other")
 	switch rapid.IntRange(0, 7).Draw(rt, "step") {
 	case 0:
 		inc := ids.Incarnation(rapid.IntRange(0, 4).Draw(rt, "incarnation"))
 		w := ids.WeightsVersion(fmt.Sprint("w", rapid.IntRange(0, 1).Draw(rt, "weights")))
 		changed := inc > o.inc[t] || inc == o.inc[t] && w != o.w[t]
-		x.SetLife(t, inc, w)
+		x.SetGeneration(t, inc, w)
 		if changed {
 			o.inc[t], o.w[t], o.seq[t] = inc, w, 0
 			o.held[t] = map[prefix.ID]bool{}
 		}
 	case 1:
-		x.Holds(t, o.life(t), level)
+		x.Add(t, o.life(t), level)
 		o.hold(t, id)
 	case 2:
 		x.Answered(t, o.life(t), level, nil, 0)
 		o.hold(t, id)
 	case 3:
 		x.Answered(t, stale, level, nil, 16)
-		x.Holds(t, stale, level)
+		x.Add(t, stale, level)
 		x.Feed(t, stale, []Event{{Seq: 1, Block: id, Stored: true}})
 	case 4:
-		x.Drop(t, o.life(t), id)
+		x.Remove(t, o.life(t), id)
 		if o.known(t) {
 			delete(o.held[t], id)
 		}
@@ -125,10 +125,10 @@
 // Epochs wrap after 65,536 new lives; an entry of an old one must not come back.
 func TestEpochWraps(t *testing.T) {
 	x := New(64, nil)
-	x.SetLife("t", 1, "w")
-	x.Holds("t", LifeOf(1, "w"), []prefix.Level{{ID: 5, Tokens: 16}})
+	x.SetGeneration("t", 1, "w")
+	x.Add("t", GenerationOf(1, "w"), []prefix.Level{{ID: 5, Tokens: 16}})
 	for i := range 1 << 16 {
-		x.SetLife("t", ids.Incarnation(i+2), "w")
+		x.SetGeneration("t", ids.Incarnation(i+2), "w")
 	}
 	out := make([]int32, 1)
 	x.Lookup([]prefix.Level{{ID: 5, Tokens: 16}}, out)
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -27,13 +27,13 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Life names one life of a target under one set of weights. Beliefs, answers and
+// Generation names one life of a target under one set of weights. Beliefs, answers and
 // events of another life never count.
-type Life uint64
+type Generation uint64
 
-// LifeOf returns the life of an incarnation under a weights version.
-func LifeOf(inc ids.Incarnation, w ids.WeightsVersion) Life {
-	return Life(xxh3.HashStringSeed(string(w), uint64(inc)))
+// GenerationOf returns the life of an incarnation under a weights version.
+func GenerationOf(inc ids.Incarnation, w ids.WeightsVersion) Generation {
+	return Generation(xxh3.HashStringSeed(string(w), uint64(inc)))
 }
 
 // TargetNum is a target's short number on this VM. Numbers are not reused while
@@ -61,7 +61,7 @@
 type targetState struct {
 	name        ids.Target
 	incarnation ids.Incarnation
-	current     Life
+	current     Generation
 	epoch       uint16
 	lastSeq     uint64
 }
@@ -83,7 +83,7 @@
 	targets []targetState
 	nums    map[ids.Target]TargetNum
 	stats   Stats
-	fresh   []Known
+	fresh   []EntryInfo
 	changes []Change
 }
 
@@ -121,13 +121,13 @@
 	return n
 }
 
-// SetLife binds a target's future beliefs to a life. A change voids all earlier
+// SetGeneration binds a target's future beliefs to a life. A change voids all earlier
 // beliefs about it; an incarnation older than the known one is ignored.
-func (x *Index) SetLife(t ids.Target, inc ids.Incarnation, w ids.WeightsVersion) {
+func (x *Index) SetGeneration(t ids.Target, inc ids.Incarnation, w ids.WeightsVersion) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := &x.targets[x.number(t)]
-	life := LifeOf(inc, w)
+	life := GenerationOf(inc, w)
 	if inc < s.incarnation || life == s.current {
 		return
 	}
@@ -151,9 +151,9 @@
 	}
 }
 
-// Holds records that a target of the given life holds the prefixes now. A
+// Add records that a target of the given life holds the prefixes now. A
 // report about another life than the known one is ignored.
-func (x *Index) Holds(t ids.Target, life Life, levels []prefix.Level) {
+func (x *Index) Add(t ids.Target, life Generation, levels []prefix.Level) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -165,17 +165,17 @@
 	}
 }
 
-// Drop records that a target no longer holds a prefix.
-func (x *Index) Drop(t ids.Target, life Life, id prefix.ID) {
+// Remove records that a target no longer holds a prefix.
+func (x *Index) Remove(t ids.Target, life Generation, id prefix.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
 	if x.targets[n].current == life {
-		x.drop(id, n)
+		x.remove(id, n)
 	}
 }
 
-func (x *Index) drop(id prefix.ID, n TargetNum) {
+func (x *Index) remove(id prefix.ID, n TargetNum) {
 	w := x.window(id)
 	for i := range w {
 		if w[i].id == id && w[i].target == n {
@@ -291,13 +291,13 @@
 func (x *Index) tell(id prefix.ID, n TargetNum, age int32) {
 	s := &x.targets[n]
 	if len(x.fresh) < maxFresh && age == notBelieved {
-		x.fresh = append(x.fresh, Known{ID: id, Target: s.name, Life: s.current})
+		x.fresh = append(x.fresh, EntryInfo{ID: id, Target: s.name, Generation: s.current})
 	}
 }
 
 // Answered corrects beliefs by an answer: the target in that life reused cached
 // tokens of the prompt, and holds all of it now. prior is what Expect returned.
-func (x *Index) Answered(t ids.Target, life Life, levels []prefix.Level, prior Prior, cached int32) {
+func (x *Index) Answered(t ids.Target, life Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -343,11 +343,11 @@
 	return x.stats
 }
 
-// Known is one belief, for peers.
-type Known struct {
+// EntryInfo is one belief, for peers.
+type EntryInfo struct {
 	ID     prefix.ID
 	Target ids.Target
-	Life   Life
+	Generation   Generation
 	// Work is the prefill that the dispatch behind this belief is expected to cost
 	// its target, in tokens; told with one of its beliefs only.
 	Work int32
@@ -356,9 +356,9 @@
 // maxFresh bounds the beliefs kept for peers between two rounds.
 const maxFresh = 1024
 
-// TakeFresh returns the beliefs that this VM's own dispatches made or renewed
+// TakeNewEntries returns the beliefs that this VM's own dispatches made or renewed
 // since the last call.
-func (x *Index) TakeFresh() []Known {
+func (x *Index) TakeNewEntries() []EntryInfo {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	f := x.fresh
@@ -366,8 +366,8 @@
 	return f
 }
 
-// Told takes in a peer's belief. life is the low 16 bits of the target's life.
-func (x *Index) Told(t ids.Target, life uint16, id uint64) {
+// ApplyPeerEntry takes in a peer's belief. life is the low 16 bits of the target's life.
+func (x *Index) ApplyPeerEntry(t ids.Target, life uint16, id uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
@@ -376,11 +376,11 @@
 	}
 }
 
-// Beliefs returns up to limit valid beliefs.
-func (x *Index) Beliefs(limit int) []Known {
+// Entries returns up to limit valid beliefs.
+func (x *Index) Entries(limit int) []EntryInfo {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
-	var out []Known
+	var out []EntryInfo
 	for _, e := range x.slots {
 		if e.id == 0 || x.targets[e.target].epoch != e.epoch {
 			continue
@@ -389,7 +389,7 @@
 			break
 		}
 		s := &x.targets[e.target]
-		out = append(out, Known{ID: e.id, Target: s.name, Life: s.current})
+		out = append(out, EntryInfo{ID: e.id, Target: s.name, Generation: s.current})
 	}
 	return out
 }
@@ -402,8 +402,8 @@
 	return ok && x.find(id, n) != nil
 }
 
-// Void drops all beliefs about a target.
-func (x *Index) Void(t ids.Target) {
+// Clear drops all beliefs about a target.
+func (x *Index) Clear(t ids.Target) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.newEpoch(&x.targets[x.number(t)])
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -32,9 +32,9 @@
 	members := membership.New("vm", membership.DefaultTuning)
 	members.Platform(records, time.Now())
 	f := fleet.New(members, cacheview.New(beliefs, nil), loadview.New(), routing.NewCost(), nil)
-	life := cacheview.LifeOf(1, "w")
+	life := cacheview.GenerationOf(1, "w")
 	for i := range beliefs {
-		f.Cache.Holds(ids.Target(fmt.Sprint("engine-", i%replicas)), life, []prefix.Level{{ID: prefix.ID(i + 1), Tokens: 64}})
+		f.Cache.Add(ids.Target(fmt.Sprint("engine-", i%replicas)), life, []prefix.Level{{ID: prefix.ID(i + 1), Tokens: 64}})
 	}
 	return f
 }
@@ -74,10 +74,10 @@
 		f.Decide(&r, nil, sc)
 		_ = h.RecordValue(time.Since(start).Nanoseconds())
 	}
-	life := cacheview.LifeOf(1, "w")
+	life := cacheview.GenerationOf(1, "w")
 	start := time.Now()
 	for i := range decisions {
-		f.Cache.Holds("engine-1", life, []prefix.Level{{ID: prefix.ID(i * 7), Tokens: 64}})
+		f.Cache.Add("engine-1", life, []prefix.Level{{ID: prefix.ID(i * 7), Tokens: 64}})
 	}
 	update := time.Since(start)
 	return DecideRow{
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -182,7 +182,7 @@
 	made, held := 0, 0
 	for i, n := range nodes {
 		made += told[i] * len(nodes)
-		held += len(n.Fleet.Cache.Beliefs(1 << 20))
+		held += len(n.Fleet.Cache.Entries(1 << 20))
 	}
 	return NewsRow{
 		VMs: len(nodes), BytesIn: float64(after.in-before.in) / per, BytesOut: float64(after.out-before.out) / per,
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -141,7 +141,7 @@
 		}
 		c.incarnation = f.Incarnation
 	}
-	if d.Fleet.Cache.Feed(t.ID, cacheview.LifeOf(f.Incarnation, f.Weights), f.Events) {
+	if d.Fleet.Cache.Feed(t.ID, cacheview.GenerationOf(f.Incarnation, f.Weights), f.Events) {
 		d.Events.Record(timeline.Event{Kind: timeline.KindCache, Peer: string(t.ID), Text: "gap in cache events, beliefs voided"}, nil)
 	}
 	for _, e := range f.Events {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -262,7 +262,7 @@
 
 // answered corrects the cache picture by an answer's usage.
 func (r *run) answered(call *engine.Call, a *engine.Answer, u engine.Usage) {
-	life := cacheview.LifeOf(a.Incarnation, a.Weights)
+	life := cacheview.GenerationOf(a.Incarnation, a.Weights)
 	if r.text.Len() == 0 || r.attempts == 1 {
 		r.d.Fleet.Cache.Answered(call.Target, life, r.p.Levels, r.prior, u.Details.CachedTokens)
 	}
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -171,11 +171,11 @@
 		}
 	}
 	peer := w.vms.Daemons[1]
-	waitFor(t, func() bool { return len(peer.Fleet.Cache.Beliefs(100)) > 0 })
+	waitFor(t, func() bool { return len(peer.Fleet.Cache.Entries(100)) > 0 })
 	w.s.Store.Set(lab.Trouble{Down: true})
 	d := w.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready })
-	if got, want := len(d.Fleet.Cache.Beliefs(100)), len(peer.Fleet.Cache.Beliefs(100)); got < want || want == 0 {
+	if got, want := len(d.Fleet.Cache.Entries(100)), len(peer.Fleet.Cache.Entries(100)); got < want || want == 0 {
 		t.Errorf("%d beliefs after the restart, the peer has %d", got, want)
 	}
 	if d.Node.Config.Revision() != peer.Node.Config.Revision() {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -215,7 +215,7 @@
 	client := upstream.NewClient(s.DialTimeout.D())
 	client.Meter = d.adapter.Meter
 	if d.adapter.Meter != nil {
-		d.adapter.Meter.Far = d.far
+		d.adapter.Meter.CrossDomain = d.far
 	}
 	d.Replicas = &follow.Replicas{
 		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.gone(client), Named: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
@@ -249,7 +249,7 @@
 	d.Forward.Allowances = d.allowed
 	d.Forward.KeyTTL.Store(keyAge(edge.KeyTTL.D()))
 	d.feeds = &kvfeed.Feeds{
-		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, Tells: d.tells, Contact: d.contact, Log: d.Log,
+		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, ReportsToPeers: d.tells, Contact: d.contact, Log: d.Log,
 		Restarted: func(id ids.Target, inc ids.Incarnation) { d.Replicas.Restarted(id, inc, "feed") },
 	}
 	d.Lease = lease.New(d.store, leaseName, s.VM, leaseTuning(edge.OrderTurn.D()), nil)
@@ -264,7 +264,7 @@
 	}
 	d.news = &news.Exchange{
 		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, Ordered: d.ordered, Meter: d.adapter.Meter,
-		Silent: d.feeds.Silent, Named: d.named,
+		Silent: d.feeds.Unresponsive, Named: d.named,
 		HeardNamed: func(n news.Named) {
 			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
@@ -274,7 +274,7 @@
 		StoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		Lapsed:    d.lapsed, HeardLapsed: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
 		Limits: d.Fleet.Members.Limits.Told, HeardLimit: d.heardLimit,
-		Resolve: d.resolve, Caches: d.cacheChanges, HeardCache: d.Fleet.Cache.Hear,
+		Resolve: d.resolve, Caches: d.cacheChanges, HeardCache: d.Fleet.Cache.ApplyPeerChange,
 	}
 	d.vms.d = d
 	d.buildCanaries()
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -166,7 +166,7 @@
 // for them.
 func (d *Daemon) retellCaches(ctx context.Context) {
 	for timing.Sleep(ctx, retellEvery) {
-		d.Fleet.Cache.Retell(d.tells)
+		d.Fleet.Cache.ReportAgain(d.tells)
 	}
 }
 
--- a/internal/fleet/crossing.go
+++ b/internal/fleet/crossing.go
@@ -52,7 +52,7 @@
 // sent takes a decision on a call in, and returns how many calls to the service the other VMs
 // have sent, about, since they told of their loads.
 func (c *crossing) sent(service string, loads *loadview.Tracker, now time.Time) float32 {
-	age := loads.PeersAge(now)
+	age := loads.MeanPeerAge(now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls == nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -109,7 +109,7 @@
 	for i := range statuses {
 		st := &statuses[i]
 		if st.Incarnation != 0 {
-			f.Cache.SetLife(st.ID, st.Incarnation, st.Weights)
+			f.Cache.SetGeneration(st.ID, st.Incarnation, st.Weights)
 		}
 		s.nums[i] = f.Cache.Number(st.ID)
 		s.maxNum = max(s.maxNum, int(s.nums[i]))
@@ -190,7 +190,7 @@
 // WorkOf returns the work at a target, as far as this VM knows, and how long a new
 // request would wait for its turn there.
 func (f *Fleet) WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration) {
-	l = f.Load.All(id)
+	l = f.Load.Total(id)
 	return l, time.Duration(l.Pending / f.rate * float64(time.Second))
 }
 
@@ -198,7 +198,7 @@
 // snapshot's View.
 func (f *Fleet) LoadAge(s *Snapshot, i int) time.Duration {
 	now := f.now()
-	return f.Load.KnownAge(s.statuses[i].ReportAge+s.Age(now), now)
+	return f.Load.EstimateAge(s.statuses[i].ReportAge+s.Age(now), now)
 }
 
 // MarkDirty asks for a fresh snapshot before the next decision: something
@@ -288,7 +288,7 @@
 		in.QueueTokens = float32(sc.loads[i].QueueTokens)
 		in.SlotWait = snap.places[i].wait(sc.loads[i].InFlight)
 		in.InFlight = int32(sc.loads[i].InFlight)
-		in.PrefillRate /= float32(sc.loads[i].Pace)
+		in.PrefillRate /= float32(sc.loads[i].Slowdown)
 		in.Resting = in.Resting && snap.rest(i, now) > 0
 	}
 	for _, t := range tried {
--- a/internal/follow/replicas_test.go
+++ b/internal/follow/replicas_test.go
@@ -75,7 +75,7 @@
 			members, now := r.Fleet.Members, time.Now()
 			r.Listed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{}, false)
 			r.Fleet.Refresh()
-			r.Fleet.Cache.Holds("e1", cacheview.LifeOf(100, "3"), []prefix.Level{{ID: 7}})
+			r.Fleet.Cache.Add("e1", cacheview.GenerationOf(100, "3"), []prefix.Level{{ID: 7}})
 			members.Failed("e1", now)
 			members.Busy("e1", now.Add(time.Hour))
 			members.Doubt("e1", now.Add(time.Hour))
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -67,7 +67,7 @@
 
 // storeLife stands for a store's life: its parts outlive weights versions, which
 // stand in the ids instead.
-var storeLife = cacheview.LifeOf(1, "")
+var storeLife = cacheview.GenerationOf(1, "")
 
 // StoreTarget names a store in the cache view.
 func StoreTarget(addr string) ids.Target { return ids.Target("kv-store " + addr) }
@@ -191,7 +191,7 @@
 		return
 	}
 	if held {
-		p.Cache.Learned(c.target.ID, cacheview.LifeOf(c.target.Incarnation, c.target.Weights), c.levels)
+		p.Cache.AddAndReport(c.target.ID, cacheview.GenerationOf(c.target.Incarnation, c.target.Weights), c.levels)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -218,7 +218,7 @@
 
 // StoreLife returns the life to which beliefs about a store are bound, after it has been
 // given to the index.
-func StoreLife(cache *cacheview.Index, store ids.Target) cacheview.Life {
-	cache.SetLife(store, 1, "")
+func StoreLife(cache *cacheview.Index, store ids.Target) cacheview.Generation {
+	cache.SetGeneration(store, 1, "")
 	return storeLife
 }
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("%d tokens are to be computed, want all: the store has told of none", c.work)
 	}
 	store := StoreTarget(storeAddr)
-	p.Cache.Holds(store, StoreLife(p.Cache, store), []prefix.Level{{ID: StoreLevel("1/shared", "m", "p1")}})
+	p.Cache.Add(store, StoreLife(p.Cache, store), []prefix.Level{{ID: StoreLevel("1/shared", "m", "p1")}})
 	if c := planned(p, "a", 0); c.work != 200 || c.save != "" {
 		t.Fatalf("%d tokens are to be computed, saved to %q, after the store told of the part", c.work, c.save)
 	}
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -90,7 +90,7 @@
 // errorRatio is measured/predicted. To the prediction belongs what a first event takes
 // beside queue and prompt, which decisions leave out since it is the same everywhere.
 func errorRatio(predicted, measured time.Duration) float64 {
-	return float64(measured) / float64(max(predicted, 0)+loadview.FirstTokenFloor)
+	return float64(measured) / float64(max(predicted, 0)+loadview.MinTTFT)
 }
 
 func ageStepOf(age time.Duration) int {
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -43,11 +43,11 @@
 
 func TestPredictionErrorsByRouteAndAge(t *testing.T) {
 	const predicted = 200 * time.Millisecond
-	full := predicted + loadview.FirstTokenFloor
+	full := predicted + loadview.MinTTFT
 	var p PredictionErrors
 	p.Observe("a", 150*time.Millisecond, predicted, full*9/10)
 	p.Observe("a", time.Hour, predicted, 100*full)
-	p.Observe("b", 0, -time.Second, loadview.FirstTokenFloor/10)
+	p.Observe("b", 0, -time.Second, loadview.MinTTFT/10)
 	s := shown(t, &p)
 	a, b := s.Routes["a"], s.Routes["b"]
 	if total(a) != 2 || total(b) != 1 {
@@ -85,7 +85,7 @@
 func TestPredictionErrorIsCounted(t *testing.T) {
 	answer := ok("fine")
 	s := newStandIn(t, "a", func(c net.Conn, r *http.Request) bool {
-		time.Sleep(4 * loadview.FirstTokenFloor)
+		time.Sleep(4 * loadview.MinTTFT)
 		return answer(c, r)
 	})
 	r := route(catalog.Idempotent, 2)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -142,7 +142,7 @@
 	work := r.f.Fleet.Load.Sent(c.target.ID, c.work, clock.Now())
 	defer work.End()
 	if !r.route.Resumable || r.attempts >= r.route.Attempts {
-		work.Bind()
+		work.MarkNotResumable()
 	}
 	t := r.try(ctx, &c, work)
 	err := t.run()
@@ -232,7 +232,7 @@
 	}
 	t.r.f.Fleet.Members.Heard(t.c.target.ID, now)
 	if t.r.call.Prompt != nil && t.r.route.Prompts {
-		t.r.f.Fleet.Load.Measured(t.c.target.ID, t.c.wait, now.Sub(t.sent), now)
+		t.r.f.Fleet.Load.ObserveTTFT(t.c.target.ID, t.c.wait, now.Sub(t.sent), now)
 		t.r.f.Prediction.Observe(t.r.route.Name, t.c.age, t.c.wait, now.Sub(t.sent))
 	}
 }
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -55,8 +55,8 @@
 	Cache   *cacheview.Index
 	KV      *forward.Planner
 	Sources func() []Source
-	// Tells tells whether this VM is the one that tells peers what a feed says.
-	Tells func(id ids.Target) bool
+	// ReportsToPeers tells whether this VM is the one that tells peers what a feed says.
+	ReportsToPeers func(id ids.Target) bool
 	// Contact is told whether an engine or a store answers its feed's calls.
 	Contact func(s Source, alive bool)
 	// Restarted is told the incarnation in which an engine speaks.
@@ -172,7 +172,7 @@
 
 // takeIn takes in the events of a batch.
 func (f *Feeds) takeIn(s Source, events []kvcache.Event) {
-	tells := f.Tells(s.ID)
+	tells := f.ReportsToPeers(s.ID)
 	for _, ev := range events {
 		f.apply(s, ev, tells)
 	}
@@ -199,8 +199,8 @@
 	f.silent[s.ID] = true
 }
 
-// Silent returns the engines whose feeds this VM reads and that don't answer.
-func (f *Feeds) Silent() []ids.Target {
+// Unresponsive returns the engines whose feeds this VM reads and that don't answer.
+func (f *Feeds) Unresponsive() []ids.Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.silent))
@@ -209,11 +209,11 @@
 // emptied drops the beliefs about a speaker that has restarted.
 func (f *Feeds) emptied(s Source) {
 	f.Log.Belief("cache-emptied").Str("target", string(s.ID)).Send()
-	if f.Tells(s.ID) {
-		f.Cache.Emptied(s.ID)
+	if f.ReportsToPeers(s.ID) {
+		f.Cache.ClearAndReport(s.ID)
 		return
 	}
-	f.Cache.Void(s.ID)
+	f.Cache.Clear(s.ID)
 }
 
 // apply takes in one event; tells is whether peers are to be told.
@@ -225,21 +225,21 @@
 	level := []prefix.Level{{ID: id}}
 	switch {
 	case ev.Stored && tells:
-		f.Cache.Learned(s.ID, life, level)
+		f.Cache.AddAndReport(s.ID, life, level)
 	case ev.Stored:
-		f.Cache.Holds(s.ID, life, level)
+		f.Cache.Add(s.ID, life, level)
 	case tells:
-		f.Cache.Lost(s.ID, life, id)
+		f.Cache.RemoveAndReport(s.ID, life, id)
 	default:
-		f.Cache.Drop(s.ID, life, id)
+		f.Cache.Remove(s.ID, life, id)
 	}
 }
 
 // name returns the life and the prefix that an event is about.
-func (f *Feeds) name(s Source, ev kvcache.Event) (cacheview.Life, prefix.ID, bool) {
+func (f *Feeds) name(s Source, ev kvcache.Event) (cacheview.Generation, prefix.ID, bool) {
 	if s.Store {
 		return forward.StoreLife(f.Cache, s.ID), forward.StoreLevel(ev.Salt, ev.Model, ev.Part), true
 	}
 	w, wall, ok := kvcache.SplitSalt(ev.Salt)
-	return cacheview.LifeOf(s.Incarnation, w), kvcache.LevelID(wall, ev.Model, ev.Part), ok
+	return cacheview.GenerationOf(s.Incarnation, w), kvcache.LevelID(wall, ev.Model, ev.Part), ok
 }
--- a/internal/kvfeed/kvfeed_test.go
+++ b/internal/kvfeed/kvfeed_test.go
@@ -37,7 +37,7 @@
 			}
 			return []Source{{ID: "e1", Addr: "a"}}
 		},
-		Tells: func(ids.Target) bool { return false },
+		ReportsToPeers: func(ids.Target) bool { return false },
 		Contact: func(_ Source, ok bool) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -53,7 +53,7 @@
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return alive == want && len(f.Silent()) == silent
+			return alive == want && len(f.Unresponsive()) == silent
 		}
 	}
 	await(t, "the engine is silent", state(false, 1))
@@ -97,17 +97,17 @@
 		defer mu.Unlock()
 		return inc
 	}
-	cache.SetLife("e1", 100, "3")
+	cache.SetGeneration("e1", 100, "3")
 	f := &Feeds{
 		Reader: reader, Cache: cache, KV: &forward.Planner{Cache: cache},
 		Sources: func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: known()}} },
-		Tells:   func(ids.Target) bool { return false },
+		ReportsToPeers:   func(ids.Target) bool { return false },
 		Contact: func(Source, bool) {},
 		Restarted: func(_ ids.Target, now ids.Incarnation) {
 			mu.Lock()
 			defer mu.Unlock()
 			inc = max(inc, now)
-			cache.SetLife("e1", inc, "3")
+			cache.SetGeneration("e1", inc, "3")
 		},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -132,12 +132,12 @@
 // one that is known: what it says is not believed of the new one.
 func TestFeedOfAnEndedIncarnation(t *testing.T) {
 	cache := cacheview.New(64, nil)
-	cache.SetLife("e1", 200, "3")
+	cache.SetGeneration("e1", 200, "3")
 	reader := &restartingReader{} // speaks of incarnation 100
 	f := &Feeds{
 		Reader: reader, Cache: cache, KV: &forward.Planner{Cache: cache},
 		Sources:   func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: 200}} },
-		Tells:     func(ids.Target) bool { return false },
+		ReportsToPeers:     func(ids.Target) bool { return false },
 		Contact:   func(Source, bool) {},
 		Restarted: func(_ ids.Target, inc ids.Incarnation) { t.Errorf("the engine counts as restarted into %d", inc) },
 	}
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -52,9 +52,9 @@
 	ended  bool
 }
 
-// Bind notes that the request can't go on at another target: if this one stops
+// MarkNotResumable notes that the request can't go on at another target: if this one stops
 // working on it, it is lost.
-func (w *Work) Bind() {
+func (w *Work) MarkNotResumable() {
 	w.t.mu.Lock()
 	defer w.t.mu.Unlock()
 	if !w.bound && !w.ended {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Heard counts work that a peer sent to a target.
-func (t *Tracker) Heard(target ids.Target, tokens int32, at time.Time) {
+// AddPeerWork counts work that a peer sent to a target.
+func (t *Tracker) AddPeerWork(target ids.Target, tokens int32, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.of(target).add(sent{at: at, tokens: float64(tokens)})
@@ -158,7 +158,7 @@
 	QueueTokens float64
 	OwnInFlight int
 	InFlight    int     // own and, as far as they tell, all peers'
-	Pace        float64 // how many times longer than predicted first tokens take; at least 1
+	Slowdown        float64 // how many times longer than predicted first tokens take; at least 1
 }
 
 // Report is a target's last word on its load.
@@ -191,7 +191,7 @@
 		r := reports[i]
 		r.Age += since
 		out[i] = h.o.estimate(r, miss, now)
-		out[i].Pace = max(out[i].Pace, t.overall.now(now))
+		out[i].Slowdown = max(out[i].Slowdown, t.overall.now(now))
 	}
 }
 
@@ -207,6 +207,6 @@
 	tokens -= r.Rate * r.Age.Seconds()
 	return Load{
 		QueueTokens: max(tokens, o.pending+o.peers.Pending, 0), OwnInFlight: o.inFlight, InFlight: o.inFlight + o.peers.InFlight,
-		Pace: o.pace.now(now),
+		Slowdown: o.pace.now(now),
 	}
 }
--- a/internal/loadview/pace.go
+++ b/internal/loadview/pace.go
@@ -23,18 +23,18 @@
 	// paceHalfLife is how fast a pace fades to 1 when nothing is measured: a load that
 	// made a target slow passes in seconds.
 	paceHalfLife = 3 * time.Second
-	// FirstTokenFloor is what a first token takes beside all prefill: a step of the engine
+	// MinTTFT is what a first token takes beside all prefill: a step of the engine
 	// and the way there and back.
-	FirstTokenFloor = 60 * time.Millisecond
+	MinTTFT = 60 * time.Millisecond
 	// maxPace bounds what one measurement says, and with it the pace.
 	maxPace = 8
 )
 
-// Measured takes in how long a target's first token took, and what was predicted.
-func (t *Tracker) Measured(target ids.Target, predicted, actual time.Duration, now time.Time) {
+// ObserveTTFT takes in how long a target's first token took, and what was predicted.
+func (t *Tracker) ObserveTTFT(target ids.Target, predicted, actual time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sample := min(max(float64(actual)/float64(max(predicted, 0)+FirstTokenFloor), 1), maxPace)
+	sample := min(max(float64(actual)/float64(max(predicted, 0)+MinTTFT), 1), maxPace)
 	t.of(target).pace.add(sample, now)
 	t.overall.add(sample, now)
 }
--- a/internal/loadview/pace_test.go
+++ b/internal/loadview/pace_test.go
@@ -13,13 +13,13 @@
 	pace := func() float64 {
 		out := make([]Load, 1)
 		tr.Estimate([]Handle{h}, make([]Report, 1), 0, now, out)
-		return out[0].Pace
+		return out[0].Slowdown
 	}
 	if pace() != 1 {
 		t.Fatalf("got %v of a target that nothing is known of, want 1", pace())
 	}
 	for range 20 {
-		tr.Measured("e1", 100*time.Millisecond, 640*time.Millisecond, now) // 4 times 160 ms
+		tr.ObserveTTFT("e1", 100*time.Millisecond, 640*time.Millisecond, now) // 4 times 160 ms
 	}
 	if p := pace(); p < 3.8 || p > 4.1 {
 		t.Fatalf("got %v, want about 4", p)
@@ -28,7 +28,7 @@
 	if p := pace(); p < 2.3 || p > 2.7 {
 		t.Fatalf("got %v after a half-life, want about 2.5", p)
 	}
-	tr.Measured("e1", 0, time.Hour, now)
+	tr.ObserveTTFT("e1", 0, time.Hour, now)
 	if p := pace(); p > maxPace {
 		t.Fatalf("got %v, want at most %d", p, maxPace)
 	}
--- a/internal/loadview/peers.go
+++ b/internal/loadview/peers.go
@@ -10,7 +10,7 @@
 type PeerLoad struct {
 	InFlight int
 	Pending  float64 // prompt tokens without a first token yet
-	Bound    int     // of those in flight, requests that can't go on at another target
+	NotResumable    int     // of those in flight, requests that can't go on at another target
 }
 
 // peerMemory is how long a peer's last word counts. It is longer than the pause
@@ -25,8 +25,8 @@
 	loads map[ids.Target]PeerLoad
 }
 
-// Peer takes in all of a peer's loads. One that is older than the last is left out.
-func (t *Tracker) Peer(vm ids.VM, life int64, seq uint64, loads map[ids.Target]PeerLoad, now time.Time) {
+// SetPeerLoads takes in all of a peer's loads. One that is older than the last is left out.
+func (t *Tracker) SetPeerLoads(vm ids.VM, life int64, seq uint64, loads map[ids.Target]PeerLoad, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.peers[vm]
@@ -42,12 +42,12 @@
 		o := t.of(id)
 		o.peers.InFlight += l.InFlight
 		o.peers.Pending += l.Pending
-		o.peers.Bound += l.Bound
+		o.peers.NotResumable += l.NotResumable
 	}
 }
 
-// Fade forgets the loads of peers that have not been heard for long.
-func (t *Tracker) Fade(now time.Time) {
+// ExpirePeers forgets the loads of peers that have not been heard for long.
+func (t *Tracker) ExpirePeers(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
@@ -58,18 +58,18 @@
 	}
 }
 
-// KnownAge returns how old what an estimate goes by is, for a target whose report has the
+// EstimateAge returns how old what an estimate goes by is, for a target whose report has the
 // given age: that of the report, or, where it is too old to be used, the mean age of the
 // peers' last words. It is zero where this VM has no peers, and knows by itself.
-func (t *Tracker) KnownAge(report time.Duration, now time.Time) time.Duration {
+func (t *Tracker) EstimateAge(report time.Duration, now time.Time) time.Duration {
 	if report <= memory {
 		return report
 	}
-	return t.PeersAge(now)
+	return t.MeanPeerAge(now)
 }
 
-// PeersAge returns the mean age of the peers' last words; zero: this VM has no peers.
-func (t *Tracker) PeersAge(now time.Time) time.Duration {
+// MeanPeerAge returns the mean age of the peers' last words; zero: this VM has no peers.
+func (t *Tracker) MeanPeerAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum, n := time.Duration(0), time.Duration(0)
@@ -94,12 +94,12 @@
 		o := t.of(id)
 		o.peers.InFlight -= l.InFlight
 		o.peers.Pending -= l.Pending
-		o.peers.Bound -= l.Bound
+		o.peers.NotResumable -= l.NotResumable
 	}
 }
 
-// All returns the work of this VM and, as far as they tell, of all peers at a target.
-func (t *Tracker) All(id ids.Target) PeerLoad {
+// Total returns the work of this VM and, as far as they tell, of all peers at a target.
+func (t *Tracker) Total(id ids.Target) PeerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.own[id]
@@ -107,7 +107,7 @@
 		return PeerLoad{}
 	}
 	return PeerLoad{
-		InFlight: o.inFlight + o.peers.InFlight, Pending: o.pending + o.peers.Pending, Bound: o.bound + o.peers.Bound,
+		InFlight: o.inFlight + o.peers.InFlight, Pending: o.pending + o.peers.Pending, NotResumable: o.bound + o.peers.NotResumable,
 	}
 }
 
@@ -117,7 +117,7 @@
 	defer t.mu.Unlock()
 	for id, o := range t.own {
 		if o.inFlight > 0 {
-			f(id, PeerLoad{InFlight: o.inFlight, Pending: o.pending, Bound: o.bound})
+			f(id, PeerLoad{InFlight: o.inFlight, Pending: o.pending, NotResumable: o.bound})
 		}
 	}
 }
--- a/internal/news/fuzz_test.go
+++ b/internal/news/fuzz_test.go
@@ -14,7 +14,7 @@
 	for _, m := range []Message{
 		{VM: "vm1"},
 		{VM: "vm1", Seq: 3, Life: 9, Loads: []Load{{Target: "e1", InFlight: 2, Pending: 9190, Bound: 1}}, Silent: []ids.Target{"e2"}},
-		{VM: "vm1", Caches: []cacheview.Change{{Target: "e1", Life: 5, ID: 1}, {Target: "e1", Life: 5, ID: 2, Gone: true}, {Target: "e2", Life: 6, Emptied: true}}},
+		{VM: "vm1", Caches: []cacheview.Change{{Target: "e1", Generation: 5, ID: 1}, {Target: "e1", Generation: 5, ID: 2, Removed: true}, {Target: "e2", Generation: 6, Cleared: true}}},
 		{VM: "vm1", Order: &Order{Target: "e1", Weights: "7"}, Named: []Named{{Model: "m", Version: 7, AgeMs: 40}}, Lapsed: &Lapsed{Instance: "i", Fence: 2, Renewal: 7, QuietMs: 3200}},
 		{VM: "vm1", Total: &digest{
 			Loads: []wireLoad{{Target: shorten("e1"), InFlight: 2}}, Members: []byte{1, 2, 3, 4, 5, 6, 7}, Silent: []wireSilent{{VM: 7, Targets: []shortID{shorten("e2")}}},
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -330,9 +330,9 @@
 	}
 	loads := make(map[ids.Target]loadview.PeerLoad, len(m.Loads))
 	for _, l := range m.Loads {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.Bound}
+		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.Bound}
 	}
-	x.Load.Peer(m.VM, m.Life, m.Seq, loads, clock.Now())
+	x.Load.SetPeerLoads(m.VM, m.Life, m.Seq, loads, clock.Now())
 	if !x.isLarge() { // the tree's totals say it all
 		x.Allowances.Heard(m.VM, m.Life, m.Seq, m.Uses)
 	}
@@ -357,7 +357,7 @@
 			continue
 		}
 		if timing.Sleep(ctx, x.Pause()) {
-			x.Load.Fade(clock.Now())
+			x.Load.ExpirePeers(clock.Now())
 			x.round()
 		}
 	}
@@ -391,7 +391,7 @@
 func (x *Exchange) round() {
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
-		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.Bound})
+		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.NotResumable})
 	})
 	m := Message{Loads: loads, Silent: x.Silent(), Named: x.Named(), Lapsed: x.Lapsed(), Crashes: x.Crashes.Due(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
 	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Silent) == 0 && len(m.Named) == 0 && m.Lapsed == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -70,8 +70,8 @@
 	x.HeardNamed = func(n Named) { heard = append(heard, n) }
 	want := Named{Model: "m", Version: 3, AgeMs: 1200}
 	x.takeMessage(t, Message{VM: "vm1", Seq: 1, Named: []Named{want}, Loads: []Load{{Target: "e1", InFlight: 2}}})
-	if len(heard) != 1 || heard[0] != want || x.Load.All("e1").InFlight != 2 {
-		t.Fatalf("heard %v, load %+v", heard, x.Load.All("e1"))
+	if len(heard) != 1 || heard[0] != want || x.Load.Total("e1").InFlight != 2 {
+		t.Fatalf("heard %v, load %+v", heard, x.Load.Total("e1"))
 	}
 }
 
--- a/internal/news/relay.go
+++ b/internal/news/relay.go
@@ -55,7 +55,7 @@
 		return
 	}
 	sent.Add(1)
-	x.Meter.Add(traffic.News, p.FailureDomain != x.FailureDomain, len(data))
+	x.Meter.Add(traffic.PeerUpdates, p.FailureDomain != x.FailureDomain, len(data))
 }
 
 // passOn passes a datagram of another domain's VM on to the VMs of this domain.
--- a/internal/news/relay_test.go
+++ b/internal/news/relay_test.go
@@ -18,7 +18,7 @@
 		Silent: []ids.Target{"e2", "unknown"}, Order: &Order{Target: "e1", Weights: "7", Done: true}, Named: []Named{{Model: "m", Version: 7, AgeMs: 40}},
 		StoreDown: "10.0.0.1:1",
 		Caches: []cacheview.Change{
-			{Target: "e1", Life: 5, ID: 1}, {Target: "e1", Life: 5, ID: 2, Gone: true}, {Target: "e2", Life: 6, Emptied: true}, {Target: "unknown", ID: 9},
+			{Target: "e1", Generation: 5, ID: 1}, {Target: "e1", Generation: 5, ID: 2, Removed: true}, {Target: "e2", Generation: 6, Cleared: true}, {Target: "unknown", ID: 9},
 		},
 	}
 	data, err := Encode(&m)
@@ -46,7 +46,7 @@
 
 // TestLastChangeCounts tells of a prefix that came and went between two rounds.
 func TestLastChangeCounts(t *testing.T) {
-	held, gone := cacheview.Change{Target: "e1", ID: 7}, cacheview.Change{Target: "e1", ID: 7, Gone: true}
+	held, gone := cacheview.Change{Target: "e1", ID: 7}, cacheview.Change{Target: "e1", ID: 7, Removed: true}
 	for _, c := range []struct {
 		changes       []cacheview.Change
 		held, dropped int
@@ -66,7 +66,7 @@
 		if i < 9 {
 			loads.Loads = append(loads.Loads, Load{Target: ids.Target(fmt.Sprintf("i-%010x", i)), InFlight: 20, Pending: 9000, Bound: 3})
 		}
-		caches.Caches = append(caches.Caches, cacheview.Change{Target: "i-7e4e278530", Life: 77, ID: 1<<63 + 1})
+		caches.Caches = append(caches.Caches, cacheview.Change{Target: "i-7e4e278530", Generation: 77, ID: 1<<63 + 1})
 		caches.Caches[i].ID += 2 * caches.Caches[max(i-1, 0)].ID
 	}
 	for m, most := range map[*Message]int{&loads: 160, &caches: 1200} {
@@ -139,7 +139,7 @@
 		if n := x.Heard.Load(); n != 1 {
 			t.Errorf("%s heard %d datagrams, want 1", x.VM, n)
 		}
-		if l := x.Load.All("e1"); l.InFlight != 3 {
+		if l := x.Load.Total("e1"); l.InFlight != 3 {
 			t.Errorf("%s knows of the load %+v", x.VM, l)
 		}
 		passed += x.PassedOn.Load()
--- a/internal/news/tree_exchange_test.go
+++ b/internal/news/tree_exchange_test.go
@@ -63,7 +63,7 @@
 	}
 	t.Cleanup(func() { _ = x.conn.Close() })
 	x.treeRound(time.Now())
-	if got := x.Load.All("e1"); got != (loadview.PeerLoad{InFlight: 6, Pending: 720}) {
+	if got := x.Load.Total("e1"); got != (loadview.PeerLoad{InFlight: 6, Pending: 720}) {
 		t.Errorf("the load is %+v, want 1 own request and 5 of others", got)
 	}
 	if len(ordered) != 1 || ordered[0].Target != "e1" || len(changed) != 1 {
--- a/internal/news/treetell.go
+++ b/internal/news/treetell.go
@@ -36,7 +36,7 @@
 func (x *Exchange) treeRound(now time.Time) {
 	x.tellTreeCaches()
 	x.Untold.Add(x.tree.takeUntold())
-	x.Load.Fade(now)
+	x.Load.ExpirePeers(now)
 	own, loads := x.ownDigest()
 	s := x.tree.next(x.VM, own, loads, now)
 	crashes := x.Crashes.Due(len(s.to))
@@ -67,7 +67,7 @@
 	var d digest
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
-		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.Bound})
+		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), Bound: l.NotResumable})
 	})
 	for _, l := range loads {
 		d.Loads = append(d.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.Bound})
@@ -177,9 +177,9 @@
 	total, uses := x.tree.without(x.VM, total, d.Uses, members)
 	x.Allowances.HeardFleet(uses)
 	for _, l := range total {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.Bound}
+		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.Bound}
 	}
-	x.Load.Peer(fleetVM, x.life, x.seq.Add(1), loads, now)
+	x.Load.SetPeerLoads(fleetVM, x.life, x.seq.Add(1), loads, now)
 	x.believeSilent(d.Silent)
 	for _, n := range d.Named {
 		x.HeardNamed(n)
--- a/internal/news/wire.go
+++ b/internal/news/wire.go
@@ -135,20 +135,20 @@
 	var out []wireCache
 	last := map[key]bool{}
 	for _, c := range slices.Backward(changes) {
-		if k := (key{c.Target, c.Life, c.ID}); last[k] {
+		if k := (key{c.Target, c.Generation, c.ID}); last[k] {
 			continue
 		} else {
 			last[k] = true
 		}
-		at := slices.IndexFunc(out, func(w wireCache) bool { return w.Target == shorten(c.Target) && w.Life == c.Life })
+		at := slices.IndexFunc(out, func(w wireCache) bool { return w.Target == shorten(c.Target) && w.Life == c.Generation })
 		if at < 0 {
 			at = len(out)
-			out = append(out, wireCache{Target: shorten(c.Target), Life: c.Life})
+			out = append(out, wireCache{Target: shorten(c.Target), Life: c.Generation})
 		}
 		switch {
-		case c.Emptied:
+		case c.Cleared:
 			out[at].Emptied = true
-		case c.Gone:
+		case c.Removed:
 			out[at].Dropped = append(out[at].Dropped, uint64(c.ID))
 		default:
 			out[at].Held = append(out[at].Held, uint64(c.ID))
@@ -161,13 +161,13 @@
 func (w *wireCache) changes(t ids.Target) []cacheview.Change {
 	var out []cacheview.Change
 	if w.Emptied {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, Emptied: true})
+		out = append(out, cacheview.Change{Target: t, Generation: w.Life, Cleared: true})
 	}
 	for _, id := range w.Held {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, ID: prefix.ID(id)})
+		out = append(out, cacheview.Change{Target: t, Generation: w.Life, ID: prefix.ID(id)})
 	}
 	for _, id := range w.Dropped {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, ID: prefix.ID(id), Gone: true})
+		out = append(out, cacheview.Change{Target: t, Generation: w.Life, ID: prefix.ID(id), Removed: true})
 	}
 	return out
 }
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -154,8 +154,8 @@
 // Gather takes up this VM's own dispatches, and tells whether there is any news.
 func (n *Node) Gather() bool {
 	var last *peerpb.Dispatch
-	for _, b := range n.Fleet.Cache.TakeFresh() {
-		target, life := targetHash(b.Target), uint32(uint16(b.Life))
+	for _, b := range n.Fleet.Cache.TakeNewEntries() {
+		target, life := targetHash(b.Target), uint32(uint16(b.Generation))
 		if last == nil || last.Target != target || last.Life != life || last.Work > 0 {
 			last = &peerpb.Dispatch{Target: target, Life: life}
 			n.outbox.Dispatch(last)
@@ -299,10 +299,10 @@
 		return
 	}
 	for _, p := range d.Prefixes {
-		n.Fleet.Cache.Told(id, uint16(d.Life), p)
+		n.Fleet.Cache.ApplyPeerEntry(id, uint16(d.Life), p)
 	}
 	if d.Work > 0 {
-		n.Fleet.Load.Heard(id, int32(d.Work), clock.Now().Add(-workLag))
+		n.Fleet.Load.AddPeerWork(id, int32(d.Work), clock.Now().Add(-workLag))
 	}
 }
 
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -73,10 +73,10 @@
 		}
 	}
 	held := map[uint32]*peerpb.Held{}
-	for _, b := range n.Fleet.Cache.Beliefs(maxStateBeliefs) {
+	for _, b := range n.Fleet.Cache.Entries(maxStateBeliefs) {
 		h := held[targetHash(b.Target)]
 		if h == nil {
-			h = &peerpb.Held{Target: targetHash(b.Target), Life: uint32(uint16(b.Life))}
+			h = &peerpb.Held{Target: targetHash(b.Target), Life: uint32(uint16(b.Generation))}
 			held[h.Target] = h
 			out.Held = append(out.Held, h)
 		}
--- a/internal/rollout/bring_test.go
+++ b/internal/rollout/bring_test.go
@@ -326,9 +326,9 @@
 		took   time.Duration
 		want   Method
 	}{
-		{time.Minute, loadview.PeerLoad{InFlight: 3, Bound: 1}, drainMost, Finish},
-		{2 * time.Second, loadview.PeerLoad{InFlight: 3, Bound: 1}, 500 * time.Millisecond, Finish},
-		{-time.Second, loadview.PeerLoad{InFlight: 3, Bound: 1}, 0, Finish},
+		{time.Minute, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, drainMost, Finish},
+		{2 * time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 500 * time.Millisecond, Finish},
+		{-time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 0, Finish},
 		{time.Minute, loadview.PeerLoad{InFlight: cutMost}, drainLeast, CutOff},
 		{time.Minute, loadview.PeerLoad{InFlight: cutMost + 1}, drainMost, Finish},
 	} {
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -50,7 +50,7 @@
 // mayCutOff tells whether the runs at a replica can all go on elsewhere.
 func (r *Rollout) mayCutOff(id ids.Target) bool {
 	work, _ := r.Loads.WorkOf(id)
-	return work.Bound == 0 && work.InFlight <= cutMost
+	return work.NotResumable == 0 && work.InFlight <= cutMost
 }
 
 // lastResort chooses what becomes of the runs at a replica whose drain is over.
--- a/internal/rollout/give_test.go
+++ b/internal/rollout/give_test.go
@@ -18,7 +18,7 @@
 func TestMeanWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, r := newScripted(t)
-		s.work = loadview.PeerLoad{InFlight: 3, Bound: 1} // drains 1.5 s
+		s.work = loadview.PeerLoad{InFlight: 3, NotResumable: 1} // drains 1.5 s
 		for range 4 {
 			r.Lease = lease.New(objectapi.NewMemory(), "orders", "vm", lease.Tuning{Duration: time.Second}, nil)
 			_ = r.Lease.Try(t.Context())
@@ -73,7 +73,7 @@
 		r.Lease = lease.New(objectapi.NewMemory(), "orders", "vm", lease.Tuning{Duration: 900 * time.Millisecond}, nil)
 		_ = r.Lease.Try(t.Context())
 		time.AfterFunc(850*time.Millisecond, func() { _ = r.Lease.Try(t.Context()) })
-		time.AfterFunc(600*time.Millisecond, func() { s.later.Store(&loadview.PeerLoad{InFlight: 3, Bound: 1}) })
+		time.AfterFunc(600*time.Millisecond, func() { s.later.Store(&loadview.PeerLoad{InFlight: 3, NotResumable: 1}) })
 		_ = s.send(t, r)
 		if len(s.given) == 0 || s.given[0].Method == CutOff {
 			t.Errorf("cuts off bound calls: %+v", s.given)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -36,7 +36,7 @@
 	var told []string
 	r := &Rollout{
 		Named:    muchTime{},
-		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
+		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 5, NotResumable: 2}, {InFlight: 5, NotResumable: 1}, {InFlight: 3}}},
 		Ordering: func(id ids.Target, _ ids.WeightsVersion, _ bool) { told = append(told, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
@@ -52,7 +52,7 @@
 func TestDrainGivesUp(t *testing.T) {
 	r := &Rollout{
 		Named:    muchTime{},
-		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
+		Loads:    &fakeLoads{looks: []loadview.PeerLoad{{InFlight: 2, NotResumable: 1}}},
 		Ordering: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -227,7 +227,7 @@
 	if w.wait == 0 {
 		return loadview.PeerLoad{InFlight: 5}, 0
 	}
-	return loadview.PeerLoad{InFlight: 30, Bound: 3}, w.wait
+	return loadview.PeerLoad{InFlight: 30, NotResumable: 3}, w.wait
 }
 
 // Newest implements Newest: version 2 was named when the world began.
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -24,7 +24,7 @@
 	Answers                 // of targets
 	Feeds                   // cache feeds of engines and stores, both ways
 	Orders                  // orders to engines and looks at their state, both ways
-	News                    // sent to peers
+	PeerUpdates                    // sent to peers
 	Mirror                  // copies of the store, asked of peers, both ways
 	purposeCount
 )
@@ -37,9 +37,9 @@
 // Meter counts bytes. Safe for concurrent use. The zero value counts everything as
 // within the failure domain.
 type Meter struct {
-	// Far tells whether an address (ip:port) is in another failure domain. It is set
+	// CrossDomain tells whether an address (ip:port) is in another failure domain. It is set
 	// before the first connection is made. Nil: none is.
-	Far func(addr string) bool
+	CrossDomain func(addr string) bool
 
 	near, far [purposeCount]atomic.Int64
 }
@@ -87,7 +87,7 @@
 	if m == nil {
 		return nc
 	}
-	far := m.Far != nil && m.Far(nc.RemoteAddr().String())
+	far := m.CrossDomain != nil && m.CrossDomain(nc.RemoteAddr().String())
 	return &conn{Conn: nc, meter: m, out: out, in: in, far: far}
 }
 
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -26,7 +26,7 @@
 			_ = c.Close()
 		}()
 		asked := ""
-		m := &Meter{Far: func(addr string) bool { asked = addr; return far }}
+		m := &Meter{CrossDomain: func(addr string) bool { asked = addr; return far }}
 		plain, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -69,5 +69,5 @@
 	if m.Conn(a, Requests, Answers) != a {
 		t.Fatal("the connection was wrapped")
 	}
-	m.Add(News, true, 10)
+	m.Add(PeerUpdates, true, 10)
 }
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -205,14 +205,14 @@
 	if len(batch) > 2 && x.rnd.Float64() < x.w.EventLoss {
 		batch = append(batch[:1:1], batch[2:]...) // an entry is lost
 	}
-	life := cacheview.LifeOf(e.life, "w")
+	life := cacheview.GenerationOf(e.life, "w")
 	x.clk.after(feedLag, func() { d.f.Cache.Feed(e.id, life, batch) })
 }
 
 // tellPeers passes each decider's fresh beliefs on to the others.
 func (x *world) tellPeers() {
 	for i, d := range x.deciders {
-		fresh := d.f.Cache.TakeFresh()
+		fresh := d.f.Cache.TakeNewEntries()
 		x.res.Told += len(fresh)
 		if x.p.Knowledge.NoPeers {
 			continue
@@ -223,9 +223,9 @@
 					continue
 				}
 				for _, b := range fresh {
-					other.f.Cache.Told(b.Target, uint16(b.Life), uint64(b.ID))
+					other.f.Cache.ApplyPeerEntry(b.Target, uint16(b.Generation), uint64(b.ID))
 					if b.Work > 0 {
-						other.f.Load.Heard(b.Target, b.Work, x.now().Add(-tellLag-tellEvery/2))
+						other.f.Load.AddPeerWork(b.Target, b.Work, x.now().Add(-tellLag-tellEvery/2))
 					}
 				}
 			}
@@ -349,7 +349,7 @@
 		},
 		done: func(ok bool) {
 			work.End()
-			x.ended(r, e.id, ok, cacheview.LifeOf(life, "w"), prior, cachedTokens)
+			x.ended(r, e.id, ok, cacheview.GenerationOf(life, "w"), prior, cachedTokens)
 		},
 	})
 }
@@ -365,7 +365,7 @@
 	return best
 }
 
-func (x *world) ended(r *request, t ids.Target, ok bool, life cacheview.Life, prior cacheview.Prior, cached int) {
+func (x *world) ended(r *request, t ids.Target, ok bool, life cacheview.Generation, prior cacheview.Prior, cached int) {
 	if ok {
 		r.d.f.Members.Succeeded(t)
 		r.d.f.Load.Answered(int32(r.prompt.tokens), int32(cached))
--- a/internal/yardstick/workloads.go
+++ b/internal/yardstick/workloads.go
@@ -125,7 +125,7 @@
 // given the beliefs of one that stays; without, they know nothing.
 func restartDeciders(survivor bool) func(*world) {
 	return func(x *world) {
-		known := x.deciders[0].f.Cache.Beliefs(1 << 20)
+		known := x.deciders[0].f.Cache.Entries(1 << 20)
 		for i := range x.deciders {
 			if survivor && i == 0 {
 				continue
@@ -137,7 +137,7 @@
 			d.f.Refresh()
 			if survivor {
 				for _, b := range known {
-					d.f.Cache.Told(b.Target, uint16(b.Life), uint64(b.ID))
+					d.f.Cache.ApplyPeerEntry(b.Target, uint16(b.Generation), uint64(b.ID))
 				}
 			}
 			x.deciders[i] = d
