--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,12 @@
-// Package admission decides whether a request may start at all, before anything
-// is claimed or sent, so that every refusal of it is a true "not run" and says
-// when to come back.
+// Package admission decides whether a request may start, before the VM claims or
+// sends anything for it. A refused request has therefore certainly not run, and
+// each refusal says when to retry.
 //
-// Three gates stand one behind the other: the VM's own capacity, the workspace's
-// rate (package allowance) and this VM's part of its concurrency, and overload: when
-// the predicted wait grows, workspaces above their fair share are refused first,
-// and past a bound that depends on priority everybody is.
+// It applies three checks in order: the VM's capacity; the workspace's rate limit
+// (package allowance) and this VM's share of the workspace's concurrency limit; and
+// overload. As the predicted wait grows, the overload check first refuses workspaces
+// above their fair share, and beyond a bound that depends on priority it refuses
+// every request.
 package admission
 
 import (
@@ -20,80 +21,80 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// Tuning holds the bounds of the overload gate.
+// Tuning holds the limits of a Limiter.
 type Tuning struct {
-	// SoftWait is the predicted time to first token above which workspaces
-	// beyond their fair share are refused. Default 1.5s.
+	// SoftWait is the predicted time to first token above which requests of
+	// workspaces beyond their fair share are refused. Default 1.5s.
 	SoftWait time.Duration
-	// HardWait is the predicted time above which everybody of priority 0 is
-	// refused. Default 6s.
+	// HardWait is the predicted time to first token above which every request of
+	// priority 0 is refused. Default 6s.
 	HardWait time.Duration
-	// PriorityStep lengthens HardWait for each step of priority, as a factor.
+	// PriorityStep is the factor applied to HardWait per priority level.
 	// Default 1.25.
 	PriorityStep float64
-	// UsageHalfLife is how fast past use stops to count. Default 5s.
+	// UsageHalfLife is the half-life of recorded token usage. Default 5s.
 	UsageHalfLife time.Duration
-	// MaxInFlight bounds requests on this VM. Default 2048.
+	// MaxInFlight bounds the requests in flight on this VM. Default 2048.
 	MaxInFlight int
 }
 
-// DefaultTuning is measured in docs/design/limits.md.
+// DefaultTuning holds the defaults; docs/design/limits.md has the measurements behind them.
 var DefaultTuning = Tuning{
 	SoftWait: 1500 * time.Millisecond, HardWait: 6 * time.Second, PriorityStep: 1.25,
 	UsageHalfLife: 5 * time.Second, MaxInFlight: 2048,
 }
 
-// Limiter is the gatekeeper of one VM. Safe for concurrent use.
+// Limiter admits or refuses the requests of one VM. Safe for concurrent use.
 type Limiter struct {
 	tuning  Tuning
 	allowed *allowance.Limiter
 	now     func() time.Time
 
-	mu       sync.Mutex
-	inFlight int
-	spaces   map[ids.Workspace]*space
-	usage    *usage
+	mu         sync.Mutex
+	inFlight   int
+	workspaces map[ids.Workspace]*workspaceLoad
+	usage      *usage
 }
 
-// space is one workspace's use of this VM.
-type space struct{ inFlight int }
+// workspaceLoad counts one workspace's requests on this VM.
+type workspaceLoad struct{ inFlight int }
 
-// New returns a limiter that keeps workspaces to their allowances. now is nil for that of
-// package clock.
+// New returns a limiter that enforces the workspaces' allowances. If now is nil, it uses
+// clock.Now.
 func New(t Tuning, allowed *allowance.Limiter, now func() time.Time) *Limiter {
 	if now == nil {
 		now = clock.Now
 	}
-	return &Limiter{tuning: t, allowed: allowed, now: now, spaces: map[ids.Workspace]*space{}, usage: newUsage(t.UsageHalfLife)}
+	return &Limiter{tuning: t, allowed: allowed, now: now, workspaces: map[ids.Workspace]*workspaceLoad{}, usage: newUsage(t.UsageHalfLife)}
 }
 
-// burstSeconds is how many seconds of its rate a workspace may use at once.
+// burstSeconds is the burst size of a workspace, in seconds of its rate.
 const burstSeconds = 2
 
-// AllowanceOf returns what a workspace may use over all VMs, in requests.
+// AllowanceOf returns a workspace's request allowance over all VMs.
 func AllowanceOf(l config.Limits) allowance.Limit {
 	return allowance.Limit{Rate: l.RequestsPerSecond, Burst: max(l.RequestsPerSecond*burstSeconds, 1)}
 }
 
-// retryCapacity is when to come back after a refusal for capacity.
+// retryCapacity is the Retry-After of a refusal for lack of capacity.
 const retryCapacity = 500 * time.Millisecond
 
-// Admit takes one request in. The release function must be called once when the
-// request ends.
+// Admit counts a request as in flight, or refuses it if the VM or the workspace is at
+// a limit. The caller must call release exactly once, when the request ends.
 func (l *Limiter) Admit(ws ids.Workspace, limits config.Limits) (release func(), refusal *outcome.Error) {
 	l.allowed.SetLimit(ws, AllowanceOf(limits))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.inFlight >= l.tuning.MaxInFlight {
-		return nil, refuse(outcome.CodeOverloaded, "this VM is full", retryCapacity)
+		return nil, refuse(outcome.CodeOverloaded, "this VM is at its limit of requests in flight", retryCapacity)
 	}
-	s := l.space(ws)
+	s := l.workspace(ws)
 	if s.inFlight >= max(1, int(float64(limits.Concurrency)*l.allowed.Part(ws))) {
-		return nil, refuse(outcome.CodeRateLimited, "the workspace has too many requests in flight", retryCapacity)
+		return nil, refuse(outcome.CodeRateLimited, "the workspace is at its limit of requests in flight", retryCapacity)
 	}
-	judged := l.allowed.Take(allowance.Call{Workspace: ws, Cost: 1})
-	if !judged.Admitted {
-		return nil, refuse(outcome.CodeRateLimited, "the workspace is over its rate", judged.ComeBack)
+	decision := l.allowed.Take(allowance.Call{Workspace: ws, Cost: 1})
+	if !decision.Admitted {
+		return nil, refuse(outcome.CodeRateLimited, "the workspace is over its rate limit", decision.ComeBack)
 	}
 	l.inFlight++
 	s.inFlight++
@@ -105,32 +106,33 @@
 	return outcome.New(outcome.NotRun, code, "admit", "", message).After(after)
 }
 
-// space returns a workspace's use.
-func (l *Limiter) space(ws ids.Workspace) *space {
-	s := l.spaces[ws]
+// workspace returns a workspace's counts. The caller holds l.mu.
+func (l *Limiter) workspace(ws ids.Workspace) *workspaceLoad {
+	s := l.workspaces[ws]
 	if s == nil {
-		s = &space{}
-		l.spaces[ws] = s
+		s = &workspaceLoad{}
+		l.workspaces[ws] = s
 	}
 	return s
 }
 
-func (l *Limiter) release(s *space) {
+func (l *Limiter) release(s *workspaceLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
 	s.inFlight--
 }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of admitted requests that have not ended.
 func (l *Limiter) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inFlight
 }
 
-// Check is the overload gate: it judges a request by its predicted time to first
-// token, and counts the tokens of one that may go on.
+// Check refuses a request if its predicted time to first token exceeds the bound for
+// its priority and for its workspace's recent usage. Otherwise it adds the request's
+// tokens to that usage.
 func (l *Limiter) Check(ws ids.Workspace, priority int, tokens int32, predicted time.Duration) *outcome.Error {
 	now := l.now()
 	l.mu.Lock()
@@ -138,7 +140,7 @@
 	over := l.usage.overShare(ws, now)
 	waits := verdict.Waits{Soft: l.tuning.SoftWait, Hard: l.tuning.HardWait, Step: l.tuning.PriorityStep}
 	if limit := waits.Longest(priority, over); predicted > limit {
-		return refuse(outcome.CodeOverloaded, "the engines are full", predicted-limit+retryCapacity)
+		return refuse(outcome.CodeOverloaded, "the engines are overloaded", predicted-limit+retryCapacity)
 	}
 	l.usage.add(ws, float64(tokens), now)
 	return nil
--- a/internal/admission/sharing_test.go
+++ b/internal/admission/sharing_test.go
@@ -10,7 +10,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// sharing runs VMs that divide one workspace's rate, in virtual time.
+// sharing simulates VMs that share one workspace's rate limit, in virtual time.
 type sharing struct {
 	now    time.Time
 	shares []*allowance.Limiter
@@ -41,8 +41,9 @@
 	return s
 }
 
-// run lets callers ask each VM at a rate, with VMs of one side hearing each other
-// once a second, and returns the requests admitted in each second.
+// run sends requests to each VM at the given rate, while the VMs of one side of a network
+// partition exchange their usage once a second. It returns the requests admitted in each
+// second.
 func (s *sharing) run(seconds int, rate func(vm int) float64, side func(vm int) int) []int {
 	var admitted []int
 	debt := make([]float64, sharingVMs)
@@ -59,7 +60,7 @@
 				}
 			}
 		}
-		s.tell(side)
+		s.exchange(side)
 		for _, sh := range s.shares {
 			sh.Sweep()
 		}
@@ -68,7 +69,7 @@
 	return admitted
 }
 
-func (s *sharing) tell(side func(vm int) int) {
+func (s *sharing) exchange(side func(vm int) int) {
 	for i, from := range s.shares {
 		uses := from.Told()
 		for j, to := range s.shares {
@@ -89,8 +90,9 @@
 	return sum
 }
 
-// TestSharedRate: a rate divided between VMs is used well and not exceeded by much,
-// while demand moves from all VMs to one, and while a cut leaves two VMs alone.
+// TestSharedRate checks that VMs that share a rate limit use most of it and exceed it
+// little, while demand moves from all VMs to one and back, and while a network partition
+// separates two VMs from the other six.
 func TestSharedRate(t *testing.T) {
 	s := newSharing()
 	together := func(int) int { return 0 }
@@ -101,24 +103,24 @@
 		}
 		return 0
 	}
-	cut := func(vm int) int { return vm / 6 } // six VMs, and two
+	cut := func(vm int) int { return vm / 6 } // six VMs and two VMs
 	for _, phase := range []struct {
 		name       string
 		admitted   []int
-		settle     int     // seconds that may pass before it is used well
-		high, used float64 // bounds, as parts of the limit
+		settle     int     // seconds allowed for convergence
+		high, used float64 // upper and lower bound of the admitted rate, as fractions of the limit
 	}{
 		{"even demand", s.run(20, even, together), 5, 1.3, 0.9},
 		{"all demand at one VM", s.run(20, one, together), 8, 1.3, 0.8},
 		{"even again", s.run(20, even, together), 8, 1.6, 0.9},
-		{"cut into six and two", s.run(20, even, cut), 8, 1.3, 0.9},
+		{"partition into six and two", s.run(20, even, cut), 8, 1.3, 0.9},
 	} {
-		whole := float64(total(phase.admitted)) / float64(len(phase.admitted)) / sharingLimit
+		overall := float64(total(phase.admitted)) / float64(len(phase.admitted)) / sharingLimit
 		settled := phase.admitted[phase.settle:]
 		used := float64(total(settled)) / float64(len(settled)) / sharingLimit
-		t.Logf("%s: %.2f of the limit over 20 s, %.2f once settled, by second %v", phase.name, whole, used, phase.admitted)
-		if whole > phase.high || used < phase.used || used > 1.1 {
-			t.Errorf("%s: %.2f over all, %.2f once settled", phase.name, whole, used)
+		t.Logf("%s: %.2f of the limit over 20 s, %.2f after convergence, by second %v", phase.name, overall, used, phase.admitted)
+		if overall > phase.high || used < phase.used || used > 1.1 {
+			t.Errorf("%s: %.2f of the limit over 20 s, %.2f after convergence", phase.name, overall, used)
 		}
 	}
 }
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -7,79 +7,80 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// usage is a decaying count of tokens by workspace.
+// usage holds exponentially decaying token counts by workspace.
 type usage struct {
-	halfLife time.Duration
-	by       map[ids.Workspace]*used
-	total    float64
-	weights  float64 // of workspaces with recent use
-	sweptAt  time.Time
+	halfLife    time.Duration
+	byWorkspace map[ids.Workspace]*tokenUsage
+	total       float64
+	weights     float64 // sum over workspaces with recent usage
+	lastSweep   time.Time
 }
 
-type used struct {
+type tokenUsage struct {
 	tokens float64
 	weight float64
 	at     time.Time
 }
 
-// forgetBelow is the use, in tokens, at which a workspace no longer counts.
-const forgetBelow = 1
+// minTokens is the usage, in tokens, below which a workspace's entry is deleted.
+const minTokens = 1
 
-// sweepEvery bounds how often idle workspaces are looked for.
-const sweepEvery = time.Second
+// minSweepInterval is the least interval between two sweeps.
+const minSweepInterval = time.Second
 
 func newUsage(halfLife time.Duration) *usage {
-	return &usage{halfLife: halfLife, by: map[ids.Workspace]*used{}}
+	return &usage{halfLife: halfLife, byWorkspace: map[ids.Workspace]*tokenUsage{}}
 }
 
 func (u *usage) weight(ws ids.Workspace, w float64) {
-	if x := u.by[ws]; x != nil {
+	if x := u.byWorkspace[ws]; x != nil {
 		x.weight = w
 		return
 	}
-	u.by[ws] = &used{weight: w}
+	u.byWorkspace[ws] = &tokenUsage{weight: w}
 }
 
 func (u *usage) add(ws ids.Workspace, tokens float64, now time.Time) {
-	x := u.by[ws]
+	x := u.byWorkspace[ws]
 	if x == nil {
-		x = &used{weight: 1}
-		u.by[ws] = x
+		x = &tokenUsage{weight: 1}
+		u.byWorkspace[ws] = x
 	}
 	x.tokens = u.decayed(x, now) + tokens
 	x.at = now
 }
 
-func (u *usage) decayed(x *used, now time.Time) float64 {
+func (u *usage) decayed(x *tokenUsage, now time.Time) float64 {
 	if x.tokens == 0 {
 		return 0
 	}
 	return x.tokens * math.Exp2(-float64(now.Sub(x.at))/float64(u.halfLife))
 }
 
-// overShare returns a workspace's recent use relative to its fair share among
-// the workspaces with recent use: 1 is exactly its share. Alone it has all.
+// overShare returns a workspace's recent usage divided by its fair share among the
+// workspaces with recent usage: 1 is exactly its share. A single active workspace has
+// the whole capacity as its share.
 func (u *usage) overShare(ws ids.Workspace, now time.Time) float64 {
-	if now.Sub(u.sweptAt) > sweepEvery {
+	if now.Sub(u.lastSweep) > minSweepInterval {
 		u.sweep(now)
 	}
-	x := u.by[ws]
+	x := u.byWorkspace[ws]
 	if x == nil || u.total <= 0 || u.weights <= 0 {
 		return 0
 	}
-	return (u.decayed(x, now) / u.total) / (max(x.weight, forgetWeight) / u.weights)
+	return (u.decayed(x, now) / u.total) / (max(x.weight, minWeight) / u.weights)
 }
 
-// forgetWeight guards against a weight of zero.
-const forgetWeight = 1e-6
+// minWeight prevents a division by a weight of zero.
+const minWeight = 1e-6
 
-// sweep recounts totals and forgets idle workspaces.
+// sweep recomputes the totals and deletes the entries of idle workspaces.
 func (u *usage) sweep(now time.Time) {
-	u.sweptAt, u.total, u.weights = now, 0, 0
-	for ws, x := range u.by {
+	u.lastSweep, u.total, u.weights = now, 0, 0
+	for ws, x := range u.byWorkspace {
 		t := u.decayed(x, now)
-		if t < forgetBelow && !x.at.IsZero() {
-			delete(u.by, ws)
+		if t < minTokens && !x.at.IsZero() {
+			delete(u.byWorkspace, ws)
 			continue
 		}
 		if t > 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet gathers what routing decides on: it joins membership, cache
-// beliefs and load into an immutable snapshot and per-request inputs.
+// Package fleet gathers the inputs of routing decisions. It joins membership, the
+// cache view and load estimates into an immutable snapshot and per-request inputs.
 package fleet
 
 import (
@@ -16,22 +16,22 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Snapshot is one immutable picture of all targets.
+// Snapshot is an immutable view of all targets at one point in time.
 type Snapshot struct {
 	View     routing.View
 	statuses []membership.TargetStatus
 	nums     []cacheview.TargetNum
-	base     []routing.Input // what does not change until the next snapshot
-	places   []places
+	base     []routing.Input // the inputs that don't change until the next snapshot
+	batches  []batch
 	handles  []loadview.Handle
 	reports  []loadview.Report
 	maxNum   int
 	at       time.Time
-	changes  uint64 // Fleet.changes when it was begun
+	changes  uint64 // Fleet.changes when the refresh began
 }
 
-// places are a target's places in its batch, and how many are taken.
-type places struct{ slots, running int }
+// batch is the size of a target's batch and the number of requests running in it.
+type batch struct{ slots, running int }
 
 // State returns one target's state by its index in View.
 func (s *Snapshot) State(i int) routing.State { return s.statuses[i].State }
@@ -39,8 +39,8 @@
 // Status returns one target's status by its index in View.
 func (s *Snapshot) Status(i int) *membership.TargetStatus { return &s.statuses[i] }
 
-// mark calls f with a target's index, if the snapshot has it.
-func (s *Snapshot) mark(id ids.Target, f func(i int)) {
+// withIndex calls f with a target's index in View, if the snapshot contains the target.
+func (s *Snapshot) withIndex(id ids.Target, f func(i int)) {
 	for i := range s.statuses {
 		if s.statuses[i].ID == id {
 			f(i)
@@ -48,13 +48,16 @@
 	}
 }
 
-// rest is how much longer a target rests, by its index in View; zero or less: it does not.
-func (s *Snapshot) rest(i int, now time.Time) time.Duration { return s.statuses[i].Rest - s.Age(now) }
+// restLeft returns how much longer a target asks not to be sent requests, by its index in
+// View. Zero or less means that it takes requests.
+func (s *Snapshot) restLeft(i int, now time.Time) time.Duration {
+	return s.statuses[i].Rest - s.Age(now)
+}
 
-// Age returns how long ago the snapshot was made.
+// Age returns the time since the snapshot was taken.
 func (s *Snapshot) Age(now time.Time) time.Duration { return now.Sub(s.at) }
 
-// Fleet makes snapshots and decisions. Safe for concurrent use.
+// Fleet takes snapshots and makes routing decisions. Safe for concurrent use.
 type Fleet struct {
 	Members *membership.Table
 	Cache   *cacheview.Index
@@ -63,40 +66,42 @@
 	policy     *routing.Router
 	counter    atomic.Uint64
 	snap       atomic.Pointer[Snapshot]
-	changes    atomic.Uint64 // that a decision must not miss
+	changes    atomic.Uint64 // counts MarkDirty calls
 	refreshing sync.Mutex
 	scratch    sync.Pool
 	now        func() time.Time
-	crossing   crossing
-	rate       float64 // prefill rate of targets that don't tell theirs, in tokens/s
+	transit    transit
+	rate       float64 // default prefill rate, in tokens/s
 
-	// KnownFraction tells which part of a service's targets this VM knows, 0 to 1. Nil: all.
+	// KnownFraction returns the fraction of a service's targets that this VM knows, 0 to 1.
+	// Nil means that it knows all.
 	KnownFraction func(service string) float64
-	// MaxSnapshotAge is how old a snapshot may be that a decision rests on. Zero: as old as the last
-	// Refresh.
+	// MaxSnapshotAge bounds the age of the snapshot used for a decision. Zero means that
+	// decisions use the last snapshot, however old.
 	MaxSnapshotAge time.Duration
 }
 
-// SetDefaultPrefillRate sets the prefill rate of targets that don't tell theirs, in tokens/s.
-// It is called before the first decision.
+// SetDefaultPrefillRate sets the prefill rate, in tokens/s, assumed while no target reports
+// one. It must be called before the first decision.
 func (f *Fleet) SetDefaultPrefillRate(tokens float64) { f.rate = tokens }
 
-// New returns a fleet over the given parts. now is nil for the wall clock.
+// New returns a fleet over the given components. If now is nil, it uses clock.Now.
 func New(m *membership.Table, c *cacheview.Index, l *loadview.Tracker, policy *routing.Router, now func() time.Time) *Fleet {
 	if now == nil {
 		now = clock.Now
 	}
 	f := &Fleet{Members: m, Cache: c, Load: l, policy: policy, now: now, rate: defaultPrefillRate}
 	f.scratch.New = func() any { return &Scratch{} }
-	m.Limits.Usual = f.usual
+	m.Limits.Usual = f.expectedRate
 	f.Refresh()
 	return f
 }
 
-// Refresh makes a new snapshot. A duty calls it every few tens of milliseconds.
+// Refresh takes a new snapshot. A background task calls it every few tens of
+// milliseconds.
 //
-// One refresh follows the other: one that began earlier would otherwise put an
-// older picture in the place of a newer one.
+// Refreshes are serialized: otherwise one that began earlier could replace a newer
+// snapshot with an older one.
 func (f *Fleet) Refresh() *Snapshot {
 	f.refreshing.Lock()
 	defer f.refreshing.Unlock()
@@ -116,7 +121,7 @@
 		s.View.Targets[i] = routing.Target{
 			ID: st.ID, FailureDomain: st.Record.FailureDomain, Model: st.Record.Model,
 			Weights: st.Weights, Service: st.Record.Service, Incarnation: st.Incarnation,
-			Addr: st.Record.Addr, Hash: routing.HashTarget(st.ID), WeightsNumber: numberOf(st.Weights), Software: st.Record.Software,
+			Addr: st.Record.Addr, Hash: routing.HashTarget(st.ID), WeightsNumber: weightsNumber(st.Weights), Software: st.Record.Software,
 		}
 		f.fill(s, i, assumed)
 	}
@@ -124,8 +129,8 @@
 	return s
 }
 
-// numberOf reads a weights version that is a number; zero if it is none.
-func numberOf(w ids.WeightsVersion) uint64 {
+// weightsNumber returns a weights version as a number, or zero if it is not numeric.
+func weightsNumber(w ids.WeightsVersion) uint64 {
 	n, err := strconv.ParseUint(string(w), 10, 64)
 	if err != nil {
 		return 0
@@ -137,13 +142,14 @@
 	n := len(statuses)
 	s := &Snapshot{
 		statuses: statuses, at: now, nums: make([]cacheview.TargetNum, n), base: make([]routing.Input, n),
-		places: make([]places, n), handles: make([]loadview.Handle, n), reports: make([]loadview.Report, n),
+		batches: make([]batch, n), handles: make([]loadview.Handle, n), reports: make([]loadview.Report, n),
 	}
 	s.View.Targets = make([]routing.Target, n)
 	return s
 }
 
-// fill prepares what decisions need of one target.
+// fill computes the snapshot's data of one target. assumed is the prefill rate of a target
+// that reports none, in tokens/s.
 func (f *Fleet) fill(s *Snapshot, i int, assumed float64) {
 	st := &s.statuses[i]
 	rate := st.Report.PrefillRate
@@ -154,16 +160,17 @@
 		State: st.State, BreakerOpen: st.BreakerOpen, SlowStart: st.SlowStart, PrefillRate: float32(rate),
 		FailRate: st.FailRate, Resting: st.Rest > 0,
 	}
-	s.places[i] = places{slots: st.Report.Slots, running: st.Report.Running}
+	s.batches[i] = batch{slots: st.Report.Slots, running: st.Report.Running}
 	if st.Report.Slots == 0 {
-		s.places[i].slots = st.Record.Slots
+		s.batches[i].slots = st.Record.Slots
 	}
-	s.base[i].Slots = int32(s.places[i].slots)
+	s.base[i].Slots = int32(s.batches[i].slots)
 	s.handles[i] = f.Load.Handle(st.ID)
 	s.reports[i] = loadview.Report{Queued: st.Report.QueuedTokens, Rate: rate, Age: st.ReportAge}
 }
 
-// assumedRate is the mean prefill rate of the targets that told theirs.
+// assumedRate returns the mean prefill rate of the targets that report one, or the default
+// rate if none does.
 func (f *Fleet) assumedRate(statuses []membership.TargetStatus) float64 {
 	sum, n := 0.0, 0
 	for i := range statuses {
@@ -181,32 +188,32 @@
 // StateOf returns a target's state.
 func (f *Fleet) StateOf(id ids.Target) routing.State { return f.Members.State(id, f.now()) }
 
-// NoContact tells whether a target answers nothing, as far as is known.
+// NoContact reports whether a target answers no VM, as far as this VM knows.
 func (f *Fleet) NoContact(id ids.Target) bool { return f.Members.NoContact(id, f.now()) }
 
-// Declines tells whether a target takes nothing from this VM now since it said so.
+// Declines reports whether a target has asked this VM not to send it requests now.
 func (f *Fleet) Declines(id ids.Target) bool { return f.Members.Declines(id, f.now()) }
 
 // WorkOf returns the work at a target, as far as this VM knows, and how long a new
-// request would wait for its turn there.
+// request would wait until the target starts it.
 func (f *Fleet) WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration) {
 	l = f.Load.Total(id)
 	return l, time.Duration(l.Pending / f.rate * float64(time.Second))
 }
 
-// LoadAge returns how old what is known of a target's load is, by its index in the
-// snapshot's View.
+// LoadAge returns the age of the data behind a target's load estimate, by the target's
+// index in the snapshot's View.
 func (f *Fleet) LoadAge(s *Snapshot, i int) time.Duration {
 	now := f.now()
 	return f.Load.EstimateAge(s.statuses[i].ReportAge+s.Age(now), now)
 }
 
-// MarkDirty asks for a fresh snapshot before the next decision: something
-// happened that must not wait for the duty.
+// MarkDirty requests a new snapshot before the next decision, for a change that must not
+// wait for the next periodic refresh.
 func (f *Fleet) MarkDirty() { f.changes.Add(1) }
 
-// Snapshot returns the newest snapshot. It shows all changes that were marked
-// before, also while a refresh for them is still under way.
+// Snapshot returns the newest snapshot. It includes all changes marked before the call,
+// also while a refresh for them is in progress.
 func (f *Fleet) Snapshot() *Snapshot {
 	if s := f.snap.Load(); s.changes == f.changes.Load() && (f.MaxSnapshotAge <= 0 || s.Age(f.now()) < f.MaxSnapshotAge) {
 		return s
@@ -214,8 +221,8 @@
 	return f.Refresh()
 }
 
-// part is which part of a service's targets this VM knows.
-func (f *Fleet) part(service string) float64 {
+// knownFraction returns the fraction of a service's targets that this VM knows.
+func (f *Fleet) knownFraction(service string) float64 {
 	if f.KnownFraction == nil {
 		return 1
 	}
@@ -225,14 +232,15 @@
 // PolicyName returns the name of the policy in force.
 func (f *Fleet) PolicyName() string { return f.policy.Name }
 
-// SetFirstSeed sets where Seed begins. VMs that begin at the same number draw the same
-// targets at the same time. It is called before the first decision.
+// SetFirstSeed sets the number from which Seed counts up. VMs that start at the same
+// number sample the same targets at the same time, so the numbers should differ. It must
+// be called before the first decision.
 func (f *Fleet) SetFirstSeed(n uint64) { f.counter.Store(n) }
 
-// Seed returns a number that differs from decision to decision.
+// Seed returns a number that is different for each decision.
 func (f *Fleet) Seed() uint64 { return f.counter.Add(1) }
 
-// Scratch is the reusable memory of one decision.
+// Scratch holds the reusable buffers of one decision.
 type Scratch struct {
 	Routing  routing.Scratch
 	Inputs   []routing.Input
@@ -240,28 +248,29 @@
 	loads    []loadview.Load
 }
 
-// Acquire returns scratch memory; give it back with Release.
+// Acquire returns scratch buffers. The caller returns them with Release.
 func (f *Fleet) Acquire() *Scratch { return f.scratch.Get().(*Scratch) }
 
-// Release takes scratch memory back.
+// Release returns scratch buffers to the pool.
 func (f *Fleet) Release(s *Scratch) { f.scratch.Put(s) }
 
-// Decide gathers inputs and picks a target among those not tried yet. The request counts as
-// sent against the target's rate limit; GiveBack takes that back.
+// Decide gathers the inputs and picks a target that is not in tried. It counts the request
+// against the target's rate limit; GiveBack undoes that.
 func (f *Fleet) Decide(r *routing.Request, tried []ids.Target, sc *Scratch) (*Snapshot, routing.Decision) {
 	snap := f.Snapshot()
-	r.InTransit = f.crossing.sent(r.Service, f.Load, f.now()) * float32(f.part(r.Service))
+	r.InTransit = f.transit.countSent(r.Service, f.Load, f.now()) * float32(f.knownFraction(r.Service))
 	for {
 		f.gather(snap, r, tried, sc)
 		d := f.policy.Decide(r, &snap.View, sc.Inputs, &sc.Routing)
 		if d.Index < 0 || f.Members.Limits.Take(snap.View.Targets[d.Index].ID) {
 			return snap, d
 		}
-		// Another request has taken the last place meanwhile.
+		// A concurrent request has used up the target's rate limit; decide again.
 	}
 }
 
-// GiveBack notes that nothing was sent of a request for which Decide picked the target.
+// GiveBack undoes the count against the target's rate limit after Decide picked the target
+// but nothing was sent to it.
 func (f *Fleet) GiveBack(id ids.Target) { f.Members.Limits.Return(id) }
 
 func (f *Fleet) gather(snap *Snapshot, r *routing.Request, tried []ids.Target, sc *Scratch) {
@@ -286,27 +295,28 @@
 		in := &sc.Inputs[i]
 		in.Cached = sc.overlaps[snap.nums[i]]
 		in.QueueTokens = float32(sc.loads[i].QueueTokens)
-		in.SlotWait = snap.places[i].wait(sc.loads[i].InFlight)
+		in.SlotWait = snap.batches[i].wait(sc.loads[i].InFlight)
 		in.InFlight = int32(sc.loads[i].InFlight)
 		in.PrefillRate /= float32(sc.loads[i].Slowdown)
-		in.Resting = in.Resting && snap.rest(i, now) > 0
+		in.Resting = in.Resting && snap.restLeft(i, now) > 0
 	}
 	for _, t := range tried {
-		snap.mark(t, func(i int) { sc.Inputs[i].Tried = true })
+		snap.withIndex(t, func(i int) { sc.Inputs[i].Tried = true })
 	}
 	for _, r := range f.Members.Limits.Rooms() {
-		snap.mark(r.Target, func(i int) { sc.Inputs[i].RateLimited, sc.Inputs[i].Reserved = !r.Free, r.Free })
+		snap.withIndex(r.Target, func(i int) { sc.Inputs[i].RateLimited, sc.Inputs[i].Reserved = !r.Free, r.Free })
 	}
 }
 
-// defaultPrefillRate is assumed until any target has told its rate, in tokens/s.
+// defaultPrefillRate is the prefill rate assumed until a target reports one, in tokens/s.
 const defaultPrefillRate = 20_000
 
-// slotSeconds is the expected wait for each request beyond the batch's places.
+// slotSeconds is the expected wait, in seconds, per request beyond the batch's slots.
 const slotSeconds = 0.25
 
-// wait is the expected wait for a place in the batch, in seconds.
-func (p places) wait(own int) float32 {
+// wait returns the expected wait for a slot in the batch, in seconds. own is the estimated
+// number of requests in flight.
+func (p batch) wait(own int) float32 {
 	over := max(p.running, own) + 1 - p.slots
 	if p.slots == 0 || over <= 0 {
 		return 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,10 +12,10 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestSnapshotShowsMarkedChanges holds a refresh up that was begun for a new
-// target: a decision meanwhile must see the target. It got the snapshot from before,
-// and calls were refused for want of replicas right after a VM was ready (soak seeds
-// 1, 3 and 110).
+// TestSnapshotShowsMarkedChanges blocks a refresh that was started for a new target and
+// checks that a concurrent decision sees the target. Such a decision used to get the previous
+// snapshot, so calls were refused for lack of replicas right after a VM became ready (soak
+// seeds 1, 3 and 110).
 func TestSnapshotShowsMarkedChanges(t *testing.T) {
 	var hold atomic.Bool
 	entered, release := make(chan struct{}), make(chan struct{})
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -10,8 +10,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// ApplySignals takes in what a target said of itself in an answer to a request that was sent at a
-// time, and returns what of it is news. An incarnation of zero is the one that is known.
+// ApplySignals applies the signals that a target gave in its answer to a request sent at the
+// given time, and returns what they changed. An incarnation of zero stands for the known one.
 func (f *Fleet) ApplySignals(id ids.Target, inc ids.Incarnation, s membership.Signals, sent time.Time) membership.SignalChange {
 	if inc == 0 {
 		inc = f.Members.Incarnation(id)
@@ -23,51 +23,55 @@
 	return change
 }
 
-// ApplyPeerLimit takes in what a peer knows of a target's limit, and returns whether that is news. A
-// word of another incarnation than this VM knows waits until it knows that one, too: a garbled
-// one would shut out all that the target says itself.
+// ApplyPeerLimit applies a peer's report of a target's rate limit, and returns whether the
+// limit changed. It does not apply a report for another incarnation until this VM knows that
+// incarnation, too: a corrupted one, if too high, would make the limiter ignore all of the
+// target's own signals.
 func (f *Fleet) ApplyPeerLimit(w ratelimit.Word) (changed bool) {
 	return w.Incarnation == f.Members.Incarnation(w.Target) && f.Members.Limits.Heard(w)
 }
 
-// usual is how many requests a second a target gets from all VMs, about: as many as the
-// others of its service.
-func (f *Fleet) usual(id ids.Target) float64 {
+// expectedRate estimates how many requests per second a target gets from all VMs, assuming
+// that each target of its service gets the same number.
+func (f *Fleet) expectedRate(id ids.Target) float64 {
 	s := f.snap.Load()
 	service := ""
-	s.mark(id, func(i int) { service = s.View.Targets[i].Service })
+	s.withIndex(id, func(i int) { service = s.View.Targets[i].Service })
 	n := 0
 	for i := range s.View.Targets {
 		if s.View.Targets[i].Service == service && s.base[i].State > routing.Leaving {
 			n++
 		}
 	}
-	return f.crossing.perTarget(service, n, f.now()) * f.part(service)
+	return f.transit.ratePerTarget(service, n, f.now()) * f.knownFraction(service)
 }
 
-// longestReturn bounds when a caller should come back: other VMs may have room sooner.
-const longestReturn = 3 * time.Second
+// maxRetryAfter bounds the Retry-After of a refused request: other VMs may have capacity
+// sooner.
+const maxRetryAfter = 3 * time.Second
 
-// RetryAfter is when a caller should come back for whose request Decide found no target. Where
-// targets asked not to be sent more, that is when the first of them takes a request again,
-// and some time besides by chance: one request in that time is all that it takes. least is the
-// answer where there is no such target.
+// RetryAfter returns when a caller should retry a request for which Decide found no target.
+// If targets were passed over because of their rate limit or requested pause, that is when
+// the first of them takes a request again, plus a random part of the interval at which that
+// target takes requests, since it takes only one per interval. If no target was passed over
+// for that reason, the result is least, which is also the lower bound.
 func (f *Fleet) RetryAfter(r *routing.Request, snap *Snapshot, sc *Scratch, least time.Duration) time.Duration {
-	wait, room, known := f.wait(r, snap, sc)
+	wait, interval, known := f.limitWait(r, snap, sc)
 	if !known {
 		return least
 	}
-	if room > 0 {
-		wait += rand.N(room)
+	if interval > 0 {
+		wait += rand.N(interval)
 	}
-	return max(min(wait, longestReturn), least)
+	return max(min(wait, maxRetryAfter), least)
 }
 
-// wait returns when this VM could send a request to a target that Decide passed over for what
-// that asked for, counted from now. room is the time between two such requests; zero: many
-// may be sent then. known is false if there is no such target, or one that was passed over for
-// what passes sooner: a breaker, or an attempt of this request.
-func (f *Fleet) wait(r *routing.Request, snap *Snapshot, sc *Scratch) (wait, room time.Duration, known bool) {
+// limitWait returns how long this VM must wait until a target that Decide passed over because
+// of its rate limit or requested pause takes a request. interval is the time between two such
+// requests; zero means that many may be sent then. known is false if there is no such target,
+// or if a target was passed over for a reason that ends sooner: an open breaker, or an earlier
+// attempt of this request.
+func (f *Fleet) limitWait(r *routing.Request, snap *Snapshot, sc *Scratch) (wait, interval time.Duration, known bool) {
 	for i := range sc.Inputs {
 		in := &sc.Inputs[i]
 		if in.State <= routing.Leaving || (routing.ServesFilter{}).Check(r, &snap.View.Targets[i], in) != routing.Passed {
@@ -77,10 +81,10 @@
 			return 0, 0, false
 		}
 		w, between, ok := f.Members.Limits.Wait(snap.View.Targets[i].ID)
-		w = max(w, snap.rest(i, f.now()))
+		w = max(w, snap.restLeft(i, f.now()))
 		if ok && (!known || w < wait) {
-			wait, room, known = w, between, true
+			wait, interval, known = w, between, true
 		}
 	}
-	return wait, room, known
+	return wait, interval, known
 }
--- a/internal/fleet/signals_test.go
+++ b/internal/fleet/signals_test.go
@@ -13,9 +13,10 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestComeBack tells a caller to come back when the first target that asked not to be sent more
-// takes a request again; and soon, where another target was passed over for what passes soon.
-func TestComeBack(t *testing.T) {
+// TestRetryAfter checks that a refused caller is asked to retry when the first target with a
+// rate limit or requested pause takes a request again, and after the least delay if a target
+// was passed over for a reason that ends sooner.
+func TestRetryAfter(t *testing.T) {
 	const least = 200 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
 	tuning := membership.DefaultTuning
@@ -28,43 +29,44 @@
 	records = append(records, platform.Record{ID: "other", Role: platform.RoleService, Service: "other", Incarnation: 1})
 	f.Members.Platform(records, now)
 	f.Refresh()
-	comeBack := func(tried ...ids.Target) time.Duration {
+	retryAfter := func(tried ...ids.Target) time.Duration {
 		sc := f.Acquire()
 		defer f.Release(sc)
 		req := routing.Request{Service: "svc"}
 		snap, d := f.Decide(&req, tried, sc)
 		if d.Index >= 0 {
-			t.Fatalf("%s takes the request", snap.View.Targets[d.Index].ID)
+			t.Fatalf("target %s was picked, want none", snap.View.Targets[d.Index].ID)
 		}
 		return f.RetryAfter(&req, snap, sc, least)
 	}
 	f.ApplySignals("a", 1, membership.Signals{Rest: 2 * time.Second}, now)
-	if got := comeBack("b"); got != least {
-		t.Errorf("come back after %v, though a target was only tried", got)
+	if got := retryAfter("b"); got != least {
+		t.Errorf("retry after %v, want 200ms: one of the targets has only been tried before", got)
 	}
 	f.ApplySignals("b", 0, membership.Signals{Rest: time.Second}, now)
-	if got := comeBack(); got != time.Second {
-		t.Errorf("come back after %v, the first rest ends after a second", got)
+	if got := retryAfter(); got != time.Second {
+		t.Errorf("retry after %v, want 1s, when the first target's pause ends", got)
 	}
 	f.ApplySignals("b", 1, membership.Signals{Limit: ratelimit.PerSecond(0.1)}, now)
-	if got := comeBack(); got != 2*time.Second {
-		t.Errorf("come back after %v, one rests for 2s and the other takes a request in 10s", got)
+	if got := retryAfter(); got != 2*time.Second {
+		t.Errorf("retry after %v, want 2s: one target pauses for 2s and the other takes a request every 10s", got)
 	}
 }
 
-// TestHeardLimitOfAnotherIncarnation leaves out what a peer says of an incarnation that this VM
-// does not know. Taken in, a garbled number would have shut out all that the target itself says.
-func TestHeardLimitOfAnotherIncarnation(t *testing.T) {
+// TestPeerLimitOfAnotherIncarnation checks that a peer's report for an incarnation that this VM
+// does not know is ignored. If it were applied, a corrupted incarnation would make this VM
+// ignore the target's own signals.
+func TestPeerLimitOfAnotherIncarnation(t *testing.T) {
 	f := New(membership.New("vm", membership.DefaultTuning), cacheview.New(1024, nil), loadview.New(), routing.NewFetching(), nil)
 	f.Members.Platform([]platform.Record{{ID: "a", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
 	f.Refresh()
 	if f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
-		t.Error("a word of an unknown incarnation counts")
+		t.Error("a peer's limit for an unknown incarnation was applied")
 	}
 	if !f.ApplySignals("a", 1, membership.Signals{Limit: ratelimit.PerSecond(2)}, time.Now()).Limit {
-		t.Error("what the target says itself does not count")
+		t.Error("the target's own limit was not applied")
 	}
 	if !f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1, Limit: ratelimit.PerSecond(3)}) {
-		t.Error("a word of the known incarnation does not count")
+		t.Error("a peer's limit for the known incarnation was not applied")
 	}
 }
--- /dev/null
+++ b/internal/fleet/transit.go
@@ -0,0 +1,71 @@
+package fleet
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"github.com/threadwall/threadwall/internal/loadview"
+)
+
+// rateTimeConstant is the time in which a call's weight in the call rate decays to 1/e. It
+// covers several calls of a VM that gets a ninetieth of 740 calls/s.
+const rateTimeConstant = 2 * time.Second
+
+// transit estimates how many calls other VMs have sent but not yet reported. It extrapolates
+// from this VM's own call rate, since the load balancer spreads callers evenly over the VMs.
+// Safe for concurrent use.
+type transit struct {
+	mu    sync.Mutex
+	peers int // other VMs
+	calls map[string]*callRate
+}
+
+// callRate is an exponentially decaying count of calls.
+type callRate struct {
+	sum float64
+	at  time.Time
+}
+
+// SetPeerCount sets how many other VMs send to the same targets.
+func (f *Fleet) SetPeerCount(n int) {
+	f.transit.mu.Lock()
+	defer f.transit.mu.Unlock()
+	f.transit.peers = max(n, 0)
+}
+
+// ratePerTarget estimates how many calls per second each of a service's targets gets from
+// all VMs.
+func (c *transit) ratePerTarget(service string, targets int, now time.Time) float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.calls[service]
+	if r == nil || targets == 0 {
+		return 0
+	}
+	return r.now(now) / rateTimeConstant.Seconds() * float64(c.peers+1) / float64(targets)
+}
+
+// now returns the count decayed to the time t.
+func (r *callRate) now(t time.Time) float64 {
+	return r.sum * math.Exp(-t.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
+}
+
+// countSent counts a call of this VM to the service. It returns the estimated number of calls
+// that the other VMs have sent to the service since they last reported their loads.
+func (c *transit) countSent(service string, loads *loadview.Tracker, now time.Time) float32 {
+	age := loads.MeanPeerAge(now)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.calls == nil {
+		c.calls = map[string]*callRate{}
+	}
+	r := c.calls[service]
+	if r == nil {
+		r = &callRate{}
+		c.calls[service] = r
+	}
+	r.sum = r.now(now) + 1
+	r.at = now
+	return float32(r.sum / rateTimeConstant.Seconds() * float64(c.peers) * age.Seconds())
+}
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -1,11 +1,11 @@
-// Package prefix names shared prompt prefixes.
+// Package prefix computes IDs of shared prompt prefixes.
 //
-// A prompt is a list of levels (common terms, tenant layer, contract). Its text
-// is cut into blocks of BlockBytes and each block's hash is chained onto its
-// predecessor's, as prefix-caching engines do; the hash at the last whole block
-// of a level names the prefix up to that level. The chain is seeded with
-// workspace and model, so a name can never match a cache entry of another
-// workspace; package cacheview binds it to a target's weights version.
+// A prompt is a list of levels (common terms, tenant layer, contract). Chain cuts the
+// text into blocks of BlockBytes and chains each block's hash onto that of its
+// predecessor, as prefix-caching engines do. The hash at the last whole block of a
+// level is the ID of the prefix up to that level. The chain's seed contains workspace
+// and model, so an ID never matches a cache entry of another workspace. Package
+// cacheview binds the ID to a target's weights version.
 package prefix
 
 import (
@@ -16,36 +16,37 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// BytesPerToken is the token length assumed where no tokenizer is at hand.
+// BytesPerToken is the token length, in bytes, assumed without a tokenizer.
 const BytesPerToken = 4
 
-// BlockTokens is how many tokens one cached block holds.
+// BlockTokens is the number of tokens in one cached block.
 const BlockTokens = 16
 
-// BlockBytes is the text of one cached block.
+// BlockBytes is the text length of one cached block.
 const BlockBytes = BlockTokens * BytesPerToken
 
-// Chunk sizes of a raw prompt, which declares no levels.
+// Chunking of a raw prompt, which declares no levels.
 const (
 	chunkBytes    = 32 * BlockBytes
 	chunksPerSize = 16
 )
 
-// ID names a prefix up to a level boundary. Zero is no prefix.
+// ID identifies a prefix up to a level boundary. Zero means no prefix.
 type ID uint64
 
-// Level is one boundary of a prompt.
+// Level is one level boundary of a prompt.
 type Level struct {
 	ID     ID    `json:"id"`
-	Tokens int32 `json:"tokens"` // tokens from the prompt's start to here
+	Tokens int32 `json:"tokens"` // from the start of the prompt to the boundary
 }
 
-// Seed starts a chain.
+// Seed returns the initial hash of a chain.
 func Seed(ws ids.Workspace, model ids.Model) uint64 {
 	return xxh3.HashString(string(ws) + "\x00" + string(model))
 }
 
-// NextBlock chains one block onto the hash of its predecessor.
+// NextBlock returns the hash of a block chained onto its predecessor's hash. Bytes of
+// block beyond BlockBytes are ignored.
 func NextBlock(parent uint64, block []byte) uint64 {
 	var buf [8 + BlockBytes]byte
 	binary.LittleEndian.PutUint64(buf[:8], parent)
@@ -53,9 +54,9 @@
 	return xxh3.Hash(buf[:8+n])
 }
 
-// Chain returns the boundaries of a prompt whose levels are the given texts in
-// order, and its total tokens. A level that adds no whole block adds no
-// boundary.
+// Chain returns the level boundaries of a prompt that consists of the given texts in
+// order, and its total number of tokens, rounded up. A level that completes no block
+// has no boundary.
 func Chain(seed uint64, levels []string) ([]Level, int32) {
 	var text []byte
 	for _, l := range levels {
@@ -76,9 +77,9 @@
 	return out, int32((len(text) + BytesPerToken - 1) / BytesPerToken)
 }
 
-// Chunks cuts a raw prompt into levels. Sixteen chunks of one size are followed
-// by sixteen of four times that, so that long prompts have few levels and two
-// prompts with the same start have the same boundaries.
+// Chunks cuts a raw prompt into levels. After every sixteen chunks the chunk size grows
+// fourfold, so that long prompts have few levels, and two prompts with the same
+// beginning have the same boundaries there.
 func Chunks(text string) []string {
 	var out []string
 	size := chunkBytes
--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -6,26 +6,28 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// ServesFilter reads the request's model or service: a target must serve it.
+// ServesFilter rejects targets that don't serve the request's model or service.
 type ServesFilter struct{}
 
-// StateFilter reads the membership state: leaving and dead targets get no work.
+// StateFilter rejects leaving and dead targets.
 type StateFilter struct{}
 
-// BreakerFilter reads this VM's own recent experience with the target.
+// BreakerFilter rejects targets whose circuit breaker on this VM is open.
 type BreakerFilter struct{}
 
-// TriedFilter reads the request's earlier attempts.
+// TriedFilter rejects targets that an earlier attempt of the request used.
 type TriedFilter struct{}
 
-// WeightsFilter reads the target's weights and the wait there: a request must begin
-// while they may still be used. What counts is when it begins, and not when it is sent.
+// WeightsFilter rejects targets with old weights if the request would start there after
+// the time until which these weights may be used. The time at which the request starts
+// counts, not the time at which it is sent.
 type WeightsFilter struct{}
 
-// SignalsFilter reads what the target itself asked for. No want of other targets lifts that.
+// SignalsFilter rejects targets that have asked to be sent no request or fewer requests.
+// Unlike an open breaker, this holds also if no other target is left.
 type SignalsFilter struct{}
 
-// SoftwareFilter reads the target's software: a version that is not in service gets no calls.
+// SoftwareFilter rejects targets outside the request's choice of software version.
 type SoftwareFilter struct{}
 
 var (
@@ -98,9 +100,9 @@
 		}
 		left := b.StartWithin
 		if r.Once {
-			left -= onceMargin
+			left -= onceMarginSeconds
 		}
-		if queueWait(in)*waitDoubt > left {
+		if queueWait(in)*waitSafetyFactor > left {
 			return OldWeights
 		}
 		return Passed // newer versions leave more time
@@ -108,24 +110,23 @@
 	return Passed
 }
 
-// waitDoubt is how many times longer than predicted a wait is taken to be where it must
-// not end too late. It is a guess, on the safe side of the mean: a wrong one costs the
-// request a second send, since it is withdrawn in time.
-const waitDoubt = 2
+// waitSafetyFactor multiplies the predicted wait when a request must start in time. It is
+// an estimate well above the mean. If it is too low, the request is withdrawn in time and
+// sent a second time.
+const waitSafetyFactor = 2
 
-// onceMargin is by how many seconds earlier requests that can't be withdrawn without
-// loss are kept off old weights. At targets that were thought idle requests waited 1.1 to
-// 1.7 s for their turn.
-const onceMargin = 2
+// onceMarginSeconds is how much earlier old weights are avoided for requests that would be
+// lost if withdrawn. At targets that looked idle, requests waited 1.1 to 1.7 s to start.
+const onceMarginSeconds = 2
 
 // HashTarget returns the value for Target.Hash.
 func HashTarget(id ids.Target) uint64 { return xxh3.HashString(string(id)) }
 
-// RendezvousWeight is the rendezvous weight of two hashes for each other.
+// RendezvousWeight returns the rendezvous weight of a pair of hashes.
 func RendezvousWeight(a, b uint64) uint64 { return AffinityOf(a, b) }
 
-// VMWeight is the rendezvous weight of an entry VM for something that few VMs care
-// for, such as a target that is to be probed: equal on all VMs.
+// VMWeight returns the rendezvous weight of a VM for a target, by which VMs agree on the
+// few among them that do something for it, such as probe it. It is equal on all VMs.
 func VMWeight(id ids.Target, vm ids.VM) uint64 {
 	return RendezvousWeight(HashTarget(id), HashTarget(ids.Target(vm)))
 }
--- a/internal/routing/filters_test.go
+++ b/internal/routing/filters_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestWeightsFilter checks that a target with old weights is used only for requests that
-// are expected to begin in time there: what counts is when they begin.
+// are expected to start there in time.
 func TestWeightsFilter(t *testing.T) {
 	r := &Request{OldWeights: []WeightsBound{{OlderThan: 2, StartWithin: -1}, {OlderThan: 3, StartWithin: 4}}}
 	for _, c := range []struct {
@@ -26,10 +26,10 @@
 	r.Once = true
 	for wait, want := range map[float32]Reason{0.9: Passed, 1.1: OldWeights} {
 		if got := (WeightsFilter{}).Check(r, &Target{WeightsNumber: 2}, &Input{SlotWait: wait}); got != want {
-			t.Errorf("a request that can't be withdrawn, with a wait of %v s: got %v, want %v", wait, got, want)
+			t.Errorf("a request that must not be withdrawn, with a wait of %v s: got %v, want %v", wait, got, want)
 		}
 	}
 	if got := (WeightsFilter{}).Check(&Request{}, &Target{}, &Input{SlotWait: 100}); got != Passed {
-		t.Errorf("no version was named: got %v", got)
+		t.Errorf("without bounds on old weights: got %v, want Passed", got)
 	}
 }
--- a/internal/routing/fuzz_test.go
+++ b/internal/routing/fuzz_test.go
@@ -17,8 +17,9 @@
 	m.Run()
 }
 
-// draw draws targets in any state, with any load and belief.
-func draw(rt *rapid.T) (View, []Input, Request) {
+// drawInputs generates targets in arbitrary states, with arbitrary loads and cached prefixes,
+// and a request.
+func drawInputs(rt *rapid.T) (View, []Input, Request) {
 	var v View
 	var in []Input
 	for i := range rapid.IntRange(0, 8).Draw(rt, "targets") {
@@ -41,18 +42,18 @@
 	return v, in, r
 }
 
-// allowed is the filters' meaning in plain words.
+// allowed reports whether the filters should pass a target.
 func allowed(t Target, in Input) bool {
 	return t.Model == "m" && in.State > Leaving && !in.BreakerOpen && !in.Tried
 }
 
-// TestDecisions: a choice is allowed, suspect only if nothing better is; there is a
-// choice whenever there is a target; the same inputs give the same choice, in
-// whatever order the targets stand.
+// TestDecisions checks that a decision picks an allowed target, and a suspect one only if no
+// healthy target is allowed; that it picks a target whenever one is allowed; and that the same
+// inputs lead to the same choice, independent of the order of the targets.
 func TestDecisions(t *testing.T) {
 	policies := []func() *Router{NewCost, NewRoundRobin}
 	rapid.Check(t, func(rt *rapid.T) {
-		v, in, r := draw(rt)
+		v, in, r := drawInputs(rt)
 		p := rapid.SampledFrom(policies).Draw(rt, "policy")()
 		d := p.Decide(&r, &v, in, &Scratch{})
 		any, healthy := false, false
@@ -61,25 +62,25 @@
 			any, healthy = any || ok, healthy || ok && in[i].State != Suspect
 		}
 		if any != (d.Index >= 0) {
-			rt.Fatalf("choice %d, but a target is there: %v", d.Index, any)
+			rt.Fatalf("picked target %d, but an allowed target exists: %v", d.Index, any)
 		}
 		if d.Index < 0 {
 			return
 		}
 		if !allowed(v.Targets[d.Index], in[d.Index]) || healthy && in[d.Index].State == Suspect {
-			rt.Fatalf("chose %+v", in[d.Index])
+			rt.Fatalf("picked a target that is not allowed, or suspect despite a healthy one: %+v", in[d.Index])
 		}
 		if again := p.Decide(&r, &v, in, &Scratch{}); again != d {
-			rt.Fatalf("%+v, then %+v", d, again)
+			rt.Fatalf("the same inputs gave %+v, then %+v", d, again)
 		}
 		if p.Name != "cost" {
-			return // round robin counts in order
+			return // round robin depends on the order of the targets
 		}
 		chosen := v.Targets[d.Index].ID
 		slices.Reverse(v.Targets)
 		slices.Reverse(in)
-		if turned := p.Decide(&r, &v, in, &Scratch{}); v.Targets[turned.Index].ID != chosen {
-			rt.Fatalf("chose %s, and %s in the other order", chosen, v.Targets[turned.Index].ID)
+		if reversed := p.Decide(&r, &v, in, &Scratch{}); v.Targets[reversed.Index].ID != chosen {
+			rt.Fatalf("picked %s, and %s with the targets in reverse order", chosen, v.Targets[reversed.Index].ID)
 		}
 	})
 }
--- a/internal/routing/pickers.go
+++ b/internal/routing/pickers.go
@@ -1,17 +1,18 @@
 package routing
 
-// BandPicker takes the cheapest target; among those within a band above the
-// cheapest it takes the one with the highest rendezvous weight for the prompt's
-// prefix, so that VMs with slightly different pictures agree.
+// BandPicker picks, among the targets within a band above the lowest cost, the one with
+// the highest rendezvous weight for the prompt's prefix. VMs whose snapshots differ
+// slightly therefore agree.
 type BandPicker struct {
-	Ratio   float32 // band relative to the lowest cost
-	Seconds float32 // plus this
+	Ratio   float32 // width of the band relative to the lowest cost
+	Seconds float32 // added to the width
 }
 
-// RandomBandPicker is BandPicker with a seeded random choice within the band.
+// RandomBandPicker picks like BandPicker, but by the request's seed within the band.
 type RandomBandPicker struct{ Ratio, Seconds float32 }
 
-// RoundRobinPicker spreads requests by their seed and ignores costs: a baseline.
+// RoundRobinPicker distributes requests by their seed and ignores costs. It serves as a
+// baseline.
 type RoundRobinPicker struct{}
 
 var (
@@ -78,46 +79,47 @@
 	return -1
 }
 
-// Defaults of the cost policy; docs/design/routing.md gives the measurement.
+// Defaults of the cost policy; docs/design/routing.md has the measurement.
 const (
 	defaultBandRatio       = 0.05
 	defaultBandSeconds     = 0.002
 	defaultDistanceSeconds = 0.004
-	// defaultFetchDistanceSeconds is that where the KV cache moves and not the request: bytes
-	// between failure domains are dear, and a holder elsewhere is as good as one nearby.
+	// defaultFetchDistanceSeconds replaces defaultDistanceSeconds in the fetch policy, under
+	// which the KV cache is transferred instead of the request: bytes between failure domains
+	// are expensive, and a holder in another domain is as good as one nearby.
 	defaultFetchDistanceSeconds = 0.04
 	defaultSlowStart            = 0.25
 	defaultPerSecondWait        = 4
 )
 
-// AllFilters are the filters of every policy.
+// AllFilters holds the filters that every policy applies, in order.
 var AllFilters = []Filter{ServesFilter{}, SoftwareFilter{}, StateFilter{}, BreakerFilter{}, TriedFilter{}, SignalsFilter{}, WeightsFilter{}}
 
-// Defaults of the policy for opaque requests.
+// Defaults of the fetch policy.
 const (
-	// defaultCrowdSeconds is the time for which one request keeps a place, about:
-	// plain services work 15 to 60 ms, and several VMs send to each replica.
-	defaultCrowdSeconds = 0.12
-	// defaultFailureSeconds is what a failed attempt costs: the objective of most
-	// routes.
+	// defaultInFlightSeconds is about the time for which one request occupies a slot: plain
+	// services take 15 to 60 ms per request, and several VMs send to each replica.
+	defaultInFlightSeconds = 0.12
+	// defaultFailureSeconds is the cost of a failed attempt. It equals the latency objective
+	// of most routes.
 	defaultFailureSeconds = 1
-	// defaultOldWeightsSeconds makes a busy target with new weights better than an
-	// idle one with old weights.
+	// defaultOldWeightsSeconds is large enough that a busy target with new weights is
+	// preferred to an idle one with old weights.
 	defaultOldWeightsSeconds = 0.3
-	// defaultCrowd is how many calls may meet at a target before the VMs hear of each other:
-	// engines take so many in one batch.
-	defaultCrowd = 10
-	// defaultDrawn is how many targets are looked at whatever crosses: of two alone a VM may
-	// meet two that are slow.
-	defaultDrawn = 3
-	// defaultAwayPerToken is the price of a token that is computed twice: 3,800 tokens,
-	// a usual level, weigh as much as an answer that comes half a second late.
-	defaultAwayPerToken = 1.3e-4
+	// defaultMaxHerd is how many calls in transit may choose the same target: engines run
+	// that many in one batch.
+	defaultMaxHerd = 10
+	// defaultMinTargets is the least number of targets considered, however many calls are in
+	// transit: two targets might both be slow.
+	defaultMinTargets = 3
+	// defaultOffRendezvousPerToken is the cost of a token that is computed twice, in seconds:
+	// 3,800 tokens, the size of a typical level, cost as much as half a second of latency.
+	defaultOffRendezvousPerToken = 1.3e-4
 )
 
-// NewFetching returns the policy for fleets whose engines take KV cache over from
-// each other: a prefix that is held anywhere costs a move and not a computation,
-// so load and failures weigh more than place.
+// NewFetching returns the policy for fleets whose engines fetch KV cache from each other.
+// A prefix that any target has cached costs a transfer instead of a prefill, so load and
+// failures matter more than where the prefix is cached.
 func NewFetching() *Router {
 	return &Router{
 		Name:    "fetch",
@@ -125,15 +127,15 @@
 		Scorers: []Scorer{
 			QueueScorer{},
 			FetchScorer{},
-			InFlightScorer{Seconds: defaultCrowdSeconds},
+			InFlightScorer{Seconds: defaultInFlightSeconds},
 			FailureScorer{Seconds: defaultFailureSeconds},
 			OldWeightsScorer{Seconds: defaultOldWeightsSeconds},
 			DistanceScorer{Seconds: defaultFetchDistanceSeconds},
 			SlowStartScorer{Seconds: defaultSlowStart},
 		},
-		Picker:       BandPicker{Ratio: defaultBandRatio, Seconds: defaultBandSeconds},
-		Sampling:         Sampling{MinTargets: defaultDrawn, MaxHerd: defaultCrowd},
-		OffRendezvousPerToken: defaultAwayPerToken,
+		Picker:                BandPicker{Ratio: defaultBandRatio, Seconds: defaultBandSeconds},
+		Sampling:              Sampling{MinTargets: defaultMinTargets, MaxHerd: defaultMaxHerd},
+		OffRendezvousPerToken: defaultOffRendezvousPerToken,
 	}
 }
 
@@ -153,7 +155,7 @@
 	}
 }
 
-// NewRoundRobin returns the baseline policy. Seeds must count up.
+// NewRoundRobin returns the baseline policy. The requests' seeds must be consecutive.
 func NewRoundRobin() *Router {
 	return &Router{Name: "round-robin", Filters: AllFilters, Picker: RoundRobinPicker{}}
 }
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Candidate is one eligible target in a recorded decision.
+// Candidate is an eligible target of a recorded decision.
 type Candidate struct {
 	Target ids.Target        `json:"target"`
 	Domain ids.FailureDomain `json:"failure_domain"`
@@ -16,11 +16,12 @@
 	Input  Input             `json:"input"`
 }
 
-// maxCandidates bounds a recorded decision. The cheapest are kept: the choice
-// lies in a narrow band above the lowest cost.
+// maxCandidates bounds the candidates of a recorded decision. The cheapest are kept, since
+// the picked target lies in a narrow band above the lowest cost.
 const maxCandidates = 8
 
-// TopCandidates returns the cheapest candidates of the last decision.
+// TopCandidates returns the cheapest candidates of the last decision made with s, cheapest
+// first.
 func TopCandidates(v *View, in []Input, s *Scratch) []Candidate {
 	var out []Candidate
 	for i, c := range s.costs {
@@ -34,7 +35,7 @@
 
 var reasonNames = [reasonCount]string{"eligible", "other model or service", "not serving", "breaker open", "already tried", "other weights than wanted", "at its rate limit", "resting"}
 
-// FilteredByName returns how many targets each filter turned down.
+// FilteredByName returns how many targets were rejected for each reason.
 func (s *Scratch) FilteredByName() map[string]int {
 	out := map[string]int{}
 	for r, n := range s.Filtered {
@@ -45,10 +46,10 @@
 	return out
 }
 
-// AffinityKey returns the rendezvous key of a request: the first level that no
-// eligible target is believed to hold, since that is what the choice will make
-// some target compute; the deepest level if all are held; the seed if there is
-// none. best is the deepest expected prefix of any eligible target.
+// AffinityKey returns the rendezvous key of a request: the first level that no eligible
+// target is estimated to have cached, since the picked target will compute it; the deepest
+// level if all are cached; the seed if the request has no levels. best is the longest
+// estimated cached prefix of any eligible target, in tokens.
 func AffinityKey(r *Request, best int32) uint64 {
 	for _, l := range r.Levels {
 		if l.Tokens > best {
@@ -61,8 +62,8 @@
 	return r.Seed
 }
 
-// Record is a decision with all that it was made from: enough to explain it and to
-// make it again. Candidates beyond a limit are left out; they were the costlier.
+// Record is a decision with its inputs, sufficient to explain and to replay it. It holds
+// only the cheapest candidates.
 type Record struct {
 	Policy     string            `json:"policy"`
 	Seed       uint64            `json:"seed,string"`
@@ -77,7 +78,7 @@
 	Predicted  float32           `json:"predicted_ttft_s"`
 }
 
-// NewRecord records the last decision made with s.
+// NewRecord returns a record of d, which must be the last decision made with s.
 func NewRecord(policy string, r *Request, v *View, in []Input, s *Scratch, d Decision) Record {
 	rec := Record{
 		Policy: policy, Seed: r.Seed, Tokens: r.Tokens, Weight: r.RecomputeWeight, Levels: r.Levels, Domain: r.FailureDomain,
@@ -89,8 +90,8 @@
 	return rec
 }
 
-// Replay makes a recorded decision again, with the given policy, among the
-// recorded candidates. It returns the choice, empty if there is none.
+// Replay repeats a recorded decision with the given policy among the recorded candidates.
+// It returns the picked target, or the empty string if there is none.
 func Replay(p *Router, rec *Record) ids.Target {
 	r := Request{FailureDomain: rec.Domain, Levels: rec.Levels, Tokens: rec.Tokens, RecomputeWeight: rec.Weight, Seed: rec.Seed}
 	v := View{Targets: make([]Target, len(rec.Candidates))}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,12 +1,12 @@
-// Package routing picks a target for a request: Filter, then Scorer, then Picker.
+// Package routing picks a target for a request in three steps: Filter, Scorer, Picker.
 //
-// A decision is a pure function of a Request, an immutable View, the Inputs
-// gathered for it and a seed. It does no I/O, reads no clock and allocates
-// nothing; the same inputs give the same choice, on any VM and in a replay.
+// A decision is a pure function of a Request, an immutable View, the Inputs gathered
+// for it and a seed. It does no I/O, reads no clock and allocates nothing. The same
+// inputs lead to the same choice on any VM and in a replay.
 //
-// Costs are seconds, so unlike signals are never weighed against each other by
-// taste: a scorer says how many seconds of the caller's time, or of the
-// engines', a choice is expected to cost.
+// All costs are in seconds, so that different signals need no arbitrary relative weights:
+// a scorer returns how many seconds of the caller's or of the engines' time a choice is
+// expected to cost.
 package routing
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// State is a target's state as membership sees it.
+// State is a target's membership state.
 type State uint8
 
-// The states. Only Live, Joining and Suspect targets can be picked, Suspect ones
-// only when nothing better is left.
+// The states. Only Live, Joining and Suspect targets can be picked, and Suspect ones only
+// if there is no other.
 const (
 	Dead State = iota
 	Leaving
@@ -29,7 +29,7 @@
 	Live
 )
 
-// Target is the slowly changing part of what is known of a target.
+// Target holds the attributes of a target that seldom change.
 type Target struct {
 	ID            ids.Target
 	FailureDomain ids.FailureDomain
@@ -38,8 +38,8 @@
 	Service       string
 	Incarnation   ids.Incarnation
 	Addr          string
-	Hash          uint64 // of ID, for rendezvous
-	// WeightsNumber is Weights as a number; zero if it is none.
+	Hash          uint64 // HashTarget(ID), for rendezvous hashing
+	// WeightsNumber is Weights as a number, or zero if it is not numeric.
 	WeightsNumber uint64
 	Software      ids.SoftwareVersion
 }
@@ -47,39 +47,40 @@
 // View is an immutable list of targets.
 type View struct{ Targets []Target }
 
-// Input is the fast changing part, gathered for one decision. Inputs stand in
-// the order of View.Targets.
+// Input holds the state of a target gathered for one decision. Inputs are in the order
+// of View.Targets.
 type Input struct {
 	State       State   `json:"state"`
 	BreakerOpen bool    `json:"breaker_open,omitempty"`
 	Tried       bool    `json:"tried,omitempty"` // by an earlier attempt of this request
-	SlowStart   float32 `json:"slow_start"`      // 0 (just back) to 1 (warm)
-	// QueueTokens is the prefill work before this request, in tokens: the last
-	// report, aged, plus what this VM has sent since.
+	SlowStart   float32 `json:"slow_start"`      // 0 (just returned) to 1 (warm)
+	// QueueTokens is the estimated prefill work queued before this request, in tokens: that
+	// of the last report, reduced by the work done since, plus the work sent since.
 	QueueTokens float32 `json:"queue_tokens"`
-	// SlotWait is the expected wait for a place in the batch, in seconds.
+	// SlotWait is the expected wait for a slot in the batch, in seconds.
 	SlotWait float32 `json:"slot_wait"`
-	// PrefillRate is the target's measured speed in tokens/s.
+	// PrefillRate is the target's prefill rate, in tokens/s.
 	PrefillRate float32 `json:"prefill_rate"`
-	// Cached is the deepest prefix believed cached, in tokens.
+	// Cached is the length of the longest prefix estimated to be cached, in tokens.
 	Cached int32 `json:"cached"`
-	// InFlight is how many requests the target is estimated to work on, from this
-	// VM's own.
+	// InFlight is the number of requests in flight at the target, as far as this VM knows.
 	InFlight int32 `json:"in_flight,omitempty"`
-	// Slots is how many requests the target works on at once; zero: not known.
+	// Slots is the number of requests that the target runs at once; zero means unknown.
 	Slots int32 `json:"slots,omitempty"`
-	// RateLimited tells that the target takes no further request from this VM now.
+	// RateLimited is set if the target's rate limit allows no further request from this VM
+	// now.
 	RateLimited bool `json:"rate_limited,omitempty"`
-	// Resting tells that the target wants nothing from this VM now.
+	// Resting is set if the target has asked this VM not to send it requests now.
 	Resting bool `json:"resting,omitempty"`
-	// Reserved tells that few VMs may send to the target, and this one may send it a request.
+	// Reserved is set if only a few VMs may send to the target and this VM may send it a
+	// request now.
 	Reserved bool `json:"reserved,omitempty"`
-	// FailRate is the recent part of this VM's requests that failed through the
-	// target's fault, 0 to 1.
+	// FailRate is the recent fraction of this VM's requests that failed because of the
+	// target, 0 to 1.
 	FailRate float32 `json:"fail_rate,omitempty"`
 }
 
-// Request is what a decision needs to know of a request.
+// Request holds the attributes of a request that a decision depends on.
 type Request struct {
 	Model           ids.Model
 	Service         string
@@ -88,43 +89,44 @@
 	Tokens          int32
 	RecomputeWeight float32
 	Seed            uint64
-	// Weights are those that operators want; empty: any.
+	// Weights is the weights version that operators want. Empty means any.
 	Weights ids.WeightsVersion
-	// OldWeights bounds the use of weights, where versions are numbers. Older versions
-	// come first, and have no more time left than newer ones.
+	// OldWeights limits the use of older weights, if versions are numeric. Older versions
+	// come first, and their bounds are no later than those of newer ones.
 	OldWeights []WeightsBound
-	// Once tells that the request is lost if it has to be withdrawn from a target.
+	// Once is set if the request is lost when it has to be withdrawn from a target.
 	Once bool
-	// FetchRate is how fast a target takes KV cache over from another that holds
-	// it, in tokens/s; zero: it has to compute what it lacks.
+	// FetchRate is how fast a target fetches KV cache from another target, in tokens/s. Zero
+	// means that it can't and computes what it lacks.
 	FetchRate float32
-	// Pending is the target that computes the prompt's shared levels now, as far as
-	// this VM knows; empty: none.
+	// Pending is the target that is computing the prompt's shared levels now, as far as this
+	// VM knows, or empty.
 	Pending ids.Target
-	// Software narrows the choice to a version of the targets' software. Nil: any.
+	// Software limits the choice to a version of the targets' software. Nil means any.
 	Software *SoftwareChoice
-	// InTransit is how many calls to the service other VMs have sent, about, that this one
-	// has not heard of; zero: none.
+	// InTransit is the estimated number of calls to the service that other VMs have sent but
+	// this VM has not received a report of.
 	InTransit float32
 }
 
-// WeightsBound bounds the use of all versions older than one: a request must begin on
-// them within so many seconds. Negative: they may no longer be used.
+// WeightsBound limits the use of all weights versions older than OlderThan: a request must
+// start on them within StartWithin seconds. If that is negative, they may not be used.
 type WeightsBound struct {
-	OlderThan uint64
-	StartWithin  float32
+	OlderThan   uint64
+	StartWithin float32
 }
 
-// SoftwareChoice is a version of targets' software, or a part of the targets that run it.
+// SoftwareChoice selects the targets that run a software version, or a fraction of them.
 type SoftwareChoice struct {
 	Version ids.SoftwareVersion
-	// Fraction is the part of the version's targets that may be picked; zero: all.
+	// Fraction is the fraction of the version's targets that may be picked. Zero means all.
 	Fraction float64
-	// MaxHash bounds their hashes, where Part is less than all; zero: nothing does.
+	// MaxHash is the highest Target.Hash that may be picked, if Fraction is less than 1. Zero
+	// means no bound.
 	MaxHash uint64
 }
 
-// Reason says why a filter turned a target down.
+// Reason is why a filter rejected a target.
 type Reason uint8
 
 // The reasons.
@@ -141,69 +143,69 @@
 	reasonCount
 )
 
-// Scratch is the reusable memory of decisions. Not safe for concurrent use.
+// Scratch holds the reusable buffers of decisions. Not safe for concurrent use.
 type Scratch struct {
 	costs    []float32
 	eligible Eligible
 	Filtered [reasonCount]int
 }
 
-// Decision is the result.
+// Decision is the result of Router.Decide.
 type Decision struct {
-	Index         int // into View.Targets; -1: no target is eligible
+	Index         int // into View.Targets; -1 if no target is eligible
 	Cost          float32
 	PredictedTTFT float32 // seconds
-	QueueWait     float32 // of these, until the target turns to the request
-	Rate          float32 // tokens/s at which the target is taken to work
-	Cached        int32   // believed cached on the choice, in tokens
-	BestCached    int32   // the deepest belief among eligible targets
+	QueueWait     float32 // part of PredictedTTFT until the target starts the request
+	Rate          float32 // assumed prefill rate of the target, in tokens/s
+	Cached        int32   // estimated cached prefix on the picked target, in tokens
+	BestCached    int32   // longest estimated cached prefix of any eligible target, in tokens
 }
 
-// Filter turns targets down.
+// Filter rejects targets that must not be picked.
 type Filter interface {
 	Check(r *Request, t *Target, in *Input) Reason
 }
 
-// Scorer gives one part of a target's cost, in seconds.
+// Scorer returns one component of a target's cost, in seconds.
 type Scorer interface {
 	Cost(r *Request, t *Target, in *Input, e *Eligible) float32
 }
 
-// Eligible sums up the targets that passed the filters.
+// Eligible summarizes the targets that passed the filters.
 type Eligible struct {
 	Count    int     `json:"count"`
-	Best     int32   `json:"best"`      // deepest believed prefix, in tokens
-	MeanWait float32 `json:"mean_wait"` // mean wait for a turn, in seconds
-	// Rendezvous is the index of the target where the shared levels should be computed if
-	// nobody holds them: all VMs that see the same targets agree on it.
+	Best     int32   `json:"best"`      // longest estimated cached prefix, in tokens
+	MeanWait float32 `json:"mean_wait"` // mean wait until a target starts the request, in seconds
+	// Rendezvous is the index of the target that should compute the shared levels if no
+	// target has them cached, or -1. All VMs that see the same targets agree on it.
 	Rendezvous int `json:"home"`
 }
 
-// Picker chooses among costs; an infinite cost is not eligible. It returns -1
-// when there is no choice.
+// Picker picks a target by cost. Targets of infinite cost are ineligible. It returns the
+// target's index in the view, or -1 if no target is eligible.
 type Picker interface {
 	Pick(r *Request, v *View, e *Eligible, costs []float32) int
 }
 
-// Router is a fixed pipeline. It holds no state between decisions.
+// Router is a routing policy: a fixed pipeline that keeps no state between decisions.
 type Router struct {
 	Name    string
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// OffRendezvousPerToken is what it costs to compute a shared token that nobody holds on
-	// another target than the one on which all VMs agree, in seconds: the others may
-	// be computing it there. Zero: nothing.
+	// OffRendezvousPerToken is the cost, in seconds, of computing a shared token that no
+	// target has cached on a target other than the rendezvous target, where other VMs may
+	// have it computed, too.
 	OffRendezvousPerToken float32
-	Sampling         Sampling
+	Sampling              Sampling
 }
 
 var infinite = float32(math.Inf(1))
 
 // Decide picks a target. len(in) must be len(v.Targets).
 //
-// Where breakers leave no target, they are disregarded: what failed a moment ago is
-// better than nothing.
+// If open breakers leave no eligible target, it ignores the breakers and clears
+// BreakerOpen in the inputs: a target that failed recently is better than none.
 func (p *Router) Decide(r *Request, v *View, in []Input, s *Scratch) Decision {
 	s.reset(len(v.Targets))
 	s.eligible = p.filter(r, v, in, s)
@@ -214,7 +216,7 @@
 		s.reset(len(v.Targets))
 		s.eligible = p.filter(r, v, in, s)
 	}
-	e := &s.eligible // not a local one, which would be allocated for the interface calls
+	e := &s.eligible // a local variable would escape to the heap through the interface calls
 	p.Sampling.apply(r, v, in, e, s.costs)
 	for i := range v.Targets {
 		if s.costs[i] == infinite {
@@ -224,7 +226,7 @@
 			s.costs[i] += sc.Cost(r, &v.Targets[i], &in[i], e)
 		}
 		if p.OffRendezvousPerToken > 0 && i != e.Rendezvous {
-			s.costs[i] += p.OffRendezvousPerToken * unheld(r, e)
+			s.costs[i] += p.OffRendezvousPerToken * uncachedSharedTokens(r, e)
 		}
 	}
 	d := Decision{Index: p.Picker.Pick(r, v, e, s.costs), BestCached: e.Best}
@@ -246,14 +248,15 @@
 	s.Filtered = [reasonCount]int{}
 }
 
-// Rendezvous returns the index of the last decision's home for shared levels; -1: none.
+// Rendezvous returns the index of the last decision's rendezvous target for shared levels,
+// or -1 if there is none.
 func (s *Scratch) Rendezvous() int { return s.eligible.Rendezvous }
 
 // Costs returns the costs of the last decision, in the order of its view.
 func (s *Scratch) Costs() []float32 { return s.costs }
 
-// filter marks ineligible targets in s.costs and sums up the rest. Suspect
-// targets stay only when nothing better does.
+// filter marks ineligible targets in s.costs and summarizes the others. Suspect targets are
+// eligible only if no healthy target is.
 func (p *Router) filter(r *Request, v *View, in []Input, s *Scratch) Eligible {
 	healthy := false
 	for i := range v.Targets {
@@ -279,15 +282,17 @@
 		e.MeanWait += queueWait(&in[i])
 	}
 	e.MeanWait /= float32(max(e.Count, 1))
-	e.Rendezvous = home(r, v, s.costs)
+	e.Rendezvous = rendezvous(r, v, s.costs)
 	return e
 }
 
-// RendezvousKey is the key by which all VMs agree where shared levels are computed.
+// RendezvousKey returns the key by which all VMs agree where shared levels are computed.
+// levels must not be empty.
 func RendezvousKey(levels []prefix.Level) uint64 { return uint64(levels[len(levels)-1].ID) }
 
-// home picks the target that computes levels which nobody holds.
-func home(r *Request, v *View, costs []float32) int {
+// rendezvous returns the index of the eligible target that should compute levels that no
+// target has cached, or -1 if there is none.
+func rendezvous(r *Request, v *View, costs []float32) int {
 	best, bestWeight := -1, uint64(0)
 	if len(r.Levels) == 0 {
 		return best
@@ -316,26 +321,26 @@
 	return Passed
 }
 
-// Affinity is the rendezvous weight of a target for a key: equal on all VMs,
-// so that VMs which know nothing of each other send a prefix to the same place.
+// Affinity returns the rendezvous weight of a target for a key. It is equal on all VMs, so
+// that VMs send a prefix to the same target without coordination.
 func Affinity(key uint64, t *Target) uint64 { return AffinityOf(key, t.Hash) }
 
-// AffinityOf is Affinity of a target with a hash.
+// AffinityOf is Affinity for a target with the given Target.Hash.
 func AffinityOf(key, hash uint64) uint64 {
-	// The finalizer of splitmix64, a well-mixing bijection of the two hashes' sum.
+	// The finalizer of splitmix64: a bijection that mixes the sum of the two hashes well.
 	h := hash + key*0x9E3779B97F4A7C15
 	h = (h ^ h>>30) * 0xBF58476D1CE4E5B9
 	h = (h ^ h>>27) * 0x94D049BB133111EB
 	return h ^ h>>31
 }
 
-// String returns the state's name in status and time line.
+// String returns the state's name in the status and the timeline.
 func (s State) String() string {
 	return [...]string{"dead", "leaving", "suspect", "joining", "live"}[s]
 }
 
-// unheld is how many shared tokens no eligible target holds.
-func unheld(r *Request, e *Eligible) float32 {
+// uncachedSharedTokens returns how many shared tokens no eligible target has cached.
+func uncachedSharedTokens(r *Request, e *Eligible) float32 {
 	if len(r.Levels) == 0 {
 		return 0
 	}
--- /dev/null
+++ b/internal/routing/sampling.go
@@ -0,0 +1,48 @@
+package routing
+
+// Sampling limits a decision in a large fleet to a sample of the targets, chosen anew for
+// each decision: those that hold the longest cached prefix of the prompt, its rendezvous
+// target, those that are reserved for this VM, and a random choice of the others. Otherwise
+// many VMs that see the same slightly outdated loads would all send to the same few targets
+// that look idle.
+//
+// The size of the sample depends on the number of calls in transit, those that other VMs have
+// sent but this VM has not received a report of. All of these calls whose sample contains the
+// target that looks best go there; the sample is sized so that this happens to MaxHerd of
+// them. If reports are recent, calls are few or the VM has no peers, a decision considers all
+// targets.
+type Sampling struct {
+	MinTargets int     // least size of a sample; zero disables sampling
+	MaxHerd    float32 // calls in transit that may choose the same target
+}
+
+// minInTransit is the lower bound assumed for the calls in transit.
+const minInTransit = 1
+
+// sampleScale is the resolution of the sampling probability.
+const sampleScale = 1 << 16
+
+// apply marks the targets outside the sample as ineligible in costs. If the sample has no
+// eligible target, it leaves costs unchanged.
+func (d Sampling) apply(r *Request, v *View, in []Input, e *Eligible, costs []float32) {
+	size := max(float32(d.MinTargets), d.MaxHerd*float32(e.Count)/max(r.InTransit, minInTransit))
+	if d.MinTargets == 0 || float32(e.Count) <= size {
+		return
+	}
+	chance := uint64(size / float32(e.Count) * sampleScale)
+	sampled := func(i int) bool {
+		return i == e.Rendezvous || in[i].Reserved || e.Best > 0 && in[i].Cached == e.Best || Affinity(r.Seed, &v.Targets[i])%sampleScale < chance
+	}
+	found := false
+	for i := range costs {
+		found = found || costs[i] != infinite && sampled(i)
+	}
+	if !found {
+		return
+	}
+	for i := range costs {
+		if costs[i] != infinite && !sampled(i) {
+			costs[i] = infinite
+		}
+	}
+}
--- a/internal/routing/draw_test.go
+++ b/internal/routing/sampling_test.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// manyTargets returns a view of idle targets.
+// manyTargets returns a view of n idle targets and their inputs.
 func manyTargets(n int) (*View, []Input) {
 	v, in := &View{}, make([]Input, n)
 	for i := range n {
@@ -19,11 +19,11 @@
 	return v, in
 }
 
-// TestStaleLoadsDoNotGatherEverybody lets one target of a large fleet look idle to many
-// decisions while all others look a little busy, as 300 calls cross. Without draws all of them
-// went there: 113 of 800 requests a second to one of 80 engines. Where no call crosses, it is
-// the best place for each.
-func TestStaleLoadsDoNotGatherEverybody(t *testing.T) {
+// TestStaleLoadsDoNotCauseHerd makes many decisions in a large fleet in which one target looks
+// idle and all others slightly busy, with 300 calls in transit. Without sampling every decision
+// picked the idle target: one of 80 engines got 113 of 800 requests/s. With no calls in transit
+// the idle target is the right choice.
+func TestStaleLoadsDoNotCauseHerd(t *testing.T) {
 	v, in := manyTargets(90)
 	for i := range in {
 		in[i].QueueTokens = 2000
@@ -31,42 +31,42 @@
 	in[7].QueueTokens = 0
 	p, s := NewFetching(), &Scratch{}
 	const decisions = 1000
-	gathered := 0
+	herd := 0
 	for seed := range uint64(decisions) {
 		if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: seed, InTransit: 300}, v, in, s); d.Index == 7 {
-			gathered++
+			herd++
 		}
 	}
-	if most := decisions / 10; gathered > most {
-		t.Fatalf("%d of %d decisions went to the target that looked idle, want at most %d", gathered, decisions, most)
+	if most := decisions / 10; herd > most {
+		t.Fatalf("%d of %d decisions picked the target that looked idle, want at most %d", herd, decisions, most)
 	}
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
-		t.Fatalf("where no call crosses target %d was picked", d.Index)
+		t.Fatalf("with no calls in transit target %d was picked, want 7", d.Index)
 	}
 	p.Sampling = Sampling{}
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
-		t.Fatalf("without draws target %d was picked", d.Index)
+		t.Fatalf("without sampling target %d was picked, want 7", d.Index)
 	}
 }
 
-// TestDrawKeepsHoldersAndHome checks that a prompt still goes where it is held, and
-// what nobody holds to its home, whatever is drawn.
-func TestDrawKeepsHoldersAndHome(t *testing.T) {
+// TestSamplingKeepsHoldersAndRendezvous checks that with sampling a prompt still goes to the
+// target that has it cached, or to its rendezvous target if no target has.
+func TestSamplingKeepsHoldersAndRendezvous(t *testing.T) {
 	v, in := manyTargets(90)
 	p, s := NewFetching(), &Scratch{}
 	levels := []prefix.Level{{ID: 42, Tokens: 6000}}
-	home := -1
+	rendezvous := -1
 	for seed := range uint64(200) {
 		d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, Seed: seed, InTransit: 300}, v, in, s)
-		if home >= 0 && d.Index != home {
-			t.Fatalf("a prefix that nobody holds went to %d and to %d", home, d.Index)
+		if rendezvous >= 0 && d.Index != rendezvous {
+			t.Fatalf("a prefix that no target has cached went to targets %d and %d", rendezvous, d.Index)
 		}
-		home = d.Index
+		rendezvous = d.Index
 	}
 	in[3].Cached = 6000
 	for seed := range uint64(200) {
 		if d := p.Decide(&Request{Service: "s", Tokens: 8000, Levels: levels, FetchRate: 40_000, Seed: seed, InTransit: 300}, v, in, s); d.Index != 3 {
-			t.Fatalf("a prefix went to %d, its holder is 3", d.Index)
+			t.Fatalf("a prefix went to target %d, want 3, which has it cached", d.Index)
 		}
 	}
 }
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -1,42 +1,42 @@
 package routing
 
-// QueueScorer reads reported and own load: seconds until the target turns to
-// this request.
+// QueueScorer returns the expected time until the target starts the request, from reported
+// and own load.
 type QueueScorer struct{}
 
-// PrefillScorer reads cache beliefs: seconds to compute what is not cached.
+// PrefillScorer returns the expected time to compute the tokens that are not cached.
 type PrefillScorer struct{}
 
-// RecomputeScorer reads the deepest belief of any eligible target: seconds of
-// engine time spent on tokens that another target holds, weighed by the
-// template. It is what keeps a storm from filling every engine with copies.
+// RecomputeScorer returns the engine time spent on tokens that another eligible target has
+// cached, multiplied by the template's weight. It prevents a burst of requests from filling
+// every engine's cache with copies of one prefix.
 //
-// The weight grows by PerSecondWait for each second of mean wait over all
-// eligible targets: where everybody queues, a second of engine time is taken from
-// everybody behind, so avoidable work has a price that rises with the load.
+// The weight grows by PerSecondWait for each second of mean wait over all eligible targets:
+// if requests queue at every target, a second of engine time delays all requests behind it,
+// so the cost of avoidable work rises with the load.
 type RecomputeScorer struct{ PerSecondWait float32 }
 
-// DistanceScorer reads the failure domain: going elsewhere costs a fixed time.
+// DistanceScorer returns a fixed cost for targets in another failure domain.
 type DistanceScorer struct{ Seconds float32 }
 
-// SlowStartScorer reads how long ago the target came back: full traffic at once
-// would queue behind its cold cache.
+// SlowStartScorer returns a cost that falls from Seconds to zero after a target has
+// returned: full traffic at once would queue because of its cold cache.
 type SlowStartScorer struct{ Seconds float32 }
 
-// InFlightScorer reads this VM's requests in flight: each slows the next one down by
-// a part of Seconds, more where a target has few places.
+// InFlightScorer returns a cost for the requests in flight at the target: each slows down
+// the next one by Seconds divided by the target's slots.
 type InFlightScorer struct{ Seconds float32 }
 
-// FailureScorer reads the rate of recent failures: a failed attempt costs the
-// caller Seconds.
+// FailureScorer returns the expected cost of a failed attempt, given that a failure costs
+// the caller Seconds.
 type FailureScorer struct{ Seconds float32 }
 
-// OldWeightsScorer reads the target's weights: an answer made on others than the
-// wanted ones is worth less, as if it came Seconds later.
+// OldWeightsScorer returns a cost of Seconds for targets that run other weights than the
+// wanted ones: their answers are worth less, as if they came that much later.
 type OldWeightsScorer struct{ Seconds float32 }
 
-// FetchScorer is PrefillScorer where targets take KV cache over from each other:
-// what another eligible target holds is moved, the rest is computed.
+// FetchScorer is PrefillScorer for targets that fetch KV cache from each other: it adds
+// the time to transfer what another eligible target has cached and to compute the rest.
 type FetchScorer struct{}
 
 var (
@@ -51,7 +51,8 @@
 	_ Scorer = SlowStartScorer{}
 )
 
-// minPrefillRate guards against a target whose rate is not known, in tokens/s.
+// minPrefillRate is the lower bound for prefill rates, in tokens/s. It prevents a division
+// by zero for a target of unknown rate.
 const minPrefillRate = 1
 
 func rate(in *Input) float32 { return max(in.PrefillRate, minPrefillRate) }
@@ -89,7 +90,7 @@
 	return s.Seconds * (1 - in.SlowStart)
 }
 
-// assumedSlots stands for a target's places where they are not known.
+// assumedSlots is the assumed number of a target's slots if it is unknown.
 const assumedSlots = 8
 
 // Cost implements Scorer.
--- a/internal/routing/signals_test.go
+++ b/internal/routing/signals_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestSignalsBindWhereNobodyIsLeft disregards breakers where they leave no target, and never
-// what a target asked for.
-func TestSignalsBindWhereNobodyIsLeft(t *testing.T) {
+// TestSignalsApplyWhenNoTargetIsLeft checks that open breakers are ignored if they leave no
+// target, while rate limits and pauses that targets asked for are never ignored.
+func TestSignalsApplyWhenNoTargetIsLeft(t *testing.T) {
 	v := View{Targets: []Target{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}}}
 	decide := func(in ...Input) int {
 		for i := range in {
@@ -13,15 +13,16 @@
 		return NewFetching().Decide(&Request{Service: "s"}, &v, in, &Scratch{}).Index
 	}
 	if i := decide(Input{BreakerOpen: true, Resting: true}, Input{BreakerOpen: true, RateLimited: true}, Input{BreakerOpen: true}); i != 2 {
-		t.Errorf("target %d is picked, want 2", i)
+		t.Errorf("target %d was picked, want 2", i)
 	}
 	if i := decide(Input{BreakerOpen: true, Resting: true}, Input{RateLimited: true}, Input{Resting: true}); i != -1 {
-		t.Errorf("target %d is picked, though all asked not to be sent more", i)
+		t.Errorf("target %d was picked, want none: all are rate limited or resting", i)
 	}
 }
 
-// TestReservedIsDrawn looks at a target that is reserved for this VM however few are drawn.
-func TestReservedIsDrawn(t *testing.T) {
+// TestReservedTargetIsSampled checks that a target reserved for this VM is always part of the
+// sample.
+func TestReservedTargetIsSampled(t *testing.T) {
 	const n = 90
 	v, in := View{Targets: make([]Target, n)}, make([]Input, n)
 	for i := range v.Targets {
@@ -31,7 +32,7 @@
 	in[7].InFlight, in[7].Reserved = 0, true
 	for seed := range uint64(50) {
 		if d := NewFetching().Decide(&Request{Service: "s", Seed: seed, InTransit: 300}, &v, in, &Scratch{}); d.Index != 7 {
-			t.Fatalf("seed %d: target %d is picked, want the idle one that is reserved", seed, d.Index)
+			t.Fatalf("seed %d: target %d was picked, want 7, which is idle and reserved", seed, d.Index)
 		}
 	}
 }
