--- a/internal/cacheview/changes.go
+++ b/internal/cacheview/changes.go
@@ -5,61 +5,64 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Change is a change of what one target holds, for peers.
+// Change reports to peers that one target has stored or removed a prefix.
 type Change struct {
-	Target  ids.Target
-	Generation    uint16 // the low 16 bits of the target's life
-	ID      prefix.ID
-	Removed    bool // it no longer holds the prefix
-	Cleared bool // it holds nothing any more; ID says nothing
+	Target     ids.Target
+	Generation uint16 // low 16 bits of the target's Generation
+	ID         prefix.ID
+	Removed    bool // the target no longer holds the prefix
+	Cleared    bool // the target holds no prefix any more; ID is unused
 }
 
-// maxChanges bounds the changes kept for peers between two rounds. One round of a busy VM
-// has some tens.
+// maxChanges bounds the changes queued for peers between two reports. A report of a busy VM
+// has a few tens.
 const maxChanges = 2048
 
-// AddAndReport is Holds for what peers can't know yet: what is new is kept for them.
-func (x *Index) AddAndReport(t ids.Target, life Generation, levels []prefix.Level) {
+// AddAndReport is Add for information that peers don't have: it also queues the new entries
+// for them.
+func (x *Index) AddAndReport(t ids.Target, gen Generation, levels []prefix.Level) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
-	if x.targets[n].current != life {
+	if x.targets[n].generation != gen {
 		return
 	}
 	for _, l := range levels {
 		if x.find(l.ID, n) == nil {
-			x.keep(Change{Target: t, Generation: uint16(life), ID: l.ID})
+			x.queueChange(Change{Target: t, Generation: uint16(gen), ID: l.ID})
 		}
 		x.put(l.ID, n)
 	}
 }
 
-// RemoveAndReport is Drop for what peers can't know yet. Peers are told of what this VM
-// believed only: the rest was told by nobody.
-func (x *Index) RemoveAndReport(t ids.Target, life Generation, id prefix.ID) {
+// RemoveAndReport is Remove for information that peers don't have. It queues the removal for
+// them only if this VM had the entry: otherwise no VM has reported the entry to them.
+func (x *Index) RemoveAndReport(t ids.Target, gen Generation, id prefix.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
-	if x.targets[n].current != life {
+	if x.targets[n].generation != gen {
 		return
 	}
 	if x.find(id, n) != nil {
-		x.keep(Change{Target: t, Generation: uint16(life), ID: id, Removed: true})
+		x.queueChange(Change{Target: t, Generation: uint16(gen), ID: id, Removed: true})
 	}
 	x.remove(id, n)
 }
 
-// ClearAndReport is Void for what peers can't know yet.
+// ClearAndReport is Clear for information that peers don't have: it also queues the change
+// for them.
 func (x *Index) ClearAndReport(t ids.Target) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := &x.targets[x.number(t)]
 	x.newEpoch(s)
-	x.keep(Change{Target: t, Generation: uint16(s.current), Cleared: true})
+	x.queueChange(Change{Target: t, Generation: uint16(s.generation), Cleared: true})
 }
 
-// keep keeps a change for peers. The lock is held.
-func (x *Index) keep(c Change) {
+// queueChange queues a change for peers, or counts it in Stats.Untold if the queue is full.
+// The caller holds x.mu.
+func (x *Index) queueChange(c Change) {
 	if len(x.changes) >= maxChanges {
 		x.stats.Untold++
 		return
@@ -67,7 +70,7 @@
 	x.changes = append(x.changes, c)
 }
 
-// TakeChanges returns what Learned, Lost and Emptied have kept since the last call.
+// TakeChanges returns and clears the changes queued for peers.
 func (x *Index) TakeChanges() []Change {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -76,14 +79,15 @@
 	return c
 }
 
-// ApplyPeerChange takes in a peer's change.
+// ApplyPeerChange applies a change that a peer reported. It ignores changes of another
+// generation than the current one.
 func (x *Index) ApplyPeerChange(c Change) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(c.Target)
 	s := &x.targets[n]
 	switch {
-	case uint16(s.current) != c.Generation || s.incarnation == 0:
+	case uint16(s.generation) != c.Generation || s.incarnation == 0:
 	case c.Cleared:
 		x.newEpoch(s)
 	case c.Removed:
@@ -93,23 +97,24 @@
 	}
 }
 
-// ReportAgain keeps for peers all that is believed of the targets for which wanted returns true.
+// ReportAgain queues for peers all valid entries of the targets for which wanted returns
+// true.
 func (x *Index) ReportAgain(wanted func(t ids.Target) bool) {
-	tell := x.numbersOf(wanted)
+	reported := x.numbersOf(wanted)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, e := range x.slots {
-		if e.id == 0 || !tell[e.target] {
-			continue // a free slot names no target
+		if e.id == 0 || !reported[e.target] {
+			continue // a free slot has no target
 		}
 		if s := &x.targets[e.target]; s.epoch == e.epoch {
-			x.keep(Change{Target: s.name, Generation: uint16(s.current), ID: e.id})
+			x.queueChange(Change{Target: s.name, Generation: uint16(s.generation), ID: e.id})
 		}
 	}
 }
 
-// numbersOf returns the targets for which wanted returns true. It is called without the
-// lock.
+// numbersOf returns the targets for which wanted returns true. The caller must not hold
+// x.mu.
 func (x *Index) numbersOf(wanted func(t ids.Target) bool) map[TargetNum]bool {
 	x.mu.RLock()
 	names := make([]ids.Target, len(x.targets))
--- a/internal/cacheview/changes_test.go
+++ b/internal/cacheview/changes_test.go
@@ -7,10 +7,11 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// TestPeersLearnWhatChanged passes the changes of one index on to another: what one has
-// learned the other believes, until it is lost, the target is emptied or lives anew.
-func TestPeersLearnWhatChanged(t *testing.T) {
-	life := GenerationOf(1, "w1")
+// TestChangesReachPeers applies the changes that one index queues to another. The second must
+// have an entry until the first removes it, the target's cache is cleared or the target has a
+// new generation.
+func TestChangesReachPeers(t *testing.T) {
+	gen := GenerationOf(1, "w1")
 	levels := []prefix.Level{{ID: 11, Tokens: 100}, {ID: 12, Tokens: 300}}
 	a, b := New(256, nil), New(256, nil)
 	for _, x := range []*Index{a, b} {
@@ -25,36 +26,37 @@
 	}
 	has := func(id prefix.ID) bool { return b.Has("e1", id) }
 
-	a.AddAndReport("e1", life, levels)
-	a.AddAndReport("e1", life, levels)
+	a.AddAndReport("e1", gen, levels)
+	a.AddAndReport("e1", gen, levels)
 	if n := pass(); n != 2 || !has(11) || !has(12) {
-		t.Fatalf("%d changes were told of two new prefixes; believed: %v, %v", n, has(11), has(12))
+		t.Fatalf("%d changes were reported for two new prefixes; the peer has them: %v, %v", n, has(11), has(12))
 	}
-	a.RemoveAndReport("e1", life, 11)
-	a.RemoveAndReport("e1", life, 99)
+	a.RemoveAndReport("e1", gen, 11)
+	a.RemoveAndReport("e1", gen, 99)
 	if n := pass(); n != 1 || has(11) || !has(12) {
-		t.Errorf("%d changes were told of one lost prefix; believed: %v, %v", n, has(11), has(12))
+		t.Errorf("%d changes were reported for one removed prefix; the peer has: %v, %v", n, has(11), has(12))
 	}
 	a.ReportAgain(func(id ids.Target) bool { return id == "other" })
 	if n := pass(); n != 0 {
-		t.Errorf("%d changes were told again of a target that is not this VM's to tell of", n)
+		t.Errorf("%d changes were reported again for a target that was not asked for", n)
 	}
 	a.ReportAgain(func(ids.Target) bool { return true })
 	if n := pass(); n != 1 {
-		t.Errorf("%d changes were told again, want what is held", n)
+		t.Errorf("%d changes were reported again, want 1", n)
 	}
 	a.ClearAndReport("e1")
 	if pass(); has(12) {
-		t.Error("an emptied target is believed to hold something")
+		t.Error("the peer has an entry for a target whose cache was cleared")
 	}
-	a.AddAndReport("e1", life, levels)
+	a.AddAndReport("e1", gen, levels)
 	b.SetGeneration("e1", 1, "w2")
 	if pass(); has(11) {
-		t.Error("what a target held under older weights is believed of newer ones")
+		t.Error("the peer applied a change for older weights to a target with newer ones")
 	}
 }
 
-// TestChangesAreBounded checks that a VM which tells nobody keeps a bounded number.
+// TestChangesAreBounded checks that a VM that reports to no peer queues a bounded number of
+// changes.
 func TestChangesAreBounded(t *testing.T) {
 	x := New(256, nil)
 	x.SetGeneration("e1", 1, "w")
@@ -62,16 +64,16 @@
 		x.AddAndReport("e1", GenerationOf(1, "w"), []prefix.Level{{ID: prefix.ID(i + 1)}})
 	}
 	if n := len(x.TakeChanges()); n != maxChanges || x.Stats().Untold != 10 {
-		t.Errorf("%d changes are kept and %d were left out", n, x.Stats().Untold)
+		t.Errorf("%d changes are queued and %d were dropped", n, x.Stats().Untold)
 	}
 }
 
-// TestRetellOfNothing tells again what a VM knows that has heard of no target yet, as one
-// that starts while it is cut off: its process ended there.
-func TestRetellOfNothing(t *testing.T) {
+// TestReportAgainWithoutTargets calls ReportAgain on a VM that knows no target yet, such as one
+// that starts during a network partition. The process used to crash in that case.
+func TestReportAgainWithoutTargets(t *testing.T) {
 	x := New(256, nil)
 	x.ReportAgain(func(ids.Target) bool { return true })
 	if n := len(x.TakeChanges()); n != 0 {
-		t.Errorf("%d changes are told of nothing", n)
+		t.Errorf("%d changes were queued for an empty index", n)
 	}
 }
--- a/internal/cacheview/fuzz_test.go
+++ b/internal/cacheview/fuzz_test.go
@@ -17,8 +17,8 @@
 	m.Run()
 }
 
-// oracle remembers, for each target, in which life each prefix was last said to
-// be held, and voids all at a new life or a gap.
+// oracle records for each target the prefixes that it holds in its current generation. It
+// forgets them at a new generation or a gap in the events.
 type oracle struct {
 	inc  map[ids.Target]ids.Incarnation
 	w    map[ids.Target]ids.WeightsVersion
@@ -26,10 +26,10 @@
 	seq  map[ids.Target]uint64
 }
 
-// TestBeliefs: a look-up never reports a prefix that was not said to be held by
-// that target in its present life since the last gap. (It may forget: the table
-// is bounded.)
-func TestBeliefs(t *testing.T) {
+// TestLookupReportsOnlyValidEntries checks that Lookup never returns a prefix that the target
+// was not reported to hold in its current generation since the last gap in its events. Lookup
+// may miss prefixes, since the table is bounded.
+func TestLookupReportsOnlyValidEntries(t *testing.T) {
 	targets := []ids.Target{"t0", "t1", "t2"}
 	rapid.Check(t, func(rt *rapid.T) {
 		x := New(64, func() time.Time { return time.Unix(0, 0) })
@@ -48,7 +48,7 @@
 	})
 }
 
-func (o *oracle) life(t ids.Target) Generation { return GenerationOf(o.inc[t], o.w[t]) }
+func (o *oracle) generation(t ids.Target) Generation { return GenerationOf(o.inc[t], o.w[t]) }
 
 func (o *oracle) step(rt *rapid.T, x *Index, t ids.Target) {
 	id := prefix.ID(rapid.IntRange(1, 12).Draw(rt, "prefix"))
@@ -65,17 +65,17 @@
 			o.held[t] = map[prefix.ID]bool{}
 		}
 	case 1:
-		x.Add(t, o.life(t), level)
+		x.Add(t, o.generation(t), level)
 		o.hold(t, id)
 	case 2:
-		x.Answered(t, o.life(t), level, nil, 0)
+		x.Answered(t, o.generation(t), level, nil, 0)
 		o.hold(t, id)
 	case 3:
 		x.Answered(t, stale, level, nil, 16)
 		x.Add(t, stale, level)
 		x.Feed(t, stale, []Event{{Seq: 1, Block: id, Stored: true}})
 	case 4:
-		x.Remove(t, o.life(t), id)
+		x.Remove(t, o.generation(t), id)
 		if o.known(t) {
 			delete(o.held[t], id)
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// known tells whether the index knows the target's life at all.
+// known reports whether the target's generation has been set.
 func (o *oracle) known(t ids.Target) bool { return o.w[t] != "" }
 
 func (o *oracle) hold(t ids.Target, id prefix.ID) {
@@ -99,7 +99,7 @@
 func (o *oracle) feed(rt *rapid.T, x *Index, t ids.Target, id prefix.ID) {
 	seq := o.seq[t] + uint64(rapid.IntRange(0, 2).Draw(rt, "seq"))
 	stored := rapid.Bool().Draw(rt, "stored")
-	x.Feed(t, o.life(t), []Event{{Seq: seq, Block: id, Stored: stored}})
+	x.Feed(t, o.generation(t), []Event{{Seq: seq, Block: id, Stored: stored}})
 	if !o.known(t) || seq <= o.seq[t] {
 		return
 	}
@@ -116,13 +116,14 @@
 		x.Lookup([]prefix.Level{{ID: id, Tokens: 16}}, out)
 		for i, t := range targets {
 			if out[i] > 0 && !o.held[t][id] {
-				rt.Fatalf("%s is believed to hold %d", t, id)
+				rt.Fatalf("target %s: Lookup returned prefix %d, which the target does not hold", t, id)
 			}
 		}
 	}
 }
 
-// Epochs wrap after 65,536 new lives; an entry of an old one must not come back.
+// TestEpochWraps checks that an old entry does not become valid again when the 16-bit epoch
+// wraps, after 65,536 new generations.
 func TestEpochWraps(t *testing.T) {
 	x := New(64, nil)
 	x.SetGeneration("t", 1, "w")
@@ -133,6 +134,6 @@
 	out := make([]int32, 1)
 	x.Lookup([]prefix.Level{{ID: 5, Tokens: 16}}, out)
 	if out[0] != 0 {
-		t.Fatal("a belief came back to life")
+		t.Fatal("an old entry became valid again")
 	}
 }
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -1,19 +1,19 @@
-// Package cacheview is a VM's picture of which target holds which prompt prefix.
+// Package cacheview estimates which target has which prompt prefixes in its KV cache.
 //
-// The picture is a set of beliefs, always somewhat wrong: engines evict within
-// seconds and their event feeds lose entries. A belief only biases a routing
-// choice; it never makes an answer wrong. Three rules keep beliefs honest:
+// The estimates are never exact: engines evict within seconds, and their event feeds lose
+// events. A wrong estimate only affects the routing choice and never the correctness of an
+// answer. Three rules limit the error:
 //
-//   - A belief is bound to one epoch of its target. A new incarnation, another
-//     weights version or a gap in the target's events starts a new epoch, which
-//     voids every older belief at once, in constant time.
-//   - Prefix ids are seeded with workspace and weights version (package prefix),
-//     so no look-up can reach another workspace's belief.
-//   - An answer's count of cached tokens overrides what was believed.
+//   - An entry belongs to one epoch of its target. A new incarnation, another weights
+//     version or a gap in the target's events starts a new epoch, which invalidates all
+//     older entries at once, in constant time.
+//   - Prefix IDs are seeded with workspace and weights version (package prefix), so a lookup
+//     never finds another workspace's entries.
+//   - An answer's count of cached tokens overrides the estimate.
 //
-// The index is a fixed table of 16-byte entries, so its memory is bounded by a
-// setting and not by traffic. A prefix's beliefs lie in one window of slots; the
-// oldest entry of a full window gives way.
+// The index is a fixed table of 16-byte entries, so its memory is bounded by a setting and
+// not by traffic. The entries of a prefix are in one window of slots. If a window is full,
+// a new entry replaces the oldest.
 package cacheview
 
 import (
@@ -27,68 +27,69 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Generation names one life of a target under one set of weights. Beliefs, answers and
-// events of another life never count.
+// Generation identifies an incarnation of a target together with its weights version. The
+// index ignores answers and events of any generation but the current one.
 type Generation uint64
 
-// GenerationOf returns the life of an incarnation under a weights version.
+// GenerationOf returns the generation of an incarnation with a weights version.
 func GenerationOf(inc ids.Incarnation, w ids.WeightsVersion) Generation {
 	return Generation(xxh3.HashStringSeed(string(w), uint64(inc)))
 }
 
-// TargetNum is a target's short number on this VM. Numbers are not reused while
-// the process lives.
+// TargetNum is a target's number in the index. Numbers are not reused.
 type TargetNum uint16
 
-// EntryBytes is the size of one belief in the table.
+// EntryBytes is the size of one entry in the table.
 const EntryBytes = 16
 
 const (
-	window     = 32 // slots in which one prefix's beliefs lie
-	maxHolders = 16 // beliefs kept for one prefix
-	mixer      = 0x9E3779B97F4A7C15
+	window         = 32 // slots in which the entries of one prefix may be
+	maxHolders     = 16 // entries kept per prefix
+	hashMultiplier = 0x9E3779B97F4A7C15
 )
 
-// entry is one belief: target holds the prefix since tick, as of epoch.
+// entry is the estimate that a target has a prefix cached. It is valid if epoch is the
+// target's current epoch.
 type entry struct {
 	id     prefix.ID // zero: free
-	tick   uint32    // milliseconds since the index was made, last confirmation
+	tick   uint32    // time of the last confirmation, in milliseconds since the index was created
 	target TargetNum
 	epoch  uint16
 }
 
-// targetState is what a target's beliefs are bound to.
+// targetState is the state of a target on which the validity of its entries depends.
 type targetState struct {
 	name        ids.Target
 	incarnation ids.Incarnation
-	current     Generation
+	generation  Generation
 	epoch       uint16
 	lastSeq     uint64
 }
 
-// Stats counts what happened to beliefs. Read by Index.Stats.
+// Stats counts what happened to entries, as returned by Index.Stats. The field names are
+// part of the admin API's JSON.
 type Stats struct {
 	Confirmed, Refuted, Evicted, Gaps, Voided uint64
-	Untold                                    uint64 // changes that peers were not told of
+	Untold                                    uint64 // changes not queued for peers, since the queue was full
 }
 
-// Index holds beliefs. Safe for concurrent use; Lookup does not allocate.
+// Index is the table of entries. Safe for concurrent use; Lookup does not allocate.
 type Index struct {
 	start time.Time
 	now   func() time.Time
 
-	mu      sync.RWMutex
-	slots   []entry
-	mask    uint64
-	targets []targetState
-	nums    map[ids.Target]TargetNum
-	stats   Stats
-	fresh   []EntryInfo
-	changes []Change
+	mu         sync.RWMutex
+	slots      []entry
+	mask       uint64
+	targets    []targetState
+	nums       map[ids.Target]TargetNum
+	stats      Stats
+	newEntries []EntryInfo
+	changes    []Change
 }
 
-// New returns an index with room for at least capacity beliefs. now is nil for
-// the wall clock.
+// New returns an index with room for at least capacity entries. If now is nil, it uses
+// clock.Now.
 func New(capacity int, now func() time.Time) *Index {
 	if now == nil {
 		now = clock.Now
@@ -104,7 +105,7 @@
 	}
 }
 
-// Number returns the target's number, giving it one at first sight.
+// Number returns the target's number and assigns one on first use.
 func (x *Index) Number(t ids.Target) TargetNum {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -121,22 +122,22 @@
 	return n
 }
 
-// SetGeneration binds a target's future beliefs to a life. A change voids all earlier
-// beliefs about it; an incarnation older than the known one is ignored.
+// SetGeneration sets a target's current generation. A change invalidates all earlier entries
+// of the target. An incarnation older than the current one is ignored.
 func (x *Index) SetGeneration(t ids.Target, inc ids.Incarnation, w ids.WeightsVersion) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	s := &x.targets[x.number(t)]
-	life := GenerationOf(inc, w)
-	if inc < s.incarnation || life == s.current {
+	gen := GenerationOf(inc, w)
+	if inc < s.incarnation || gen == s.generation {
 		return
 	}
-	s.incarnation, s.current, s.lastSeq = inc, life, 0
+	s.incarnation, s.generation, s.lastSeq = inc, gen, 0
 	x.newEpoch(s)
 }
 
-// newEpoch voids a target's beliefs. Epoch numbers wrap after 65,536 voids, so
-// the target's old entries are wiped then, lest one come back to life.
+// newEpoch invalidates a target's entries. Epoch numbers wrap after 65,536 calls; it then
+// deletes the target's entries, so that an old one can't become valid again.
 func (x *Index) newEpoch(s *targetState) {
 	s.epoch++
 	x.stats.Voided++
@@ -151,13 +152,13 @@
 	}
 }
 
-// Add records that a target of the given life holds the prefixes now. A
-// report about another life than the known one is ignored.
-func (x *Index) Add(t ids.Target, life Generation, levels []prefix.Level) {
+// Add records that a target has the prefixes cached now. It ignores reports for any
+// generation but the current one.
+func (x *Index) Add(t ids.Target, gen Generation, levels []prefix.Level) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
-	if x.targets[n].current != life {
+	if x.targets[n].generation != gen {
 		return
 	}
 	for _, l := range levels {
@@ -165,12 +166,13 @@
 	}
 }
 
-// Remove records that a target no longer holds a prefix.
-func (x *Index) Remove(t ids.Target, life Generation, id prefix.ID) {
+// Remove records that a target no longer has a prefix cached. It ignores reports for any
+// generation but the current one.
+func (x *Index) Remove(t ids.Target, gen Generation, id prefix.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
-	if x.targets[n].current == life {
+	if x.targets[n].generation == gen {
 		x.remove(id, n)
 	}
 }
@@ -186,13 +188,13 @@
 }
 
 func (x *Index) window(id prefix.ID) []entry {
-	at := (uint64(id) * mixer) >> 20 & x.mask
+	at := (uint64(id) * hashMultiplier) >> 20 & x.mask
 	return x.slots[at : at+window]
 }
 
-// put inserts or refreshes a belief. It takes, in this order: the belief's own
-// slot, a free or void one, the prefix's oldest when it has too many holders,
-// the window's oldest.
+// put inserts or refreshes an entry. It uses, in order of preference: the slot of the same
+// prefix and target; the prefix's oldest, if the prefix has maxHolders entries; a free or
+// invalid slot; the window's oldest.
 func (x *Index) put(id prefix.ID, n TargetNum) {
 	w := x.window(id)
 	free, oldest, ownOldest, holders := -1, 0, -1, 0
@@ -224,15 +226,15 @@
 	w[at] = entry{id: id, tick: x.tick(), target: n, epoch: x.targets[n].epoch}
 }
 
-// tick is the index's clock in milliseconds; it wraps after 49 days, which makes
-// an old belief look young once.
+// tick returns the time in milliseconds since the index was created. It wraps after 49
+// days, which makes old entries look recent once.
 func (x *Index) tick() uint32 { return uint32(x.now().Sub(x.start).Milliseconds()) }
 
-// Lookup fills out, indexed by TargetNum, with the deepest believed prefix of
-// the prompt on each target, in tokens; targets beyond len(out) are left out.
+// Lookup fills out, indexed by TargetNum, with the length of the prompt's longest prefix
+// estimated to be cached on each target, in tokens. It omits targets beyond len(out).
 //
-// A belief does not fade with age: a prefix that other VMs use stays cached
-// without this VM hearing of it. docs/design/routing.md has the measurement.
+// Entries don't expire with age: a prefix that other VMs use stays cached without a report
+// to this VM. docs/design/routing.md has the measurement.
 func (x *Index) Lookup(levels []prefix.Level, out []int32) {
 	clear(out)
 	x.mu.RLock()
@@ -246,15 +248,15 @@
 	}
 }
 
-// Prior is what was believed of a prompt on a target when it was sent there: the
-// age of each level's belief in milliseconds, or notBelieved.
+// Prior is the estimate for a prompt on a target at the time when it was sent there: the
+// age of each level's entry in milliseconds, or noEntry.
 type Prior []int32
 
-const notBelieved = -1
+const noEntry = -1
 
-// Expect records that a prompt is on its way to a target: whoever comes behind it
-// will find its prefixes cached. The answer confirms or corrects this. work is the
-// expected prefill in tokens, for peers.
+// Expect records that this VM sends a prompt to a target: later requests will find its
+// prefixes cached there. The caller passes the result to Answered, which confirms or
+// corrects the estimate. work is the expected prefill in tokens, which is reported to peers.
 func (x *Index) Expect(t ids.Target, levels []prefix.Level, work int32) Prior {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -262,63 +264,63 @@
 	prior := make(Prior, len(levels))
 	now := x.tick()
 	for i, l := range levels {
-		prior[i] = notBelieved
+		prior[i] = noEntry
 		if e := x.find(l.ID, n); e != nil {
 			prior[i] = int32(now - e.tick)
 		}
 		x.put(l.ID, n)
-		x.tell(l.ID, n, prior[i])
+		x.queueEntry(l.ID, n, prior[i])
 	}
-	x.tellWork(n, levels, work)
+	x.queueWork(n, levels, work)
 	return prior
 }
 
-// worthTelling is the least prefill that peers are told of, in tokens.
-const worthTelling = 256
+// minReportedWork is the least prefill reported to peers, in tokens.
+const minReportedWork = 256
 
-// tellWork lets peers know of a costly dispatch. It rides on the belief that the
-// dispatch has just made fresh; cheap dispatches make none.
-func (x *Index) tellWork(n TargetNum, levels []prefix.Level, work int32) {
-	if last := len(x.fresh) - 1; work >= worthTelling && last >= 0 && len(levels) > 0 {
-		if f := &x.fresh[last]; f.ID == levels[len(levels)-1].ID && f.Target == x.targets[n].name {
+// queueWork reports a costly prefill to peers, as part of the entry that Expect has just
+// queued. Cheap dispatches queue no entry.
+func (x *Index) queueWork(n TargetNum, levels []prefix.Level, work int32) {
+	if last := len(x.newEntries) - 1; work >= minReportedWork && last >= 0 && len(levels) > 0 {
+		if f := &x.newEntries[last]; f.ID == levels[len(levels)-1].ID && f.Target == x.targets[n].name {
 			f.Work = work
 		}
 	}
 }
 
-// tell keeps a belief for peers if it is new. It is not told again: beliefs don't
-// fade, and a peer that missed it learns by its own answers.
-func (x *Index) tell(id prefix.ID, n TargetNum, age int32) {
+// queueEntry queues an entry for peers if it is new. It is not reported again: entries don't
+// expire, and a peer that missed the report gets the entry from its own answers.
+func (x *Index) queueEntry(id prefix.ID, n TargetNum, age int32) {
 	s := &x.targets[n]
-	if len(x.fresh) < maxFresh && age == notBelieved {
-		x.fresh = append(x.fresh, EntryInfo{ID: id, Target: s.name, Generation: s.current})
+	if len(x.newEntries) < maxNewEntries && age == noEntry {
+		x.newEntries = append(x.newEntries, EntryInfo{ID: id, Target: s.name, Generation: s.generation})
 	}
 }
 
-// Answered corrects beliefs by an answer: the target in that life reused cached
-// tokens of the prompt, and holds all of it now. prior is what Expect returned.
-func (x *Index) Answered(t ids.Target, life Generation, levels []prefix.Level, prior Prior, cached int32) {
+// Answered updates the entries by an answer: the target of that generation reused cached
+// tokens of the prompt, and has all of the prompt cached now. prior is the result of Expect.
+func (x *Index) Answered(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
 	s := &x.targets[n]
-	if s.current != life {
+	if s.generation != gen {
 		return
 	}
 	for i, l := range levels {
-		age := int32(notBelieved)
+		age := int32(noEntry)
 		if i < len(prior) {
 			age = prior[i]
 		}
-		x.judge(age, l.Tokens <= cached)
+		x.countPrediction(age, l.Tokens <= cached)
 		x.put(l.ID, n)
 	}
 }
 
-// judge counts a belief that proved right or wrong.
-func (x *Index) judge(age int32, hit bool) {
+// countPrediction counts an entry that an answer confirmed or refuted.
+func (x *Index) countPrediction(age int32, hit bool) {
 	switch {
-	case age == notBelieved:
+	case age == noEntry:
 	case hit:
 		x.stats.Confirmed++
 	default:
@@ -336,47 +338,48 @@
 	return nil
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts since the index was created.
 func (x *Index) Stats() Stats {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
 	return x.stats
 }
 
-// EntryInfo is one belief, for peers.
+// EntryInfo describes one entry to peers.
 type EntryInfo struct {
-	ID     prefix.ID
-	Target ids.Target
-	Generation   Generation
-	// Work is the prefill that the dispatch behind this belief is expected to cost
-	// its target, in tokens; told with one of its beliefs only.
+	ID         prefix.ID
+	Target     ids.Target
+	Generation Generation
+	// Work is the expected prefill, in tokens, of the dispatch that created the entry. Only
+	// one of a dispatch's entries has it.
 	Work int32
 }
 
-// maxFresh bounds the beliefs kept for peers between two rounds.
-const maxFresh = 1024
+// maxNewEntries bounds the entries queued for peers between two reports.
+const maxNewEntries = 1024
 
-// TakeNewEntries returns the beliefs that this VM's own dispatches made or renewed
-// since the last call.
+// TakeNewEntries returns and clears the queue of entries that this VM's own dispatches have
+// created since the last call.
 func (x *Index) TakeNewEntries() []EntryInfo {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	f := x.fresh
-	x.fresh = nil
+	f := x.newEntries
+	x.newEntries = nil
 	return f
 }
 
-// ApplyPeerEntry takes in a peer's belief. life is the low 16 bits of the target's life.
-func (x *Index) ApplyPeerEntry(t ids.Target, life uint16, id uint64) {
+// ApplyPeerEntry adds an entry that a peer reported. gen is the low 16 bits of the target's
+// generation; reports for another generation are ignored.
+func (x *Index) ApplyPeerEntry(t ids.Target, gen uint16, id uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
-	if s := &x.targets[n]; uint16(s.current) == life && s.incarnation != 0 {
+	if s := &x.targets[n]; uint16(s.generation) == gen && s.incarnation != 0 {
 		x.put(prefix.ID(id), n)
 	}
 }
 
-// Entries returns up to limit valid beliefs.
+// Entries returns up to limit valid entries.
 func (x *Index) Entries(limit int) []EntryInfo {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -389,12 +392,12 @@
 			break
 		}
 		s := &x.targets[e.target]
-		out = append(out, EntryInfo{ID: e.id, Target: s.name, Generation: s.current})
+		out = append(out, EntryInfo{ID: e.id, Target: s.name, Generation: s.generation})
 	}
 	return out
 }
 
-// Has tells whether a target is believed to hold one prefix.
+// Has reports whether the index has a valid entry for a prefix on a target.
 func (x *Index) Has(t ids.Target, id prefix.ID) bool {
 	x.mu.RLock()
 	defer x.mu.RUnlock()
@@ -402,7 +405,7 @@
 	return ok && x.find(id, n) != nil
 }
 
-// Clear drops all beliefs about a target.
+// Clear invalidates all entries of a target.
 func (x *Index) Clear(t ids.Target) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/kvcache/kvcache.go
+++ b/internal/kvcache/kvcache.go
@@ -1,11 +1,11 @@
-// Package kvcache names what engines keep of prompts, and decides what is fetched
-// and what is kept beside the engines.
+// Package kvcache defines the keys of the KV cache blocks that engines and KV stores
+// hold, and which parts of a prompt may be shared.
 //
-// Engines find cached parts only under the salt of the request that made them.
-// The salt names the weights version and the wall (the workspaces that may share),
-// so a request can't run on parts of other weights or of behind another wall, as
-// long as the engine has the weights that the salt names: each request is pinned
-// to them.
+// An engine finds cached parts only under the salt of the request that computed them.
+// The salt consists of the weights version and the isolation key (the workspaces that
+// may share KV cache). A request therefore can't use parts computed with other weights
+// or under another isolation key, as long as the engine runs the weights that the salt
+// names. To ensure that, each request is pinned to its weights version.
 package kvcache
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Part is one level of a prompt as its caller declares it.
+// Part is one level of a prompt, as declared by the caller.
 type Part struct {
 	ID     string
 	Tokens int32
 }
 
-// Event is one change of what an engine or a store keeps.
+// Event reports that an engine or a KV store has stored or removed one part.
 type Event struct {
 	Stored bool
 	Salt   string
@@ -34,34 +34,37 @@
 
 const saltSeparator = "/"
 
-// Salt returns the text under which parts are kept.
-func Salt(w ids.WeightsVersion, wall string) string { return string(w) + saltSeparator + wall }
+// Salt returns the cache salt of a weights version and an isolation key.
+func Salt(w ids.WeightsVersion, isolationKey string) string {
+	return string(w) + saltSeparator + isolationKey
+}
 
-// SplitSalt is the inverse of Salt; ok is false for a salt of another make.
-func SplitSalt(salt string) (w ids.WeightsVersion, wall string, ok bool) {
-	version, wall, ok := strings.Cut(salt, saltSeparator)
-	return ids.WeightsVersion(version), wall, ok
+// SplitSalt is the inverse of Salt. ok is false if salt has another format.
+func SplitSalt(salt string) (w ids.WeightsVersion, isolationKey string, ok bool) {
+	version, isolationKey, ok := strings.Cut(salt, saltSeparator)
+	return ids.WeightsVersion(version), isolationKey, ok
 }
 
-// LevelID names one part behind a wall. Engines' beliefs are bound to a weights
-// version by their life, so it is not in the id.
-func LevelID(wall string, m ids.Model, part string) prefix.ID {
-	return prefix.ID(xxh3.HashString(wall + "\x00" + string(m) + "\x00" + part))
+// LevelID returns the prefix ID of one part under an isolation key. The ID does not
+// contain the weights version: the cache view binds its entries to a target's
+// generation, which does.
+func LevelID(isolationKey string, m ids.Model, part string) prefix.ID {
+	return prefix.ID(xxh3.HashString(isolationKey + "\x00" + string(m) + "\x00" + part))
 }
 
-// Levels returns the boundaries of a prompt's parts.
-func Levels(wall string, m ids.Model, parts []Part) []prefix.Level {
+// Levels returns the end of each part of a prompt as a prefix level.
+func Levels(isolationKey string, m ids.Model, parts []Part) []prefix.Level {
 	out := make([]prefix.Level, 0, len(parts))
 	end := int32(0)
 	for _, p := range parts {
 		end += p.Tokens
-		out = append(out, prefix.Level{ID: LevelID(wall, m, p.ID), Tokens: end})
+		out = append(out, prefix.Level{ID: LevelID(isolationKey, m, p.ID), Tokens: end})
 	}
 	return out
 }
 
-// Shared returns the parts that other requests may have, too: all but the last,
-// which is the request's own.
+// Shared returns the parts that other requests may have in common with this one: all
+// but the last, which is specific to the request.
 func Shared(parts []Part) []Part {
 	if len(parts) < 2 {
 		return nil
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -1,9 +1,8 @@
-// Package kvfeed reads what engines and stores tell of the KV cache that they
-// keep, and corrects this VM's beliefs by it.
+// Package kvfeed reads the event feeds in which engines and KV stores report the KV cache
+// that they hold, and updates this VM's cache view.
 //
-// Feeds are late and lose entries, so a belief may be wrong either way: one that
-// is held wrongly costs a computation, one that is missing costs a fetch. Neither
-// makes an answer wrong.
+// Feeds are delayed and lose events, so the cache view may be wrong either way: a stale
+// entry costs a prefill, a missing one a fetch. Neither makes an answer wrong.
 package kvfeed
 
 import (
@@ -24,73 +23,79 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Batch is a part of a feed.
+// Batch is the result of one read of a feed.
 type Batch struct {
-	Epoch  uint64 // changes when the numbers of its entries start anew
-	Next   uint64 // where to read on
-	Gap    bool   // entries before it are lost
+	Epoch  uint64 // changes when the sequence numbers of the feed restart
+	Next   uint64 // sequence number from which to continue
+	Gap    bool   // events before the batch are lost
 	Events []kvcache.Event
-	// Incarnation is that of the speaker; zero: it does not tell.
+	// Incarnation is that of the engine or store; zero if it does not report one.
 	Incarnation ids.Incarnation
 }
 
 // Reader reads feeds.
 type Reader interface {
-	// ReadFeed returns what came at or after since; it waits if there is nothing.
+	// ReadFeed returns the events from sequence number since on. If there are none, it waits
+	// for events for at most wait.
 	ReadFeed(ctx context.Context, addr string, since uint64, wait time.Duration) (Batch, error)
 }
 
-// Source is one feed.
+// Source identifies one feed.
 type Source struct {
 	ID    ids.Target // an engine, or the name of a store
 	Addr  string
 	Store bool
-	// Incarnation is that which is known of an engine.
+	// Incarnation is the known incarnation of an engine.
 	Incarnation ids.Incarnation
 }
 
-// Feeds reads all feeds that this VM is to read. Its fields are set before Run.
+// Feeds reads the feeds that Sources returns. Its exported fields must be set before Run.
 type Feeds struct {
 	Reader  Reader
 	Cache   *cacheview.Index
 	KV      *forward.Planner
 	Sources func() []Source
-	// ReportsToPeers tells whether this VM is the one that tells peers what a feed says.
+	// ReportsToPeers returns whether this VM is the one that reports a feed's changes to its
+	// peers.
 	ReportsToPeers func(id ids.Target) bool
-	// Contact is told whether an engine or a store answers its feed's calls.
+	// Contact is called after each read with whether the engine or store has answered, and
+	// with true when this VM stops reading the feed.
 	Contact func(s Source, alive bool)
-	// Restarted is told the incarnation in which an engine speaks.
+	// Restarted is called when a feed reports a newer incarnation of an engine.
 	Restarted func(id ids.Target, inc ids.Incarnation)
 	Log       *eventlog.Log
 
 	mu      sync.Mutex
 	running map[string]context.CancelFunc // by Source.key
-	silent  map[ids.Target]bool           // engines whose last call was not answered, or that have answered none yet
-	wg      sync.WaitGroup
+	// unresponsive has the engines that did not answer the last read, or that have not
+	// answered any yet.
+	unresponsive map[ids.Target]bool
+	wg           sync.WaitGroup
 }
 
-// key names a feed: one of another incarnation is read from its beginning.
+// key identifies a feed. It contains the incarnation, so that the feed of a restarted engine
+// is read from its beginning.
 func (s *Source) key() string {
 	return s.Addr + " " + string(s.ID) + " " + strconv.FormatUint(uint64(s.Incarnation), 10)
 }
 
-// Rhythms.
+// Intervals and timeouts.
 const (
-	// reviewEvery is how often the set of feeds is looked at.
+	// reviewEvery is the interval at which readers are started and stopped.
 	reviewEvery = 500 * time.Millisecond
-	// feedWait is how long a call waits for entries.
+	// feedWait is how long one read waits for events.
 	feedWait = time.Second
-	// feedPause between two calls gathers entries, so that a busy engine costs one
-	// call a pause and not one an entry.
+	// feedPause is the pause between two reads. Events accumulate meanwhile, so that a busy
+	// engine costs one call per pause instead of one per event.
 	feedPause = 150 * time.Millisecond
-	// feedTimeout bounds a call beyond its wait. An engine that is silent for longer is
-	// in trouble; under load it answers these calls as ever.
+	// feedTimeout bounds a read beyond its wait. An engine that takes longer is faulty: load
+	// does not slow these calls down.
 	feedTimeout = 500 * time.Millisecond
-	// failPause follows a call that failed.
+	// failPause is the pause after a failed read.
 	failPause = time.Second
 )
 
-// Run reads until ctx ends.
+// Run reads the feeds until ctx is done.
 func (f *Feeds) Run(ctx context.Context) {
 	f.running = map[string]context.CancelFunc{}
 	for timing.Sleep(ctx, reviewEvery) {
@@ -99,7 +104,7 @@
 	f.wg.Wait()
 }
 
-// review starts and ends readers.
+// review starts readers for new feeds and stops those of feeds no longer in Sources.
 func (f *Feeds) review(ctx context.Context) {
 	want := map[string]Source{}
 	for _, s := range f.Sources() {
@@ -123,12 +128,12 @@
 	}
 }
 
-// follow reads one feed.
+// follow reads one feed until ctx is done.
 func (f *Feeds) follow(ctx context.Context, s Source) {
 	var epoch, since uint64
 	lost := false
-	defer f.leave(s)
-	f.note(s, false) // this VM can't vouch for it yet
+	defer f.release(s)
+	f.setResponsive(s, false) // until the first answer
 	timing.Sleep(ctx, rand.N(feedPause))
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, feedWait+feedTimeout)
@@ -138,7 +143,7 @@
 			return
 		}
 		f.Contact(s, err == nil)
-		f.note(s, err == nil)
+		f.setResponsive(s, err == nil)
 		if err != nil {
 			if !lost {
 				lost = true
@@ -157,57 +162,57 @@
 		}
 		switch {
 		case !s.Store && b.Incarnation != 0 && b.Incarnation < s.Incarnation:
-			// It speaks of an incarnation that has ended.
+			// The batch is of an incarnation that has ended.
 		case epoch != 0 && b.Epoch != epoch:
-			// Entries before since are not in this batch, though they are of this epoch.
-			f.emptied(s)
+			// The batch lacks the new epoch's events before since: read from the start.
+			f.clear(s)
 			epoch, since = b.Epoch, 0
 		default:
 			epoch, since = b.Epoch, b.Next
-			f.takeIn(s, b.Events)
+			f.applyAll(s, b.Events)
 		}
 		timing.Sleep(ctx, feedPause)
 	}
 }
 
-// takeIn takes in the events of a batch.
-func (f *Feeds) takeIn(s Source, events []kvcache.Event) {
-	tells := f.ReportsToPeers(s.ID)
+// applyAll applies the events of a batch.
+func (f *Feeds) applyAll(s Source, events []kvcache.Event) {
+	report := f.ReportsToPeers(s.ID)
 	for _, ev := range events {
-		f.apply(s, ev, tells)
+		f.apply(s, ev, report)
 	}
 }
 
-// leave ends the reading of a feed: whether its speaker answers is no longer this VM's to
-// tell, so it must not stay in doubt for that.
-func (f *Feeds) leave(s Source) {
-	f.note(s, true)
+// release is called when this VM stops reading a feed. From then on this VM has no evidence
+// that the engine or store does not answer, so it must no longer count as unresponsive.
+func (f *Feeds) release(s Source) {
+	f.setResponsive(s, true)
 	f.Contact(s, true)
 }
 
-// note remembers which engines don't answer.
-func (f *Feeds) note(s Source, alive bool) {
+// setResponsive records whether an engine answers. It ignores stores.
+func (f *Feeds) setResponsive(s Source, alive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if alive || s.Store {
-		delete(f.silent, s.ID)
+		delete(f.unresponsive, s.ID)
 		return
 	}
-	if f.silent == nil {
-		f.silent = map[ids.Target]bool{}
+	if f.unresponsive == nil {
+		f.unresponsive = map[ids.Target]bool{}
 	}
-	f.silent[s.ID] = true
+	f.unresponsive[s.ID] = true
 }
 
 // Unresponsive returns the engines whose feeds this VM reads and that don't answer.
 func (f *Feeds) Unresponsive() []ids.Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Collect(maps.Keys(f.silent))
+	return slices.Collect(maps.Keys(f.unresponsive))
 }
 
-// emptied drops the beliefs about a speaker that has restarted.
-func (f *Feeds) emptied(s Source) {
+// clear drops the cache view's entries of an engine or store that has restarted.
+func (f *Feeds) clear(s Source) {
 	f.Log.Belief("cache-emptied").Str("target", string(s.ID)).Send()
 	if f.ReportsToPeers(s.ID) {
 		f.Cache.ClearAndReport(s.ID)
@@ -216,30 +221,31 @@
 	f.Cache.Clear(s.ID)
 }
 
-// apply takes in one event; tells is whether peers are to be told.
-func (f *Feeds) apply(s Source, ev kvcache.Event, tells bool) {
-	life, id, ok := f.name(s, ev)
+// apply applies one event to the cache view. report is whether to report the change to peers.
+func (f *Feeds) apply(s Source, ev kvcache.Event, report bool) {
+	gen, id, ok := f.resolve(s, ev)
 	if !ok {
 		return
 	}
 	level := []prefix.Level{{ID: id}}
 	switch {
-	case ev.Stored && tells:
-		f.Cache.AddAndReport(s.ID, life, level)
+	case ev.Stored && report:
+		f.Cache.AddAndReport(s.ID, gen, level)
 	case ev.Stored:
-		f.Cache.Add(s.ID, life, level)
-	case tells:
-		f.Cache.RemoveAndReport(s.ID, life, id)
+		f.Cache.Add(s.ID, gen, level)
+	case report:
+		f.Cache.RemoveAndReport(s.ID, gen, id)
 	default:
-		f.Cache.Remove(s.ID, life, id)
+		f.Cache.Remove(s.ID, gen, id)
 	}
 }
 
-// name returns the life and the prefix that an event is about.
-func (f *Feeds) name(s Source, ev kvcache.Event) (cacheview.Generation, prefix.ID, bool) {
+// resolve returns the generation and the prefix that an event is about, and false if the
+// event's salt has another format.
+func (f *Feeds) resolve(s Source, ev kvcache.Event) (cacheview.Generation, prefix.ID, bool) {
 	if s.Store {
 		return forward.StoreLife(f.Cache, s.ID), forward.StoreLevel(ev.Salt, ev.Model, ev.Part), true
 	}
-	w, wall, ok := kvcache.SplitSalt(ev.Salt)
-	return cacheview.GenerationOf(s.Incarnation, w), kvcache.LevelID(wall, ev.Model, ev.Part), ok
+	w, isolationKey, ok := kvcache.SplitSalt(ev.Salt)
+	return cacheview.GenerationOf(s.Incarnation, w), kvcache.LevelID(isolationKey, ev.Model, ev.Part), ok
 }
--- a/internal/kvfeed/kvfeed_test.go
+++ b/internal/kvfeed/kvfeed_test.go
@@ -13,22 +13,22 @@
 	"github.com/threadwall/threadwall/internal/kvcache"
 )
 
-// deafReader never gets an answer.
-type deafReader struct{}
+// failingReader fails all reads.
+type failingReader struct{}
 
-func (deafReader) ReadFeed(context.Context, string, uint64, time.Duration) (Batch, error) {
+func (failingReader) ReadFeed(context.Context, string, uint64, time.Duration) (Batch, error) {
 	return Batch{}, errors.New("no answer")
 }
 
-// TestSpeakerIsNotLeftInDoubt lets an engine be silent while its feed is read, and then
-// hands the feed to another VM: this VM must not think of the engine as unreachable for
-// good, since nobody would tell it otherwise.
-func TestSpeakerIsNotLeftInDoubt(t *testing.T) {
+// TestReleasedFeedIsNotUnresponsive lets reads of an engine's feed fail and then assigns the
+// feed to another VM. This VM must not keep the engine as unreachable, since no later read
+// would correct that.
+func TestReleasedFeedIsNotUnresponsive(t *testing.T) {
 	var mu sync.Mutex
 	alive, reads := true, true
 	cache := cacheview.New(64, nil)
 	f := &Feeds{
-		Reader: deafReader{}, Cache: cache, KV: &forward.Planner{Cache: cache},
+		Reader: failingReader{}, Cache: cache, KV: &forward.Planner{Cache: cache},
 		Sources: func() []Source {
 			mu.Lock()
 			defer mu.Unlock()
@@ -49,26 +49,26 @@
 	wg.Go(func() { f.Run(ctx) })
 	defer wg.Wait()
 	defer cancel()
-	state := func(want bool, silent int) func() bool {
+	state := func(want bool, unresponsive int) func() bool {
 		return func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return alive == want && len(f.Unresponsive()) == silent
+			return alive == want && len(f.Unresponsive()) == unresponsive
 		}
 	}
-	await(t, "the engine is silent", state(false, 1))
+	await(t, "the engine is unresponsive", state(false, 1))
 	mu.Lock()
 	reads = false
 	mu.Unlock()
-	await(t, "it is no longer this VM's to tell", state(true, 0))
+	await(t, "the engine is no longer unresponsive once its feed is released", state(true, 0))
 }
 
-// restartingReader is an engine that starts again: the numbers of its entries and the
-// entries themselves begin anew. It notes from where it is read.
+// restartingReader is the feed of an engine that restarts: sequence numbers and events start
+// over. It records the sequence numbers from which it is read.
 type restartingReader struct {
-	mu    sync.Mutex
-	again bool
-	since []uint64
+	mu        sync.Mutex
+	restarted bool
+	since     []uint64
 }
 
 func (r *restartingReader) ReadFeed(ctx context.Context, _ string, since uint64, _ time.Duration) (Batch, error) {
@@ -76,7 +76,7 @@
 	defer r.mu.Unlock()
 	r.since = append(r.since, since)
 	b := Batch{Epoch: 1, Incarnation: 100, Next: 5, Events: []kvcache.Event{{Stored: true, Salt: kvcache.Salt("3", ""), Model: "m", Part: "old"}}}
-	if r.again {
+	if r.restarted {
 		b = Batch{Epoch: 2, Incarnation: 200, Next: 9}
 		if since == 0 {
 			b.Events = []kvcache.Event{{Stored: true, Salt: kvcache.Salt("3", ""), Model: "m", Part: "new"}}
@@ -85,9 +85,10 @@
 	return b, nil
 }
 
-// TestFeedOfAnEngineThatStartedAgain reads the feed from its beginning, also where the
-// restart is met in the feed first, and believes nothing of before.
-func TestFeedOfAnEngineThatStartedAgain(t *testing.T) {
+// TestFeedOfRestartedEngine checks that the feed of a restarted engine is read from its
+// beginning, also if the feed itself is the first to show the restart, and that the entries of
+// the previous incarnation are dropped.
+func TestFeedOfRestartedEngine(t *testing.T) {
 	cache := cacheview.New(64, nil)
 	reader := &restartingReader{}
 	var mu sync.Mutex
@@ -100,9 +101,9 @@
 	cache.SetGeneration("e1", 100, "3")
 	f := &Feeds{
 		Reader: reader, Cache: cache, KV: &forward.Planner{Cache: cache},
-		Sources: func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: known()}} },
-		ReportsToPeers:   func(ids.Target) bool { return false },
-		Contact: func(Source, bool) {},
+		Sources:        func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: known()}} },
+		ReportsToPeers: func(ids.Target) bool { return false },
+		Contact:        func(Source, bool) {},
 		Restarted: func(_ ids.Target, now ids.Incarnation) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -118,28 +119,28 @@
 	holds := func(part string) func() bool {
 		return func() bool { return cache.Has("e1", kvcache.LevelID("", "m", part)) }
 	}
-	await(t, "the engine holds a part", holds("old"))
+	await(t, "the cache view has the part stored before the restart", holds("old"))
 	reader.mu.Lock()
-	reader.again = true
+	reader.restarted = true
 	reader.mu.Unlock()
-	await(t, "it holds another after it has started again", holds("new"))
+	await(t, "the cache view has the part stored after the restart", holds("new"))
 	if holds("old")() {
-		t.Error("it is still believed to hold what it held before")
+		t.Error("the cache view still has the part stored before the restart")
 	}
 }
 
-// TestFeedOfAnEndedIncarnation reads a feed that still speaks of the incarnation before the
-// one that is known: what it says is not believed of the new one.
+// TestFeedOfAnEndedIncarnation checks that events of a feed that still reports an older
+// incarnation than the known one are not applied to the new incarnation.
 func TestFeedOfAnEndedIncarnation(t *testing.T) {
 	cache := cacheview.New(64, nil)
 	cache.SetGeneration("e1", 200, "3")
-	reader := &restartingReader{} // speaks of incarnation 100
+	reader := &restartingReader{} // reports incarnation 100
 	f := &Feeds{
 		Reader: reader, Cache: cache, KV: &forward.Planner{Cache: cache},
-		Sources:   func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: 200}} },
-		ReportsToPeers:     func(ids.Target) bool { return false },
-		Contact:   func(Source, bool) {},
-		Restarted: func(_ ids.Target, inc ids.Incarnation) { t.Errorf("the engine counts as restarted into %d", inc) },
+		Sources:        func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: 200}} },
+		ReportsToPeers: func(ids.Target) bool { return false },
+		Contact:        func(Source, bool) {},
+		Restarted:      func(_ ids.Target, inc ids.Incarnation) { t.Errorf("the engine counts as restarted into %d", inc) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -152,7 +153,7 @@
 		return len(reader.since) >= 2
 	})
 	if cache.Has("e1", kvcache.LevelID("", "m", "old")) {
-		t.Error("the new incarnation is believed to hold what the one before held")
+		t.Error("the cache view has a part of the previous incarnation for the new one")
 	}
 }
 
@@ -164,5 +165,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not within 10 s: %s", what)
+	t.Fatalf("condition not met within 10 s: %s", what)
 }
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -1,5 +1,5 @@
-// Package loadview estimates the prefill work that stands before a new request
-// on a target, from reports that lag and from what this VM has sent since.
+// Package loadview estimates the prefill work queued before a new request on a target,
+// from the target's delayed reports and from the work sent to it since.
 package loadview
 
 import (
@@ -9,26 +9,26 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Tracker counts this VM's own work on targets. Safe for concurrent use.
+// Tracker tracks this VM's and its peers' work on targets. Safe for concurrent use.
 type Tracker struct {
-	mu  sync.Mutex
-	own map[ids.Target]*own
+	mu      sync.Mutex
+	targets map[ids.Target]*targetLoad
 
-	missed  float64
-	answers int
-	overall pace // of all targets together
+	meanMiss float64
+	answers  int
+	overall  slowdown // over all targets
 
 	peers map[ids.VM]*peer
 }
 
-// own is what this VM has sent to one target.
-type own struct {
-	pending  float64 // tokens of prefill without a first token yet
-	inFlight int
-	bound    int      // of those in flight, requests that can't go on at another target
-	sent     []sent   // newest last
-	peers    PeerLoad // of all peers together
-	pace     pace
+// targetLoad is the work of this VM and its peers at one target.
+type targetLoad struct {
+	pending      float64 // prefill tokens of requests that wait for their first token
+	inFlight     int
+	notResumable int      // requests in flight that can't be resumed at another target
+	sent         []sent   // newest last
+	peers        PeerLoad // sum over all peers
+	slowdown     slowdown
 }
 
 type sent struct {
@@ -36,59 +36,59 @@
 	tokens float64
 }
 
-// memory is how long single sends are remembered; older reports are not used.
-const memory = 5 * time.Second
+// sendWindow is how long single sends are kept. Reports that are older are not used.
+const sendWindow = 5 * time.Second
 
 // New returns an empty tracker.
-func New() *Tracker { return &Tracker{own: map[ids.Target]*own{}} }
+func New() *Tracker { return &Tracker{targets: map[ids.Target]*targetLoad{}} }
 
 // Work is one request's share of a target's load.
 type Work struct {
-	t      *Tracker
-	own    *own // the target's record when the request was sent
-	tokens float64
-	begun  bool
-	bound  bool
-	ended  bool
+	t            *Tracker
+	load         *targetLoad // the target's record when the request was sent
+	tokens       float64
+	prefilled    bool
+	notResumable bool
+	ended        bool
 }
 
-// MarkNotResumable notes that the request can't go on at another target: if this one stops
-// working on it, it is lost.
+// MarkNotResumable records that the request can't be resumed at another target: if this one
+// stops working on it, the request is lost. Further calls do nothing.
 func (w *Work) MarkNotResumable() {
 	w.t.mu.Lock()
 	defer w.t.mu.Unlock()
-	if !w.bound && !w.ended {
-		w.bound = true
-		w.own.bound++
+	if !w.notResumable && !w.ended {
+		w.notResumable = true
+		w.load.notResumable++
 	}
 }
 
-// AddPeerWork counts work that a peer sent to a target.
+// AddPeerWork counts work, in tokens of prefill, that a peer sent to a target.
 func (t *Tracker) AddPeerWork(target ids.Target, tokens int32, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.of(target).add(sent{at: at, tokens: float64(tokens)})
 }
 
-// of returns the record of a target. The lock is held.
-func (t *Tracker) of(target ids.Target) *own {
-	o := t.own[target]
+// of returns the record of a target. The caller holds t.mu.
+func (t *Tracker) of(target ids.Target) *targetLoad {
+	o := t.targets[target]
 	if o == nil {
-		o = &own{}
-		t.own[target] = o
+		o = &targetLoad{}
+		t.targets[target] = o
 	}
 	return o
 }
 
-// add remembers a send and forgets old ones.
-func (o *own) add(s sent) {
-	for len(o.sent) > 0 && s.at.Sub(o.sent[0].at) > memory {
+// add records a send and drops the sends older than sendWindow.
+func (o *targetLoad) add(s sent) {
+	for len(o.sent) > 0 && s.at.Sub(o.sent[0].at) > sendWindow {
 		o.sent = o.sent[1:]
 	}
 	o.sent = append(o.sent, s)
 }
 
-// Sent counts a request with so many uncached tokens.
+// Sent counts a request that this VM sends to a target, and its uncached prompt tokens.
 func (t *Tracker) Sent(target ids.Target, uncached int32, now time.Time) *Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,43 +97,44 @@
 	o.pending += tokens
 	o.inFlight++
 	o.add(sent{at: now, tokens: tokens})
-	return &Work{t: t, own: o, tokens: tokens}
+	return &Work{t: t, load: o, tokens: tokens}
 }
 
-// FirstToken ends the prefill part of the work. Further calls do nothing.
+// FirstToken records the end of the prefill. Further calls do nothing.
 func (w *Work) FirstToken() {
 	w.t.mu.Lock()
 	defer w.t.mu.Unlock()
-	w.first()
+	w.endPrefill()
 }
 
-func (w *Work) first() {
-	if !w.begun {
-		w.begun = true
-		w.own.pending -= w.tokens
+func (w *Work) endPrefill() {
+	if !w.prefilled {
+		w.prefilled = true
+		w.load.pending -= w.tokens
 	}
 }
 
-// End takes the work off the target. Further calls do nothing.
+// End removes the work from the target's load. Further calls do nothing.
 func (w *Work) End() {
 	w.t.mu.Lock()
 	defer w.t.mu.Unlock()
-	w.first()
+	w.endPrefill()
 	if !w.ended {
 		w.ended = true
-		w.own.inFlight--
-		if w.bound {
-			w.own.bound--
+		w.load.inFlight--
+		if w.notResumable {
+			w.load.notResumable--
 		}
 	}
 }
 
-// missGain smooths the part of prompt tokens that targets have to compute.
+// missGain is the weight of one answer in the smoothed miss ratio.
 const missGain = 0.2
 
-// Answered learns from an answer what part of prompt tokens targets have to
-// compute. Engines report queues in prompt tokens, most of which are cached. The
-// part is kept for all targets together: one VM sees too few answers of each.
+// Answered updates the miss ratio, the fraction of prompt tokens that targets have to
+// compute, from one answer. Engines report their queues in prompt tokens, most of which
+// are cached. The ratio is kept for all targets together, since one VM sees too few answers
+// of each target.
 func (t *Tracker) Answered(prompt, cached int32) {
 	if prompt <= 0 {
 		return
@@ -141,48 +142,49 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers++
-	t.missed += max(missGain, 1/float64(t.answers)) * (float64(prompt-cached)/float64(prompt) - t.missed)
+	t.meanMiss += max(missGain, 1/float64(t.answers)) * (float64(prompt-cached)/float64(prompt) - t.meanMiss)
 }
 
-// missRatio is the part of reported tokens that will have to be computed; all of
-// them as long as nothing is known.
+// missRatio returns the fraction of reported tokens that targets will have to compute; 1
+// before the first answer.
 func (t *Tracker) missRatio() float64 {
 	if t.answers == 0 {
 		return 1
 	}
-	return t.missed
+	return t.meanMiss
 }
 
-// Load is an estimate for one target.
+// Load is the estimated load of one target.
 type Load struct {
 	QueueTokens float64
 	OwnInFlight int
-	InFlight    int     // own and, as far as they tell, all peers'
-	Slowdown        float64 // how many times longer than predicted first tokens take; at least 1
+	InFlight    int     // own and, as far as they have reported, all peers'
+	Slowdown    float64 // measured over predicted time to first token; at least 1
 }
 
-// Report is a target's last word on its load.
+// Report is a target's last report of its load.
 type Report struct {
 	Queued int           // prompt tokens
-	Rate   float64       // prefill, tokens/s
-	Age    time.Duration // since the target said so
+	Rate   float64       // prefill rate, tokens/s
+	Age    time.Duration // time since the target made the report
 }
 
-// Handle is a target's record, for estimates without look-ups.
-type Handle struct{ o *own }
+// Handle refers to a target's record, for estimates without lookups.
+type Handle struct{ o *targetLoad }
 
-// Handle returns the handle of a target; it stays valid.
+// Handle returns the handle of a target. It stays valid, but after Forget it refers to the
+// dropped record.
 func (t *Tracker) Handle(target ids.Target) Handle {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Handle{o: t.of(target)}
 }
 
-// Estimate combines reports with work sent since, for all targets at once. A
-// report is drained at the target's prefill rate over its age, and what this VM
-// sent since, or heard that peers did, is added. Own requests that still wait for
-// their first token are a lower bound. Ages count from the moment of the reports'
-// snapshot, since ago.
+// Estimate combines reports with the work sent since, for all targets at once, and stores
+// the result in out. It reduces the reported work by the target's prefill rate times the
+// report's age, and adds the work that this VM and, as far as they have reported, its peers
+// have sent since. Work that still waits for its first token is a lower bound. The ages of
+// reports are relative to their snapshot, which was taken the duration since before now.
 func (t *Tracker) Estimate(handles []Handle, reports []Report, since time.Duration, now time.Time, out []Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,15 +193,15 @@
 		r := reports[i]
 		r.Age += since
 		out[i] = h.o.estimate(r, miss, now)
-		out[i].Slowdown = max(out[i].Slowdown, t.overall.now(now))
+		out[i].Slowdown = max(out[i].Slowdown, t.overall.decayed(now))
 	}
 }
 
-func (o *own) estimate(r Report, miss float64, now time.Time) Load {
+func (o *targetLoad) estimate(r Report, miss float64, now time.Time) Load {
 	tokens := float64(r.Queued) * miss
-	if r.Age > memory {
-		tokens = 0 // too old to say anything; own work is all that is known
-		r.Age = memory
+	if r.Age > sendWindow {
+		tokens = 0 // too old to use; only the work sent since is known
+		r.Age = sendWindow
 	}
 	for i := len(o.sent) - 1; i >= 0 && now.Sub(o.sent[i].at) < r.Age; i-- {
 		tokens += o.sent[i].tokens
@@ -207,6 +209,6 @@
 	tokens -= r.Rate * r.Age.Seconds()
 	return Load{
 		QueueTokens: max(tokens, o.pending+o.peers.Pending, 0), OwnInFlight: o.inFlight, InFlight: o.inFlight + o.peers.InFlight,
-		Slowdown: o.pace.now(now),
+		Slowdown: o.slowdown.decayed(now),
 	}
 }
--- a/internal/loadview/peers.go
+++ b/internal/loadview/peers.go
@@ -6,38 +6,39 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// PeerLoad is one or several VMs' work at one target.
+// PeerLoad is the work of one or several VMs at one target.
 type PeerLoad struct {
-	InFlight int
-	Pending  float64 // prompt tokens without a first token yet
-	NotResumable    int     // of those in flight, requests that can't go on at another target
+	InFlight     int
+	Pending      float64 // prompt tokens of requests that wait for their first token
+	NotResumable int     // requests in flight that can't be resumed at another target
 }
 
-// peerMemory is how long a peer's last word counts. It is longer than the pause
-// between two rounds of news in a large fleet.
-const peerMemory = 2500 * time.Millisecond
+// peerLoadTTL is how long a peer's last report counts. It is longer than the interval
+// between two reports in a large fleet.
+const peerLoadTTL = 2500 * time.Millisecond
 
-// peer is the last word of one VM.
+// peer is the last report of one VM.
 type peer struct {
-	life  int64
-	seq   uint64
-	at    time.Time
-	loads map[ids.Target]PeerLoad
+	incarnation int64
+	seq         uint64
+	at          time.Time
+	loads       map[ids.Target]PeerLoad
 }
 
-// SetPeerLoads takes in all of a peer's loads. One that is older than the last is left out.
-func (t *Tracker) SetPeerLoads(vm ids.VM, life int64, seq uint64, loads map[ids.Target]PeerLoad, now time.Time) {
+// SetPeerLoads replaces a peer's loads by those of a new report. It ignores a report that is
+// not newer than the last, by incarnation and sequence number.
+func (t *Tracker) SetPeerLoads(vm ids.VM, incarnation int64, seq uint64, loads map[ids.Target]PeerLoad, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.peers[vm]
-	if old != nil && (life < old.life || life == old.life && seq <= old.seq) {
+	if old != nil && (incarnation < old.incarnation || incarnation == old.incarnation && seq <= old.seq) {
 		return
 	}
 	t.subtract(old)
 	if t.peers == nil {
 		t.peers = map[ids.VM]*peer{}
 	}
-	t.peers[vm] = &peer{life: life, seq: seq, at: now, loads: loads}
+	t.peers[vm] = &peer{incarnation: incarnation, seq: seq, at: now, loads: loads}
 	for id, l := range loads {
 		o := t.of(id)
 		o.peers.InFlight += l.InFlight
@@ -46,29 +47,30 @@
 	}
 }
 
-// ExpirePeers forgets the loads of peers that have not been heard for long.
+// ExpirePeers drops the loads of peers whose last report is older than peerLoadTTL.
 func (t *Tracker) ExpirePeers(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.peers {
-		if p.loads != nil && now.Sub(p.at) > peerMemory {
+		if p.loads != nil && now.Sub(p.at) > peerLoadTTL {
 			t.subtract(p)
 			p.loads = nil
 		}
 	}
 }
 
-// EstimateAge returns how old what an estimate goes by is, for a target whose report has the
-// given age: that of the report, or, where it is too old to be used, the mean age of the
-// peers' last words. It is zero where this VM has no peers, and knows by itself.
+// EstimateAge returns the age of the data behind the estimate for a target whose report has
+// the given age: the age of the report or, if that is too old to be used, the mean age of
+// the peers' last reports. The latter is zero if this VM has no peers, since it then knows
+// all work itself.
 func (t *Tracker) EstimateAge(report time.Duration, now time.Time) time.Duration {
-	if report <= memory {
+	if report <= sendWindow {
 		return report
 	}
 	return t.MeanPeerAge(now)
 }
 
-// MeanPeerAge returns the mean age of the peers' last words; zero: this VM has no peers.
+// MeanPeerAge returns the mean age of the peers' last reports, or zero if there are none.
 func (t *Tracker) MeanPeerAge(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,7 +87,7 @@
 	return sum / n
 }
 
-// subtract takes a peer's last word back. The lock is held.
+// subtract removes a peer's last report from the totals. The caller holds t.mu.
 func (t *Tracker) subtract(p *peer) {
 	if p == nil {
 		return
@@ -98,36 +100,38 @@
 	}
 }
 
-// Total returns the work of this VM and, as far as they tell, of all peers at a target.
+// Total returns the work of this VM and, as far as they have reported, of all peers at a
+// target.
 func (t *Tracker) Total(id ids.Target) PeerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := t.own[id]
+	o := t.targets[id]
 	if o == nil {
 		return PeerLoad{}
 	}
 	return PeerLoad{
-		InFlight: o.inFlight + o.peers.InFlight, Pending: o.pending + o.peers.Pending, NotResumable: o.bound + o.peers.NotResumable,
+		InFlight: o.inFlight + o.peers.InFlight, Pending: o.pending + o.peers.Pending, NotResumable: o.notResumable + o.peers.NotResumable,
 	}
 }
 
-// Own calls f for each target at which this VM has work.
+// Own calls f for each target at which this VM has requests in flight. f must not call the
+// Tracker.
 func (t *Tracker) Own(f func(id ids.Target, l PeerLoad)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, o := range t.own {
+	for id, o := range t.targets {
 		if o.inFlight > 0 {
-			f(id, PeerLoad{InFlight: o.inFlight, Pending: o.pending, NotResumable: o.bound})
+			f(id, PeerLoad{InFlight: o.inFlight, Pending: o.pending, NotResumable: o.notResumable})
 		}
 	}
 }
 
-// Forget drops the record of a target that is gone or has started again. Work under way
-// keeps the record that it was counted in.
+// Forget drops the record of a target that has been removed or has restarted. Work in
+// progress keeps the record in which it was counted.
 func (t *Tracker) Forget(id ids.Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.own, id)
+	delete(t.targets, id)
 	for _, p := range t.peers {
 		delete(p.loads, id)
 	}
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,8 +1,8 @@
 // Package traffic counts the bytes that a VM exchanges, by purpose and by whether the
-// other end stands in another failure domain, where each byte is dear and slow.
+// remote end is in another failure domain, where transfer is expensive and slow.
 //
-// Payload is counted, as the sockets give and take it: neither the headers of packets
-// nor packets that are sent again.
+// It counts the payload that the sockets read and write, without packet headers and
+// retransmissions.
 package traffic
 
 import (
@@ -15,57 +15,57 @@
 	"github.com/rs/zerolog"
 )
 
-// Purpose is what bytes are exchanged for.
+// Purpose is the purpose for which bytes are exchanged.
 type Purpose uint8
 
 // The purposes.
 const (
-	Requests Purpose = iota // of callers, to targets
-	Answers                 // of targets
-	Feeds                   // cache feeds of engines and stores, both ways
-	Orders                  // orders to engines and looks at their state, both ways
-	PeerUpdates                    // sent to peers
-	Mirror                  // copies of the store, asked of peers, both ways
+	Requests    Purpose = iota // callers' requests, sent to targets
+	Answers                    // answers of targets
+	Feeds                      // cache feeds of engines and KV stores, both directions
+	Orders                     // orders to engines and reads of their state, both directions
+	PeerUpdates                // updates sent to peers
+	Mirror                     // copies of the store requested from peers, both directions
 	purposeCount
 )
 
 var purposeNames = [purposeCount]string{"requests", "answers", "feeds", "orders", "news", "mirror"}
 
-// String returns the purpose's name in metrics and logs.
+// String returns the purpose's name as used in metrics and logs.
 func (p Purpose) String() string { return purposeNames[p] }
 
 // Meter counts bytes. Safe for concurrent use. The zero value counts everything as
 // within the failure domain.
 type Meter struct {
-	// CrossDomain tells whether an address (ip:port) is in another failure domain. It is set
-	// before the first connection is made. Nil: none is.
+	// CrossDomain reports whether an address (ip:port) is in another failure domain. It must
+	// be set before the first connection. Nil means that no address is.
 	CrossDomain func(addr string) bool
 
-	near, far [purposeCount]atomic.Int64
+	sameDomain, crossDomain [purposeCount]atomic.Int64
 }
 
 // Add counts bytes. A nil Meter counts nothing.
-func (m *Meter) Add(p Purpose, far bool, bytes int) {
+func (m *Meter) Add(p Purpose, crossDomain bool, bytes int) {
 	switch {
 	case m == nil:
-	case far:
-		m.far[p].Add(int64(bytes))
+	case crossDomain:
+		m.crossDomain[p].Add(int64(bytes))
 	default:
-		m.near[p].Add(int64(bytes))
+		m.sameDomain[p].Add(int64(bytes))
 	}
 }
 
-// Count is the bytes of one purpose as operators see them.
+// Count is the number of bytes of one purpose, within the failure domain and beyond it.
 type Count struct {
-	Within int64 `json:"within"` // the failure domain
+	Within int64 `json:"within"`
 	Beyond int64 `json:"beyond"`
 }
 
-// Counts returns what was counted so far, by purpose.
+// Counts returns the counts so far by purpose.
 func (m *Meter) Counts() map[string]Count {
 	out := map[string]Count{}
 	for p := range purposeCount {
-		out[p.String()] = Count{Within: m.near[p].Load(), Beyond: m.far[p].Load()}
+		out[p.String()] = Count{Within: m.sameDomain[p].Load(), Beyond: m.crossDomain[p].Load()}
 	}
 	return out
 }
@@ -73,30 +73,30 @@
 // MarshalJSON implements json.Marshaler.
 func (m *Meter) MarshalJSON() ([]byte, error) { return json.Marshal(m.Counts()) }
 
-// MarshalZerologObject implements zerolog.LogObjectMarshaler: the bytes that crossed a
-// boundary of failure domains.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler. It logs only the bytes
+// exchanged with other failure domains.
 func (m *Meter) MarshalZerologObject(e *zerolog.Event) {
 	for p := range purposeCount {
-		e.Int64(p.String(), m.far[p].Load())
+		e.Int64(p.String(), m.crossDomain[p].Load())
 	}
 }
 
-// Conn counts what is written to nc as out, and what is read from it as in. It returns
-// nc itself if m is nil.
+// Conn returns a connection that counts the bytes written to nc as out and those read from
+// nc as in. It returns nc itself if m is nil.
 func (m *Meter) Conn(nc net.Conn, out, in Purpose) net.Conn {
 	if m == nil {
 		return nc
 	}
-	far := m.CrossDomain != nil && m.CrossDomain(nc.RemoteAddr().String())
-	return &conn{Conn: nc, meter: m, out: out, in: in, far: far}
+	crossDomain := m.CrossDomain != nil && m.CrossDomain(nc.RemoteAddr().String())
+	return &conn{Conn: nc, meter: m, out: out, in: in, crossDomain: crossDomain}
 }
 
-// conn is a counted connection.
+// conn is a connection that counts its bytes.
 type conn struct {
 	net.Conn
-	meter   *Meter
-	out, in Purpose
-	far     bool
+	meter       *Meter
+	out, in     Purpose
+	crossDomain bool
 }
 
 var (
@@ -107,14 +107,14 @@
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.meter.Add(c.in, c.far, n)
+	c.meter.Add(c.in, c.crossDomain, n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.meter.Add(c.out, c.far, n)
+	c.meter.Add(c.out, c.crossDomain, n)
 	return n, err
 }
 
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestBytesAreCountedByPurposeAndDistance sends over a counted connection, and checks
-// where its bytes are found.
-func TestBytesAreCountedByPurposeAndDistance(t *testing.T) {
-	for _, far := range []bool{false, true} {
+// TestBytesAreCountedByPurposeAndDomain exchanges bytes over a counted connection and checks
+// that they are counted by purpose and failure domain.
+func TestBytesAreCountedByPurposeAndDomain(t *testing.T) {
+	for _, crossDomain := range []bool{false, true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -26,7 +26,7 @@
 			_ = c.Close()
 		}()
 		asked := ""
-		m := &Meter{CrossDomain: func(addr string) bool { asked = addr; return far }}
+		m := &Meter{CrossDomain: func(addr string) bool { asked = addr; return crossDomain }}
 		plain, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -44,16 +44,16 @@
 			n += k
 		}
 		want := map[string]Count{"requests": {Within: 5}, "answers": {Within: 7}}
-		if far {
+		if crossDomain {
 			want = map[string]Count{"requests": {Beyond: 5}, "answers": {Beyond: 7}}
 		}
 		for p, n := range m.Counts() {
 			if n != want[p] {
-				t.Errorf("far %v: %s: got %+v, want %+v", far, p, n, want[p])
+				t.Errorf("cross domain %v: %s: got %+v, want %+v", crossDomain, p, n, want[p])
 			}
 		}
 		if asked != l.Addr().String() {
-			t.Errorf("asked about %q, want %q", asked, l.Addr())
+			t.Errorf("CrossDomain was called with %q, want %q", asked, l.Addr())
 		}
 		if _, err := json.Marshal(m); err != nil {
 			t.Error(err)
@@ -61,7 +61,7 @@
 	}
 }
 
-// TestNoMeter checks that a connection is left as it is where nothing counts.
+// TestNoMeter checks that a nil Meter returns the connection unchanged.
 func TestNoMeter(t *testing.T) {
 	a, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
