--- a/internal/cacheview/fuzz_test.go
+++ b/internal/cacheview/fuzz_test.go
@@ -68,10 +68,10 @@
 		x.Add(t, o.generation(t), level)
 		o.hold(t, id)
 	case 2:
-		x.Answered(t, o.generation(t), level, nil, 0)
+		x.ApplyResponse(t, o.generation(t), level, nil, 0)
 		o.hold(t, id)
 	case 3:
-		x.Answered(t, stale, level, nil, 16)
+		x.ApplyResponse(t, stale, level, nil, 16)
 		x.Add(t, stale, level)
 		x.Feed(t, stale, []Event{{Seq: 1, Block: id, Stored: true}})
 	case 4:
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -297,9 +297,9 @@
 	}
 }
 
-// Answered updates the entries by an answer: the target of that generation reused cached
+// ApplyResponse updates the entries by an answer: the target of that generation reused cached
 // tokens of the prompt, and has all of the prompt cached now. prior is the result of Expect.
-func (x *Index) Answered(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
+func (x *Index) ApplyResponse(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -264,9 +264,9 @@
 func (r *run) answered(call *engine.Call, a *engine.Answer, u engine.Usage) {
 	life := cacheview.GenerationOf(a.Incarnation, a.Weights)
 	if r.text.Len() == 0 || r.attempts == 1 {
-		r.d.Fleet.Cache.Answered(call.Target, life, r.p.Levels, r.prior, u.Details.CachedTokens)
+		r.d.Fleet.Cache.ApplyResponse(call.Target, life, r.p.Levels, r.prior, u.Details.CachedTokens)
 	}
-	r.d.Fleet.Load.Answered(u.PromptTokens, u.Details.CachedTokens)
+	r.d.Fleet.Load.ObserveResponse(u.PromptTokens, u.Details.CachedTokens)
 	r.d.Stats.PromptTokens.Add(int64(u.PromptTokens))
 	r.d.Stats.CachedTokens.Add(int64(u.Details.CachedTokens))
 	r.d.Stats.OutputTokens.Add(int64(u.CompletionTokens))
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -15,7 +15,7 @@
 	targets map[ids.Target]*targetLoad
 
 	meanMiss float64
-	answers  int
+	responses  int
 	overall  slowdown // over all targets
 
 	peers map[ids.VM]*peer
@@ -131,24 +131,24 @@
 // missGain is the weight of one answer in the smoothed miss ratio.
 const missGain = 0.2
 
-// Answered updates the miss ratio, the fraction of prompt tokens that targets have to
+// ObserveResponse updates the miss ratio, the fraction of prompt tokens that targets have to
 // compute, from one answer. Engines report their queues in prompt tokens, most of which
 // are cached. The ratio is kept for all targets together, since one VM sees too few answers
 // of each target.
-func (t *Tracker) Answered(prompt, cached int32) {
+func (t *Tracker) ObserveResponse(prompt, cached int32) {
 	if prompt <= 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answers++
-	t.meanMiss += max(missGain, 1/float64(t.answers)) * (float64(prompt-cached)/float64(prompt) - t.meanMiss)
+	t.responses++
+	t.meanMiss += max(missGain, 1/float64(t.responses)) * (float64(prompt-cached)/float64(prompt) - t.meanMiss)
 }
 
 // missRatio returns the fraction of reported tokens that targets will have to compute; 1
 // before the first answer.
 func (t *Tracker) missRatio() float64 {
-	if t.answers == 0 {
+	if t.responses == 0 {
 		return 1
 	}
 	return t.meanMiss
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := m.Conn(plain, Requests, Answers)
+		c := m.Conn(plain, Requests, Responses)
 		if _, err := c.Write([]byte("hello")); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +66,7 @@
 	a, b := net.Pipe()
 	defer func() { _, _ = a.Close(), b.Close() }()
 	var m *Meter
-	if m.Conn(a, Requests, Answers) != a {
+	if m.Conn(a, Requests, Responses) != a {
 		t.Fatal("the connection was wrapped")
 	}
 	m.Add(PeerUpdates, true, 10)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -172,7 +172,7 @@
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(receiveBuffer) // without it the kernel's own bound holds
 	}
-	nc = c.Meter.Conn(nc, traffic.Requests, traffic.Answers)
+	nc = c.Meter.Conn(nc, traffic.Requests, traffic.Responses)
 	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), pool: p}, nil
 }
 
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -368,8 +368,8 @@
 func (x *world) ended(r *request, t ids.Target, ok bool, life cacheview.Generation, prior cacheview.Prior, cached int) {
 	if ok {
 		r.d.f.Members.Succeeded(t)
-		r.d.f.Load.Answered(int32(r.prompt.tokens), int32(cached))
-		r.d.f.Cache.Answered(t, life, r.prompt.levels, prior, int32(cached))
+		r.d.f.Load.ObserveResponse(int32(r.prompt.tokens), int32(cached))
+		r.d.f.Cache.ApplyResponse(t, life, r.prompt.levels, prior, int32(cached))
 		x.res.Whole++
 		x.res.ByWorkspace[r.prompt.workspace]++
 		return
