--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -215,7 +215,7 @@
 	client := upstream.NewClient(s.DialTimeout.D())
 	client.Meter = d.adapter.Meter
 	if d.adapter.Meter != nil {
-		d.adapter.Meter.Far = d.far
+		d.adapter.Meter.CrossDomain = d.far
 	}
 	d.Replicas = &follow.Replicas{
 		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.gone(client), Named: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
@@ -249,7 +249,7 @@
 	d.Forward.Allowances = d.allowed
 	d.Forward.KeyTTL.Store(keyAge(edge.KeyTTL.D()))
 	d.feeds = &kvfeed.Feeds{
-		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, Tells: d.tells, Contact: d.contact, Log: d.Log,
+		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, ReportsToPeers: d.tells, Contact: d.contact, Log: d.Log,
 		Restarted: func(id ids.Target, inc ids.Incarnation) { d.Replicas.Restarted(id, inc, "feed") },
 	}
 	d.Lease = lease.New(d.store, leaseName, s.VM, leaseTuning(edge.OrderTurn.D()), nil)
@@ -264,7 +264,7 @@
 	}
 	d.news = &news.Exchange{
 		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.ordered, Meter: d.adapter.Meter,
-		Unresponsive: d.feeds.Silent, RecentWeights: d.named,
+		Unresponsive: d.feeds.Unresponsive, RecentWeights: d.named,
 		OnRecentWeights: func(n news.RecentWeights) {
 			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
@@ -274,7 +274,7 @@
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.lapsed, OnLeaseLapse: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
 		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.heardLimit,
-		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.Hear,
+		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.ApplyPeerChange,
 	}
 	d.vms.d = d
 	d.buildCanaries()
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -330,9 +330,9 @@
 	}
 	loads := make(map[ids.Target]loadview.PeerLoad, len(m.Loads))
 	for _, l := range m.Loads {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.NotResumable}
+		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
 	}
-	x.Load.Peer(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
+	x.Load.SetPeerLoads(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
 	if !x.isLarge() { // the tree's totals say it all
 		x.Allowances.Heard(m.VM, m.Incarnation, m.Seq, m.Uses)
 	}
@@ -357,7 +357,7 @@
 			continue
 		}
 		if timing.Sleep(ctx, x.RoundInterval()) {
-			x.Load.Fade(clock.Now())
+			x.Load.ExpirePeers(clock.Now())
 			x.round()
 		}
 	}
@@ -391,7 +391,7 @@
 func (x *Exchange) round() {
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
-		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.Bound})
+		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.NotResumable})
 	})
 	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
 	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -51,7 +51,7 @@
 // enough for that.
 func (r *Rollout) canCutOff(id ids.Target) bool {
 	work, _ := r.Targets.WorkOf(id)
-	return work.Bound == 0 && work.InFlight <= maxCutOff
+	return work.NotResumable == 0 && work.InFlight <= maxCutOff
 }
 
 // methodAfterDrain returns what an order should do with the requests left at a replica
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -36,7 +36,7 @@
 	var announced []string
 	r := &Rollout{
 		Weights: ampleTime{},
-		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 5, Bound: 2}, {InFlight: 5, Bound: 1}, {InFlight: 3}}},
+		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 5, NotResumable: 2}, {InFlight: 5, NotResumable: 1}, {InFlight: 3}}},
 		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { announced = append(announced, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
@@ -52,7 +52,7 @@
 func TestDrainTimeoutDoesNotCutOff(t *testing.T) {
 	r := &Rollout{
 		Weights: ampleTime{},
-		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 2, Bound: 1}}},
+		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 2, NotResumable: 1}}},
 		OnOrder: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -228,7 +228,7 @@
 	if sim.wait == 0 {
 		return loadview.PeerLoad{InFlight: 5}, 0
 	}
-	return loadview.PeerLoad{InFlight: 30, Bound: 3}, sim.wait
+	return loadview.PeerLoad{InFlight: 30, NotResumable: 3}, sim.wait
 }
 
 // Newest implements DesiredWeights: version 2 was set when the simulation began.
--- a/internal/rollout/update_test.go
+++ b/internal/rollout/update_test.go
@@ -328,9 +328,9 @@
 		took   time.Duration
 		want   Method
 	}{
-		{time.Minute, loadview.PeerLoad{InFlight: 3, Bound: 1}, drainMax, Finish},
-		{2 * time.Second, loadview.PeerLoad{InFlight: 3, Bound: 1}, 500 * time.Millisecond, Finish},
-		{-time.Second, loadview.PeerLoad{InFlight: 3, Bound: 1}, 0, Finish},
+		{time.Minute, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, drainMax, Finish},
+		{2 * time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 500 * time.Millisecond, Finish},
+		{-time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 0, Finish},
 		{time.Minute, loadview.PeerLoad{InFlight: maxCutOff}, drainMin, CutOff},
 		{time.Minute, loadview.PeerLoad{InFlight: maxCutOff + 1}, drainMax, Finish},
 	} {
