--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -14,9 +14,9 @@
 	mu      sync.Mutex
 	targets map[ids.Target]*targetLoad
 
-	meanMiss float64
-	responses  int
-	overall  slowdown // over all targets
+	meanMiss  float64
+	responses int
+	overall   slowdown // over all targets
 
 	peers map[ids.VM]*peer
 }
