--- a/internal/news/digest.go
+++ b/internal/news/digest.go
@@ -12,52 +12,53 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// digest sums up what several VMs tell: their loads by target, who they are, and the rest of
-// what each of them says. A digest of the whole fleet takes about 11 bytes a target and 6 a
-// VM, whatever the number of requests.
+// digest aggregates the state of several VMs: the sums of their loads by target, the members that
+// are included, and the remaining state of each. A digest of the whole fleet takes about 11 bytes
+// per target and 6 per VM, whatever the number of requests.
 type digest struct {
 	Loads []wireLoad `cbor:"1,keyasint,omitempty"`
-	// Members are the VMs whose loads are in the sums, with the number of the round of each
-	// that was summed: members of 6 bytes each.
-	Members []byte          `cbor:"2,keyasint,omitempty"`
-	Silent  []wireSilent    `cbor:"3,keyasint,omitempty"`
-	Named   []RecentWeights `cbor:"4,keyasint,omitempty"`
-	Lapsed  []LeaseLapse    `cbor:"5,keyasint,omitempty"`
-	Events  []event         `cbor:"6,keyasint,omitempty"`
+	// Members lists the VMs whose loads are included, with the round of each one, in members of
+	// 6 bytes.
+	Members       []byte             `cbor:"2,keyasint,omitempty"`
+	Unresponsive  []wireUnresponsive `cbor:"3,keyasint,omitempty"`
+	RecentWeights []RecentWeights    `cbor:"4,keyasint,omitempty"`
+	LeaseLapses   []LeaseLapse       `cbor:"5,keyasint,omitempty"`
+	Events        []event            `cbor:"6,keyasint,omitempty"`
 	// Uses are sums by workspace.
 	Uses []allowance.Use `cbor:"7,keyasint,omitempty"`
-	// Limits are the latest words of targets' rate limits.
+	// Limits holds the latest rate limit report of each target.
 	Limits []wireLimit `cbor:"8,keyasint,omitempty"`
 }
 
-// wireSilent are the targets that don't answer one VM.
-type wireSilent struct {
+// wireUnresponsive lists the targets that do not answer one VM.
+type wireUnresponsive struct {
 	_       struct{} `cbor:",toarray"`
 	VM      shortVM
 	Targets []shortID
 }
 
-// event is what one VM tells once.
+// event is state that its VM sends once, rather than in every round.
 type event struct {
-	_         struct{} `cbor:",toarray"`
-	VM        shortVM
-	Orders    []Order
-	StoreDown []string
-	Caches    []wireCache
+	_            struct{} `cbor:",toarray"`
+	VM           shortVM
+	Orders       []Order
+	StoreDown    []string
+	CacheChanges []wireCache
 }
 
-// shortVM names a VM in a digest.
+// shortVM identifies a VM in a digest by the low 32 bits of the hash of its name.
 type shortVM uint32
 
 func shortenVM(vm ids.VM) shortVM { return shortVM(xxh3.HashString(string(vm))) }
 
-// member is a VM whose loads are in a digest.
+// member is a VM whose loads are included in a digest. round is the low 16 bits of the number of
+// the included round.
 type member struct {
 	vm    shortVM
 	round uint16
 }
 
-// memberBytes is the size of a member.
+// memberBytes is the encoded size of a member.
 const memberBytes = 6
 
 func (d *digest) addMember(m member) {
@@ -65,7 +66,7 @@
 	d.Members = binary.BigEndian.AppendUint16(d.Members, m.round)
 }
 
-// members returns the members; bytes that are too few for one are left out.
+// members decodes Members and ignores a trailing incomplete member.
 func (d *digest) members() []member {
 	out := make([]member, 0, len(d.Members)/memberBytes)
 	for rest := d.Members; len(rest) >= memberBytes; rest = rest[memberBytes:] {
@@ -74,72 +75,73 @@
 	return out
 }
 
-// heardDigest is a digest and when this VM heard it.
-type heardDigest struct {
+// receivedDigest is a digest with the time at which this VM received it.
+type receivedDigest struct {
 	digest
-	at time.Time
+	receivedAt time.Time
 }
 
 const (
-	// mostLoads and mostSilent bound what a digest names of targets, so that it fits in a datagram
-	// with 2,000 VMs and a full set of events: those with most work, and an equal part of what
-	// each VM misses. One that doesn't fit is not sent, and nobody hears of anybody.
-	mostLoads  = 1_200
-	mostSilent = 800
+	// maxDigestLoads and maxDigestUnresponsive bound the targets in a digest, so that it fits in a
+	// datagram with 2,000 VMs and a full set of events. Beyond them a digest has only the targets
+	// with the most work and an equal share of the unresponsive targets of each VM. A digest that
+	// does not fit is not sent, and then no VM hears from any other.
+	maxDigestLoads        = 1_200
+	maxDigestUnresponsive = 800
 )
 
-// bound keeps a digest within a datagram.
-func (d *digest) bound() {
-	if len(d.Loads) > mostLoads {
+// truncate bounds the digest so that it fits in a datagram.
+func (d *digest) truncate() {
+	if len(d.Loads) > maxDigestLoads {
 		slices.SortFunc(d.Loads, func(a, b wireLoad) int {
 			return cmp.Or(cmp.Compare(b.Pending, a.Pending), cmp.Compare(b.InFlight, a.InFlight), cmp.Compare(a.Target, b.Target))
 		})
-		d.Loads = d.Loads[:mostLoads]
+		d.Loads = d.Loads[:maxDigestLoads]
 	}
 	targets := 0
-	for _, w := range d.Silent {
+	for _, w := range d.Unresponsive {
 		targets += len(w.Targets)
 	}
-	if targets <= mostSilent {
+	if targets <= maxDigestUnresponsive {
 		return
 	}
-	if len(d.Silent) > mostSilent {
-		d.Silent = d.Silent[:mostSilent]
+	if len(d.Unresponsive) > maxDigestUnresponsive {
+		d.Unresponsive = d.Unresponsive[:maxDigestUnresponsive]
 	}
-	each := max(mostSilent/len(d.Silent), 1)
-	d.Silent = slices.Clone(d.Silent) // the digests that were heard share it
-	for i := range d.Silent {
-		d.Silent[i].Targets = d.Silent[i].Targets[:min(each, len(d.Silent[i].Targets))]
+	each := max(maxDigestUnresponsive/len(d.Unresponsive), 1)
+	d.Unresponsive = slices.Clone(d.Unresponsive) // shared with the received digests
+	for i := range d.Unresponsive {
+		d.Unresponsive[i].Targets = d.Unresponsive[i].Targets[:min(each, len(d.Unresponsive[i].Targets))]
 	}
 }
 
-// sum adds digests up. Ages in those that were heard grow by the time since. Events are
-// left out: each is passed on once.
-func sum(parts []heardDigest, now time.Time) digest {
+// sum adds digests up. Ages in a digest grow by the time since it was received. sum leaves events
+// out, since each event is forwarded once.
+func sum(parts []receivedDigest, now time.Time) digest {
 	var out digest
 	loads, uses := map[shortID]wireLoad{}, map[uint32]allowance.Use{}
 	for _, p := range parts {
 		for _, l := range p.Loads {
 			s := loads[l.Target]
 			loads[l.Target] = wireLoad{
-				Target: l.Target, InFlight: s.InFlight + l.InFlight, Pending: s.Pending + l.Pending, Bound: s.Bound + l.Bound,
+				Target: l.Target, InFlight: s.InFlight + l.InFlight, Pending: s.Pending + l.Pending, NotResumable: s.NotResumable + l.NotResumable,
 			}
 		}
 		for _, u := range p.Uses {
 			uses[u.Workspace] = uses[u.Workspace].Plus(u)
 		}
 		out.Members = append(out.Members, p.Members...)
-		out.Silent = append(out.Silent, p.Silent...)
-		age := now.Sub(p.at).Milliseconds()
-		for _, n := range p.Named {
-			n.AgeMs += age
-			out.addNamed(n)
+		out.Unresponsive = append(out.Unresponsive, p.Unresponsive...)
+		age := now.Sub(p.receivedAt).Milliseconds()
+		for _, w := range p.RecentWeights {
+			w.AgeMs += age
+			out.addRecentWeights(w)
 		}
-		for _, l := range p.Lapsed {
+		for _, l := range p.LeaseLapses {
 			l.SinceLastOrderMs += age
-			out.Lapsed = append(out.Lapsed, l)
+			out.LeaseLapses = append(out.LeaseLapses, l)
 		}
-		for _, w := range aged(p.Limits, now.Sub(p.at)) {
+		for _, w := range addAge(p.Limits, now.Sub(p.receivedAt)) {
 			out.addLimit(w)
 		}
 	}
@@ -150,17 +152,17 @@
 		out.Uses = append(out.Uses, u)
 	}
 	slices.SortFunc(out.Uses, func(a, b allowance.Use) int { return cmp.Compare(a.Workspace, b.Workspace) })
-	out.bound()
+	out.truncate()
 	slices.SortFunc(out.Loads, func(a, b wireLoad) int { return cmp.Compare(a.Target, b.Target) })
 	return out
 }
 
-// addNamed keeps the longest time for which a version is known to be named.
-func (d *digest) addNamed(n RecentWeights) {
-	i := slices.IndexFunc(d.Named, func(o RecentWeights) bool { return o.Model == n.Model && o.Version == n.Version })
+// addRecentWeights adds a version, or keeps the larger age if the digest has the version already.
+func (d *digest) addRecentWeights(n RecentWeights) {
+	i := slices.IndexFunc(d.RecentWeights, func(o RecentWeights) bool { return o.Model == n.Model && o.Version == n.Version })
 	if i < 0 {
-		d.Named = append(d.Named, n)
+		d.RecentWeights = append(d.RecentWeights, n)
 		return
 	}
-	d.Named[i].AgeMs = max(d.Named[i].AgeMs, n.AgeMs)
+	d.RecentWeights[i].AgeMs = max(d.RecentWeights[i].AgeMs, n.AgeMs)
 }
--- a/internal/news/fuzz_test.go
+++ b/internal/news/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// FuzzDecode reads datagrams that anybody may have sent: none ends the process, and what is
-// taken for news says the same after another turn on the wire.
+// FuzzDecode decodes arbitrary datagrams: none may panic, and a message that was decoded must
+// survive being encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	resolve := resolveIn("e1", "e2")
 	for _, m := range []Message{
@@ -17,8 +17,8 @@
 		{VM: "vm1", CacheChanges: []cacheview.Change{{Target: "e1", Life: 5, ID: 1}, {Target: "e1", Life: 5, ID: 2, Gone: true}, {Target: "e2", Life: 6, Emptied: true}}},
 		{VM: "vm1", Order: &Order{Target: "e1", Weights: "7"}, RecentWeights: []RecentWeights{{Model: "m", Version: 7, AgeMs: 40}}, LeaseLapse: &LeaseLapse{Instance: "i", Fence: 2, Renewal: 7, SinceLastOrderMs: 3200}},
 		{VM: "vm1", Total: &digest{
-			Loads: []wireLoad{{Target: shorten("e1"), InFlight: 2}}, Members: []byte{1, 2, 3, 4, 5, 6, 7}, Silent: []wireSilent{{VM: 7, Targets: []shortID{shorten("e2")}}},
-			Events: []event{{VM: 9, Orders: []Order{{Target: "e1"}}, Caches: []wireCache{{Target: shorten("e1"), Held: []uint64{4}}}}},
+			Loads: []wireLoad{{Target: shorten("e1"), InFlight: 2}}, Members: []byte{1, 2, 3, 4, 5, 6, 7}, Unresponsive: []wireUnresponsive{{VM: 7, Targets: []shortID{shorten("e2")}}},
+			Events: []event{{VM: 9, Orders: []Order{{Target: "e1"}}, CacheChanges: []wireCache{{Target: shorten("e1"), Held: []uint64{4}}}}},
 		}},
 	} {
 		data, err := Encode(&m)
@@ -28,7 +28,7 @@
 		f.Add(data)
 		f.Add(data[:len(data)/2])
 	}
-	f.Add([]byte{passOn, 0xbf, 0xff})
+	f.Add([]byte{actionForward, 0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := decode(data, resolve)
 		if err != nil {
@@ -36,10 +36,10 @@
 		}
 		again, err := Encode(&m)
 		if err != nil {
-			t.Fatalf("%+v can't be told: %v", m, err)
+			t.Fatalf("%+v cannot be encoded: %v", m, err)
 		}
 		if _, err := decode(again, resolve); err != nil {
-			t.Fatalf("%+v is not understood: %v", m, err)
+			t.Fatalf("%+v cannot be decoded again: %v", m, err)
 		}
 	})
 }
--- a/internal/news/limits.go
+++ b/internal/news/limits.go
@@ -8,59 +8,61 @@
 	"github.com/threadwall/threadwall/internal/ratelimit"
 )
 
-// wireLimit is what one VM knows of a target's rate limit.
+// wireLimit is one VM's report of a target's rate limit.
 type wireLimit struct {
 	_           struct{} `cbor:",toarray"`
 	VM          shortVM
 	Target      shortID
 	Incarnation ids.Incarnation
-	Named       bool // false: the limit has ended
+	Limited     bool // false: the limit has ended
 	PerSecond   float64
 	AgeMs       int64
 }
 
-func wireLimits(vm ids.VM, words []ratelimit.Word) []wireLimit {
+func wireLimits(vm ids.VM, limits []ratelimit.Word) []wireLimit {
 	var out []wireLimit
-	for _, w := range words {
+	for _, w := range limits {
 		out = append(out, wireLimit{
-			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
+			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Limited: w.Limit.Named, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
 		})
 	}
 	return out
 }
 
-// word is the inverse of wireLimits. A rate that is none is garbled.
-func (w *wireLimit) word(t ids.Target) ratelimit.Word {
+// limit is the inverse of wireLimits for one target. ratelimit.PerSecond marks a rate that is not
+// valid as garbled.
+func (w *wireLimit) limit(t ids.Target) ratelimit.Word {
 	out := ratelimit.Word{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
-	if w.Named {
+	if w.Limited {
 		out.Limit = ratelimit.PerSecond(w.PerSecond)
 	}
 	return out
 }
 
-// takeLimits takes in what the VMs of a digest know of targets. This VM's own words come
-// back over the tree, a little younger than they are.
-func (x *Exchange) takeLimits(limits []wireLimit) {
+// applyLimits applies the rate limit reports of a digest. It ignores this VM's own reports, which
+// return over the tree with an age that is slightly too small.
+func (x *Exchange) applyLimits(limits []wireLimit) {
 	for i := range limits {
 		if limits[i].VM == shortenVM(x.VM) {
 			continue
 		}
 		if t, ok := x.Resolve(uint32(limits[i].Target)); ok {
-			x.OnLimit(limits[i].word(t))
+			x.OnLimit(limits[i].limit(t))
 		}
 	}
 }
 
-// aged returns limits as they are some time later.
-func aged(limits []wireLimit, by time.Duration) []wireLimit {
+// addAge returns a copy of limits whose ages are larger by d.
+func addAge(limits []wireLimit, d time.Duration) []wireLimit {
 	out := slices.Clone(limits)
 	for i := range out {
-		out[i].AgeMs += by.Milliseconds()
+		out[i].AgeMs += d.Milliseconds()
 	}
 	return out
 }
 
-// addLimit keeps the latest word of each target, and of two equally old ones the limit.
+// addLimit keeps the latest report of each target. Of two reports with the same age, it keeps the
+// one that sets a limit.
 func (d *digest) addLimit(w wireLimit) {
 	for i := range d.Limits {
 		o := &d.Limits[i]
@@ -72,7 +74,7 @@
 			if w.Incarnation > o.Incarnation {
 				*o = w
 			}
-		case w.AgeMs < o.AgeMs, w.AgeMs == o.AgeMs && w.Named:
+		case w.AgeMs < o.AgeMs, w.AgeMs == o.AgeMs && w.Limited:
 			*o = w
 		}
 		return
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,19 +1,18 @@
-// Package news is what entry VMs tell each other about targets: how much work each
-// has sent where, which engines are being brought to new weights, and since when these
-// are named.
+// Package news exchanges state about targets between entry VMs: the work that each VM has
+// sent to each target, the engines that are being switched to other weights, the recent
+// weights versions, changes of KV caches, rate limits, crashes and the use of allowances.
 //
-// A message is one datagram, sent to each peer and not answered. One that is lost
-// or late makes a decision a little worse and nothing wrong: loads are told again
-// and fade, and an engine that is told to load refuses work by itself. So there is
-// no connection to keep, no order to restore, and a VM that is cut off waits for
-// nobody.
+// A message is one datagram, sent to each peer and not acknowledged. A lost or late message
+// makes a decision slightly worse and never wrong: loads are sent again and decay, and an
+// engine that is loading weights refuses work by itself. So the exchange keeps no connections
+// and no order, and a VM that is cut off blocks no other VM.
 //
-// What it costs stays bounded: the pause between two rounds grows with the number
-// of peers, so that a VM takes in at most MessagesPerSecond; beyond TreeFrom messages are
-// summed up over a tree of VMs (tree.go).
+// The cost is bounded: the interval between two rounds grows with the number of peers, so
+// that a VM receives at most messagesPerSecond. Beyond Exchange.TreeFrom peers a tree of VMs
+// aggregates the messages (tree.go).
 //
-// Bytes between failure domains are dear, so a message crosses a boundary once for each
-// domain of more than relayFrom VMs: one VM there passes it on (relay.go).
+// Traffic between failure domains is expensive, so a message crosses the boundary once for
+// each remote domain of more than relayThreshold VMs: one VM there forwards it (relay.go).
 package news
 
 import (
@@ -43,59 +42,60 @@
 	VM            ids.VM
 	FailureDomain ids.FailureDomain
 	Addr          string // ip:port
-	LinkMbps      int    // width of its link; zero: not known
+	LinkMbps      int    // bandwidth of its link in Mbit/s; zero: not known
 }
 
-// Message is one datagram.
+// Message is one datagram. Incarnation and Seq order the loads of one VM.
 type Message struct {
 	VM          ids.VM
-	Seq         uint64 // orders the loads of one life of a VM; zero: it tells none
-	Incarnation int64  // when that life began, in milliseconds of the VM's clock
-	Loads       []Load // all targets with work; others have none
-	// Unresponsive are engines that don't answer the calls by which this VM reads their feeds, or
-	// have not answered the first one yet.
+	Seq         uint64 // number of the loads within one incarnation of the VM; zero: the message carries none
+	Incarnation int64  // start of the VM's process, in milliseconds of its wall clock
+	Loads       []Load // all targets with work; the others have none
+	// Unresponsive are engines that do not answer, or have not yet answered, the calls by which
+	// this VM reads their cache feeds.
 	Unresponsive []ids.Target
 	Order        *Order
-	// RecentWeights are weights that were named a short while ago.
+	// RecentWeights are weights versions that the configuration set a short while ago.
 	RecentWeights []RecentWeights
-	// StoreDown is the address of a store of KV cache that does not answer.
+	// StoreDown is the address of a KV cache store that does not answer.
 	StoreDown string
-	// CacheChanges are changes of what targets hold.
+	// CacheChanges are changes of the KV caches of targets.
 	CacheChanges []cacheview.Change
-	// LeaseLapse tells that this VM could not renew the lease for orders and gives none. Nil: it
-	// has not held it, or holds it.
+	// LeaseLapse is set if this VM held the lease for orders, could not renew it and has
+	// stopped giving orders. Nil: it has not held the lease, or still holds it.
 	LeaseLapse *LeaseLapse
 	// Crashes are requests under which replicas crashed.
 	Crashes []quarantine.Report
-	// Uses are what this VM lets workspaces use, along with Seq.
+	// Uses are the amounts that this VM lets workspaces use, ordered by Seq.
 	Uses []allowance.Use
-	// Limits are rates that targets named, and the ends of such.
+	// Limits are rate limits that targets reported, and ends of such limits.
 	Limits []ratelimit.Word
-	// Canaries are what this VM has counted of versions that are being brought into service.
+	// Canaries are the counts of this VM for versions that are being brought into service.
 	Canaries []canary.Report
-	// Report and Total are what several VMs say, in large fleets (tree.go).
+	// Report and Total carry the state of several VMs in large fleets (tree.go).
 	Report, Total *digest
 }
 
-// LeaseLapse is one state of the lease's record under which its holder has stopped (package
-// lease).
+// LeaseLapse identifies the state of the lease record under which the holder has stopped
+// giving orders (package lease).
 type LeaseLapse struct {
 	_                struct{} `cbor:",toarray"`
 	Instance         string
 	Fence            uint64
 	Renewal          uint64
-	SinceLastOrderMs int64 // since its last order had arrived or was given up
+	SinceLastOrderMs int64 // since its last order arrived or was abandoned
 }
 
-// Load is a VM's work at one target.
+// Load is the work that one VM has sent to one target.
 type Load struct {
 	Target       ids.Target
 	InFlight     int
-	Pending      int // prompt tokens without a first token yet
-	NotResumable int // requests that can't go on at another target
+	Pending      int // prompt tokens of requests that wait for their first token
+	NotResumable int // requests that cannot continue at another target
 }
 
-// RecentWeights is a version of a model's weights and for how long it has been named.
+// RecentWeights is a weights version of a model that the configuration set a short while
+// ago. AgeMs is the time since then.
 type RecentWeights struct {
 	_       struct{} `cbor:",toarray"`
 	Model   ids.Model
@@ -103,177 +103,186 @@
 	AgeMs   int64
 }
 
-// Order says that an engine is being brought to other weights, or has been.
+// Order says that an engine is being switched to other weights or, if Done, has been.
 type Order struct {
 	_       struct{} `cbor:",toarray"`
 	Target  ids.Target
 	Weights ids.WeightsVersion
 	Done    bool
-	// Incarnation is that of the engine, as far as the sender knows; zero: it does not.
+	// Incarnation is the one of the engine; zero: the sender does not know it.
 	Incarnation ids.Incarnation
 }
 
-// Bounds.
 const (
-	// shortest is the least pause between two rounds: about the time to a first token.
-	shortest = 150 * time.Millisecond
-	// shortestCaches is the least pause between two tellings of caches: what a prompt that
-	// was just computed saves the next one is known before the next one is decided.
-	shortestCaches = 50 * time.Millisecond
-	// messagesPerSecond bounds what a VM takes in. Fewer make loads so old that all VMs send to
-	// the engines that had looked idle.
+	// minRoundInterval is the shortest interval between two rounds: about the time to first
+	// token.
+	minRoundInterval = 150 * time.Millisecond
+	// minCacheInterval is the shortest interval between two rounds of cache changes, so that a
+	// prefix that was just computed is known before the next request for it is routed.
+	minCacheInterval = 50 * time.Millisecond
+	// messagesPerSecond bounds the messages that a VM receives. With fewer messages, loads get so
+	// old that all VMs send to the engines that last looked idle.
 	messagesPerSecond = 200
-	// maxDatagram bounds a message, in bytes.
+	// maxDatagram bounds the size of a message, in bytes.
 	maxDatagram = 48 << 10
-	// orderCopies is how often an order is told, since datagrams get lost.
+	// orderCopies is the number of times an order is sent, since datagrams get lost.
 	orderCopies = 2
-	// idleRounds is after how many rounds with nothing to tell a VM speaks all the same:
-	// peers take its silence for a cut.
-	idleRounds = 1
-	// maxTold bounds the changes of caches in one message, in entries of about 9 bytes: it
-	// then fits in one packet. maxCacheMessages bounds the messages of one round.
-	maxTold          = 120
+	// maxSkippedRounds is the number of rounds with nothing to send that a VM skips before it
+	// sends an empty message: peers consider a VM that sends nothing as cut off.
+	maxSkippedRounds = 1
+	// maxCacheChanges bounds the cache changes in one message, in entries of about 9 bytes, so that
+	// the message fits in one packet. maxCacheMessages bounds the messages of one round.
+	maxCacheChanges  = 120
 	maxCacheMessages = 4
 )
 
-// Exchange tells and hears news. Its fields are set before Run.
+// Exchange sends this VM's state to its peers and receives theirs. Set the exported fields before
+// Start, and then run Receive, SendLoads and SendCacheChanges once each. All other methods are safe
+// for concurrent use, and callbacks may run concurrently.
 type Exchange struct {
 	VM            ids.VM
 	FailureDomain ids.FailureDomain
 	Listen        string // ip:port
-	// TreeFrom is the number of peers beyond which news go over the tree. Zero: never.
+	// TreeFrom is the number of peers beyond which messages are aggregated over a tree of VMs
+	// (tree.go). Zero: never.
 	TreeFrom int
 	Load     *loadview.Tracker
-	// OnOrder is called for each order that a peer tells of.
+	// OnOrder is called for each order that a peer reports.
 	OnOrder func(o Order)
-	// Unresponsive returns the engines that this VM gets no answer from, and PeerSilent is
-	// called with all that a peer gets none from.
+	// Unresponsive returns the engines that do not answer this VM. OnUnresponsive is called with
+	// all engines that do not answer a peer.
 	Unresponsive   func() []ids.Target
-	OnUnresponsive func(peer ids.VM, silent []ids.Target)
-	// RecentWeights returns the weights that were named a short while ago, and HeardNamed is
-	// called for each that a peer tells of.
+	OnUnresponsive func(peer ids.VM, unresponsive []ids.Target)
+	// RecentWeights returns the weights versions that the configuration set a short while ago.
+	// OnRecentWeights is called for each one that a peer reports.
 	RecentWeights   func() []RecentWeights
-	OnRecentWeights func(n RecentWeights)
-	// OnStoreDown is called for each store of KV cache that a peer gets no answer from.
+	OnRecentWeights func(w RecentWeights)
+	// OnStoreDown is called for each KV cache store that does not answer a peer.
 	OnStoreDown func(addr string)
 	// Resolve returns the target whose hash has the given low 32 bits.
 	Resolve func(short uint32) (ids.Target, bool)
-	// CacheChanges returns the changes of caches that peers are to be told of, and HeardCache is
-	// called for each that a peer tells of.
+	// CacheChanges returns the cache changes to send to peers. OnCacheChange is called for each
+	// one that a peer reports.
 	CacheChanges  func() []cacheview.Change
 	OnCacheChange func(c cacheview.Change)
-	// LeaseLapse returns what peers are to know of a lease that this VM could not renew; nil:
-	// nothing. HeardLapsed is called with what a peer tells of its own.
+	// LeaseLapse returns the lapse to report if this VM could not renew the lease for orders, nil
+	// otherwise. OnLeaseLapse is called for each lapse that a peer reports.
 	LeaseLapse   func() *LeaseLapse
 	OnLeaseLapse func(l LeaseLapse)
-	// Crashes keeps the requests under which replicas crashed. Nil: none are told of.
+	// Crashes stores the requests under which replicas crashed. Nil: the exchange sends and
+	// receives none.
 	Crashes *quarantine.Ledger
-	// Allowances bounds what workspaces use over all VMs. Nil: nothing does.
+	// Allowances limits the use of workspaces over all VMs. Nil: nothing does.
 	Allowances *allowance.Limiter
-	// Limits returns what peers are to know of the rates that targets named, and HeardLimit
-	// is called with what a peer tells of one.
+	// Limits returns the rate limits of targets to report to peers. OnLimit is called for each one
+	// that a peer reports.
 	Limits  func() []ratelimit.Word
 	OnLimit func(w ratelimit.Word)
-	// OnCanaryReports is called with what a VM has counted of canaries.
-	OnCanaryReports func(vm ids.VM, life int64, r []canary.Report)
-	// Meter counts the bytes that are sent. Nil: nothing does.
+	// OnCanaryReports is called with the counts of a VM for canaries.
+	OnCanaryReports func(vm ids.VM, incarnation int64, r []canary.Report)
+	// Meter counts the bytes sent. Nil: nothing does.
 	Meter *traffic.Meter
 
-	mu    sync.Mutex
-	peers []Peer
-	large bool // news go over the tree
-	heard map[ids.VM]contact
-	tree  tree
-	conn  *net.UDPConn
-	life  int64
-	seq   atomic.Uint64
-	told  int // targets in the last round
-	idle  int // rounds since this VM last spoke
-
+	mu            sync.Mutex
+	peers         []Peer
+	useTree       bool // there are more peers than TreeFrom
+	contacts      map[ids.VM]contact
+	tree          tree
+	conn          *net.UDPConn
+	incarnation   int64
+	seq           atomic.Uint64
+	lastLoads     int // number of loads in the last round
+	skippedRounds int // rounds since this VM last sent a message
+
+	// Datagrams sent by this VM and forwarded for others, messages received, failures to read,
+	// decode, encode or send, and cache changes that were not sent because there were too many.
 	Sent, Forwarded, Received, Rejected, Dropped atomic.Int64
 }
 
-// SetPeers tells who the peers are; this VM itself is left out.
+// SetPeers replaces the list of peers. all may include this VM and VMs without an address, which
+// SetPeers leaves out. It is safe to call while the exchange runs.
 func (x *Exchange) SetPeers(all []Peer) {
-	var near, far []Peer
+	var sameDomain, crossDomain []Peer
 	for _, p := range all {
 		switch {
 		case p.VM == x.VM || p.Addr == "":
 		case p.FailureDomain == x.FailureDomain:
-			near = append(near, p)
+			sameDomain = append(sameDomain, p)
 		default:
-			far = append(far, p)
+			crossDomain = append(crossDomain, p)
 		}
 	}
-	peers := append(near, far...)
+	peers := append(sameDomain, crossDomain...)
 	x.tree.setPeers(x.VM, x.FailureDomain, all)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.peers, x.large = peers, x.TreeFrom > 0 && len(peers) > x.TreeFrom
-	heard := map[ids.VM]contact{}
+	x.peers, x.useTree = peers, x.TreeFrom > 0 && len(peers) > x.TreeFrom
+	contacts := map[ids.VM]contact{}
 	for _, p := range peers {
-		heard[p.VM] = x.heard[p.VM]
+		contacts[p.VM] = x.contacts[p.VM]
 	}
-	x.heard = heard
+	x.contacts = contacts
 }
 
-// isLarge tells whether news go over the tree.
-func (x *Exchange) isLarge() bool {
+// usesTree reports whether messages are aggregated over the tree.
+func (x *Exchange) usesTree() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.large
+	return x.useTree
 }
 
-func (x *Exchange) list() []Peer {
+func (x *Exchange) peerList() []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.peers
 }
 
-// contact is what is known of a listed peer's presence.
+// contact records the last message from a listed peer.
 type contact struct {
-	at   time.Time // it last told something
-	life int64
+	lastSeen    time.Time // zero: never
+	incarnation int64
 }
 
-// note remembers when a listed peer told something, and tells whether it has started since
-// it last did. life is zero where another VM names it.
-func (x *Exchange) note(vm ids.VM, life int64, now time.Time) (started bool) {
+// recordContact records a message from a listed peer and reports whether the peer's process has
+// started since its last one. incarnation is zero if another VM reported the peer.
+func (x *Exchange) recordContact(vm ids.VM, incarnation int64, now time.Time) (started bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c, listed := x.heard[vm]
+	c, listed := x.contacts[vm]
 	if !listed {
 		return false
 	}
-	started = life > c.life
-	c.at, c.life = now, max(c.life, life)
-	x.heard[vm] = c
+	started = incarnation > c.incarnation
+	c.lastSeen, c.incarnation = now, max(c.incarnation, incarnation)
+	x.contacts[vm] = c
 	return started
 }
 
-// SeenWithin tells whether a peer has told something in the last d.
+// SeenWithin reports whether the exchange received a message from a listed peer, or a total
+// that includes it, within the last d.
 func (x *Exchange) SeenWithin(vm ids.VM, d time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at := x.heard[vm].at
+	at := x.contacts[vm].lastSeen
 	return !at.IsZero() && clock.Since(at) < d
 }
 
-// Start listens.
+// Start opens the UDP socket on Listen. It must return before Receive, SendLoads or any other
+// method that sends is called.
 func (x *Exchange) Start() error {
 	addr, err := net.ResolveUDPAddr("udp4", x.Listen)
 	if err != nil {
-		return eris.Wrapf(err, "news address %s", x.Listen)
+		return eris.Wrapf(err, "resolve peer listen address %s", x.Listen)
 	}
 	x.conn, err = net.ListenUDP("udp4", addr)
-	x.life = time.Now().UnixMilli() // peers compare it with that of another start
+	x.incarnation = time.Now().UnixMilli() // wall time, since peers compare it with that of an earlier start
 	x.tree.wake = make(chan struct{}, 1)
-	return eris.Wrapf(err, "listen for news on %s", x.Listen)
+	return eris.Wrapf(err, "listen for peer messages on %s", x.Listen)
 }
 
-// Receive takes in datagrams until ctx ends.
+// Receive handles incoming datagrams until ctx ends, and then closes the socket.
 func (x *Exchange) Receive(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() }) // ends the read below
+	stop := context.AfterFunc(ctx, func() { _ = x.conn.Close() }) // unblocks the read below
 	defer stop()
 	buf := make([]byte, maxDatagram)
 	for {
@@ -285,35 +294,35 @@
 			x.Rejected.Add(1)
 			continue
 		}
-		x.take(buf[:n])
+		x.handle(buf[:n])
 	}
 }
 
-func (x *Exchange) take(data []byte) {
+func (x *Exchange) handle(data []byte) {
 	m, err := decode(data, x.Resolve)
 	if err != nil || m.VM == "" || m.VM == x.VM {
 		x.Rejected.Add(1)
 		return
 	}
-	if data[0] == passOn {
-		x.passOn(data)
+	if data[0] == actionForward {
+		x.forward(data)
 	}
 	x.Received.Add(1)
-	if x.note(m.VM, m.Incarnation, clock.Now()) {
+	if x.recordContact(m.VM, m.Incarnation, clock.Now()) {
 		x.Crashes.Retell()
 	}
 	if len(m.Crashes) > 0 && x.Crashes != nil {
-		x.Crashes.Heard(m.VM, m.Crashes, x.isLarge())
+		x.Crashes.Heard(m.VM, m.Crashes, x.usesTree())
 	}
 	if len(m.Canaries) > 0 && x.OnCanaryReports != nil {
 		x.OnCanaryReports(m.VM, m.Incarnation, m.Canaries)
 		return
 	}
 	if m.Report != nil || m.Total != nil {
-		x.takeDigest(&m, clock.Now())
+		x.handleDigest(&m, clock.Now())
 		return
 	}
-	x.tree.met(m.VM)
+	x.tree.peerAnnounced(m.VM)
 	if m.Order != nil {
 		x.OnOrder(*m.Order)
 		return
@@ -333,12 +342,12 @@
 		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), Bound: l.NotResumable}
 	}
 	x.Load.Peer(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
-	if !x.isLarge() { // the tree's totals say it all
+	if !x.usesTree() { // otherwise the tree's totals include them
 		x.Allowances.Heard(m.VM, m.Incarnation, m.Seq, m.Uses)
 	}
 	x.OnUnresponsive(m.VM, m.Unresponsive)
-	for _, n := range m.RecentWeights {
-		x.OnRecentWeights(n)
+	for _, w := range m.RecentWeights {
+		x.OnRecentWeights(w)
 	}
 	if m.LeaseLapse != nil {
 		x.OnLeaseLapse(*m.LeaseLapse)
@@ -348,110 +357,113 @@
 	}
 }
 
-// SendLoads sends this VM's loads round after round until ctx ends.
+// SendLoads sends this VM's loads in rounds until ctx ends: to each peer, or over the tree in
+// large fleets.
 func (x *Exchange) SendLoads(ctx context.Context) {
-	x.tellRound(Message{}) // peers know at once that this VM is there
+	x.sendRound(Message{}) // announces this VM to its peers at once
 	for ctx.Err() == nil {
-		if x.isLarge() {
-			x.tellTree(ctx)
+		if x.usesTree() {
+			x.runTreeRound(ctx)
 			continue
 		}
 		if timing.Sleep(ctx, x.RoundInterval()) {
 			x.Load.Fade(clock.Now())
-			x.round()
+			x.sendOwnLoads()
 		}
 	}
 }
 
-// SendCacheChanges tells changes of caches until ctx ends.
+// SendCacheChanges sends cache changes in rounds until ctx ends. In large fleets SendLoads sends
+// them over the tree instead.
 func (x *Exchange) SendCacheChanges(ctx context.Context) {
-	for timing.Sleep(ctx, max(shortestCaches, x.intake())) {
-		if !x.isLarge() {
-			x.tellCaches()
+	for timing.Sleep(ctx, max(minCacheInterval, x.receiveInterval())) {
+		if !x.usesTree() {
+			x.sendCacheRound()
 		}
 	}
 }
 
-// RoundInterval is the time between two rounds.
+// RoundInterval returns the current interval between two rounds of SendLoads.
 func (x *Exchange) RoundInterval() time.Duration {
-	if x.isLarge() {
-		return treeRound
+	if x.usesTree() {
+		return treeRoundInterval
 	}
-	return max(shortest, x.intake())
+	return max(minRoundInterval, x.receiveInterval())
 }
 
-// intake is the pause between two rounds at which a VM takes in messagesPerSecond of its
-// peers.
-func (x *Exchange) intake() time.Duration {
-	return time.Duration(len(x.list())) * time.Second / messagesPerSecond
+// receiveInterval returns the interval between two rounds at which a VM receives
+// messagesPerSecond from its peers.
+func (x *Exchange) receiveInterval() time.Duration {
+	return time.Duration(len(x.peerList())) * time.Second / messagesPerSecond
 }
 
-// round tells loads, silent engines and new weights once; after a round without any of them,
-// nothing for some rounds.
-func (x *Exchange) round() {
+// sendOwnLoads sends one round of loads, unresponsive engines, recent weights and so on. It
+// skips up to maxSkippedRounds rounds that have nothing to send.
+func (x *Exchange) sendOwnLoads() {
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.Bound})
 	})
-	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.Due(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
-	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
-		x.idle++
+	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.Due(len(x.peerList())), Uses: x.Allowances.Told(), Limits: x.Limits()}
+	if len(loads) == 0 && len(m.Uses) == 0 && x.lastLoads == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.skippedRounds < maxSkippedRounds {
+		x.skippedRounds++
 		return
 	}
-	x.tellRound(m)
+	x.sendRound(m)
 }
 
-// tellRound sends a message that orders this VM's loads.
-func (x *Exchange) tellRound(m Message) {
-	x.told, x.idle = len(m.Loads), 0
-	m.VM, m.Incarnation, m.Seq = x.VM, x.life, x.seq.Add(1)
+// sendRound sends m with this VM's next sequence number.
+func (x *Exchange) sendRound(m Message) {
+	x.lastLoads, x.skippedRounds = len(m.Loads), 0
+	m.VM, m.Incarnation, m.Seq = x.VM, x.incarnation, x.seq.Add(1)
 	x.send(m, 0)
 }
 
-// tellCaches tells changes of caches in as many messages as it takes. What is too much for
-// one round is left out: a belief that is missing costs a computation at most.
-func (x *Exchange) tellCaches() {
+// sendCacheRound sends the pending cache changes in as many messages as needed, up to
+// maxCacheMessages. It drops the remainder: a missing cache entry costs one computation at most.
+func (x *Exchange) sendCacheRound() {
 	changes := x.CacheChanges()
 	for range maxCacheMessages {
-		n := min(len(changes), maxTold)
+		n := min(len(changes), maxCacheChanges)
 		if n == 0 {
 			return
 		}
-		x.send(Message{VM: x.VM, Incarnation: x.life, CacheChanges: changes[:n]}, 0)
+		x.send(Message{VM: x.VM, Incarnation: x.incarnation, CacheChanges: changes[:n]}, 0)
 		changes = changes[n:]
 	}
 	x.Dropped.Add(int64(len(changes)))
 }
 
-// SendOrder tells all peers of an order.
+// SendOrder sends an order to all peers, orderCopies times.
 func (x *Exchange) SendOrder(o Order) {
 	for copy := range orderCopies {
-		if x.isLarge() {
-			x.tree.tell(event{VM: shortenVM(x.VM), Orders: []Order{o}})
+		if x.usesTree() {
+			x.tree.enqueue(event{VM: shortenVM(x.VM), Orders: []Order{o}})
 			continue
 		}
-		x.send(Message{VM: x.VM, Incarnation: x.life, Order: &o}, copy)
+		x.send(Message{VM: x.VM, Incarnation: x.incarnation, Order: &o}, copy)
 	}
 }
 
-// SendCanaryReports tells one VM what this one has counted.
+// SendCanaryReports sends this VM's canary counts to one VM, or passes them to OnCanaryReports if
+// that VM is this one.
 func (x *Exchange) SendCanaryReports(to ids.VM, r []canary.Report) {
 	if to == x.VM {
-		x.OnCanaryReports(x.VM, x.life, r)
+		x.OnCanaryReports(x.VM, x.incarnation, r)
 		return
 	}
-	for _, p := range x.list() {
+	for _, p := range x.peerList() {
 		if p.VM == to {
-			x.sendDigest(Message{VM: x.VM, Incarnation: x.life, Canaries: r}, []Peer{p})
+			x.sendTo(Message{VM: x.VM, Incarnation: x.incarnation, Canaries: r}, []Peer{p})
 		}
 	}
 }
 
-// SendStoreDown tells all peers that a store of KV cache does not answer.
+// SendStoreDown reports to all peers that the KV cache store at addr does not answer.
 func (x *Exchange) SendStoreDown(addr string) {
-	if x.isLarge() {
-		x.tree.tell(event{VM: shortenVM(x.VM), StoreDown: []string{addr}})
+	if x.usesTree() {
+		x.tree.enqueue(event{VM: shortenVM(x.VM), StoreDown: []string{addr}})
 		return
 	}
-	x.send(Message{VM: x.VM, Incarnation: x.life, StoreDown: addr}, 0)
+	x.send(Message{VM: x.VM, Incarnation: x.incarnation, StoreDown: addr}, 0)
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// resolveIn resolves the given targets.
+// resolveIn returns a resolver that knows the given targets.
 func resolveIn(targets ...ids.Target) func(uint32) (ids.Target, bool) {
 	return func(short uint32) (ids.Target, bool) {
 		for _, t := range targets {
@@ -32,52 +32,52 @@
 	}
 }
 
-func (x *Exchange) takeMessage(t *testing.T, m Message) {
+func (x *Exchange) handleMessage(t *testing.T, m Message) {
 	t.Helper()
 	data, err := Encode(&m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.take(data)
+	x.handle(data)
 }
 
-// TestHeardWithin tells listed peers that have told something from those that are gone or
-// were never listed.
-func TestHeardWithin(t *testing.T) {
+// TestSeenWithin checks that SeenWithin is true only for listed peers that have sent a message, and
+// that the record of a peer survives SetPeers.
+func TestSeenWithin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newExchange()
 		x.SetPeers([]Peer{{VM: "vm0", Addr: "a:1"}, {VM: "vm1", Addr: "a:2"}, {VM: "vm2", Addr: "a:3"}})
-		x.takeMessage(t, Message{VM: "vm1"})
-		x.takeMessage(t, Message{VM: "stranger"})
+		x.handleMessage(t, Message{VM: "vm1"})
+		x.handleMessage(t, Message{VM: "unlisted"})
 		time.Sleep(time.Second)
 		x.SetPeers([]Peer{{VM: "vm0", Addr: "a:1"}, {VM: "vm1", Addr: "a:2"}, {VM: "vm3", Addr: "a:4"}})
-		for vm, want := range map[ids.VM]bool{"vm1": true, "vm2": false, "vm3": false, "stranger": false} {
+		for vm, want := range map[ids.VM]bool{"vm1": true, "vm2": false, "vm3": false, "unlisted": false} {
 			if got := x.SeenWithin(vm, 2*time.Second); got != want {
-				t.Errorf("%s was heard: %v, want %v", vm, got, want)
+				t.Errorf("%s was seen: %v, want %v", vm, got, want)
 			}
 		}
 		time.Sleep(time.Second)
 		if x.SeenWithin("vm1", 2*time.Second) {
-			t.Error("vm1 still counts 2 s after its last news")
+			t.Error("vm1 still counts as seen 2 s after its last message")
 		}
 	})
 }
 
-// TestNamedIsTold takes in weights that a peer tells of, beside its loads.
-func TestNamedIsTold(t *testing.T) {
+// TestRecentWeightsReceived checks that a message with recent weights and loads delivers both.
+func TestRecentWeightsReceived(t *testing.T) {
 	x := newExchange()
-	var heard []RecentWeights
-	x.OnRecentWeights = func(n RecentWeights) { heard = append(heard, n) }
+	var received []RecentWeights
+	x.OnRecentWeights = func(n RecentWeights) { received = append(received, n) }
 	want := RecentWeights{Model: "m", Version: 3, AgeMs: 1200}
-	x.takeMessage(t, Message{VM: "vm1", Seq: 1, RecentWeights: []RecentWeights{want}, Loads: []Load{{Target: "e1", InFlight: 2}}})
-	if len(heard) != 1 || heard[0] != want || x.Load.All("e1").InFlight != 2 {
-		t.Fatalf("heard %v, load %+v", heard, x.Load.All("e1"))
+	x.handleMessage(t, Message{VM: "vm1", Seq: 1, RecentWeights: []RecentWeights{want}, Loads: []Load{{Target: "e1", InFlight: 2}}})
+	if len(received) != 1 || received[0] != want || x.Load.All("e1").InFlight != 2 {
+		t.Fatalf("received %v, load %+v", received, x.Load.All("e1"))
 	}
 }
 
-// TestNamedIsToldWithoutWork tells peers of new weights in a round in which this VM has no
-// work: they may have nobody else to hear it from.
-func TestNamedIsToldWithoutWork(t *testing.T) {
+// TestRecentWeightsSentWithoutLoads checks that a round without loads sends recent weights: peers may
+// have no other VM to hear of them from.
+func TestRecentWeightsSentWithoutLoads(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -91,15 +91,15 @@
 	defer func() { _ = x.conn.Close() }()
 	x.SetPeers([]Peer{{VM: "vm1", Addr: peer.LocalAddr().String()}})
 	want := RecentWeights{Model: "m", Version: 3, AgeMs: 1200}
-	var named []RecentWeights
+	var recent []RecentWeights
 	x.Unresponsive = func() []ids.Target { return nil }
-	x.RecentWeights = func() []RecentWeights { return named }
-	x.round()
+	x.RecentWeights = func() []RecentWeights { return recent }
+	x.sendOwnLoads()
 	if x.Sent.Load() != 0 {
-		t.Error("there was nothing to tell")
+		t.Error("a round with nothing to send sent a datagram")
 	}
-	named = []RecentWeights{want}
-	x.round()
+	recent = []RecentWeights{want}
+	x.sendOwnLoads()
 	if err := peer.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/news/relay.go
+++ b/internal/news/relay.go
@@ -12,24 +12,24 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Messages to another failure domain. The VMs of a small domain get one each. In a larger
-// one a single VM does, and passes it on to the others; which one differs from sender to
-// sender, so that the work is spread. Measured with 82 VMs in 4 domains over 48 s: told
-// directly, 225 MB of news crossed boundaries.
+// Messages to another failure domain: each VM of a small domain gets its own datagram. In a
+// larger domain a single VM, the relay, gets one and forwards it to the others. The relay
+// differs from sender to sender, which spreads the load. Measured with 82 VMs in 4 domains over
+// 48 s: without relays, 225 MB of these messages crossed domain boundaries.
 //
-// A relay that is gone costs a sender its words in that domain until it is known to be
-// silent; what must not be missed is told twice, by way of two relays.
+// A relay that has failed costs a sender its messages to that domain until the sender notices.
+// Messages that must not be lost are sent twice, by different relays.
 
 const (
-	// relayFrom is the size of another domain, in VMs, beyond which a relay is used. With
-	// fewer the bytes saved are few, and a lost relay is felt by a large part.
-	relayFrom = 3
-	// relayHeard is how long ago a relay may have spoken last.
-	relayHeard = 3 * time.Second
+	// relayThreshold is the number of VMs of another domain beyond which a relay is used. In
+	// smaller domains a relay saves few bytes, and losing one affects a large share of the VMs.
+	relayThreshold = 3
+	// relayTimeout is the longest time since the last message from a VM that may be a relay.
+	relayTimeout = 3 * time.Second
 )
 
-// send sends a message to all peers; copies of one message go by way of different relays.
-// A failed send is a lost datagram.
+// send sends a message to all peers. Copies of one message go through different relays. A failed
+// send counts as a lost datagram.
 func (x *Exchange) send(m Message, copy int) {
 	data, err := Encode(&m)
 	if err != nil || len(data) > maxDatagram {
@@ -37,9 +37,9 @@
 		return
 	}
 	for _, r := range x.receivers(copy) {
-		data[0] = keep
+		data[0] = actionDeliver
 		if r.relay {
-			data[0] = passOn
+			data[0] = actionForward
 		}
 		x.write(data, r.Peer, &x.Sent)
 	}
@@ -58,27 +58,27 @@
 	x.Meter.Add(traffic.News, p.FailureDomain != x.FailureDomain, len(data))
 }
 
-// passOn passes a datagram of another domain's VM on to the VMs of this domain.
-func (x *Exchange) passOn(data []byte) {
-	data[0] = keep
-	for _, p := range x.list() {
+// forward forwards a datagram from another domain to the VMs of this domain.
+func (x *Exchange) forward(data []byte) {
+	data[0] = actionDeliver
+	for _, p := range x.peerList() {
 		if p.FailureDomain == x.FailureDomain {
 			x.write(data, p, &x.Forwarded)
 		}
 	}
 }
 
-// receiver is a peer that gets a message from this VM itself.
+// receiver is a peer to which this VM sends a datagram directly.
 type receiver struct {
 	Peer
-	relay bool // it passes the message on
+	relay bool // it forwards the message within its domain
 }
 
-// receivers returns who gets a message.
+// receivers returns the peers to which this VM sends a message.
 func (x *Exchange) receivers(copy int) []receiver {
 	var out []receiver
 	domains := map[ids.FailureDomain][]Peer{}
-	for _, p := range x.list() {
+	for _, p := range x.peerList() {
 		if p.FailureDomain == x.FailureDomain {
 			out = append(out, receiver{Peer: p})
 		} else {
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, peers := range domains {
-		if len(peers) > relayFrom {
+		if len(peers) > relayThreshold {
 			out = append(out, receiver{x.relayOf(peers, copy), true})
 			continue
 		}
@@ -97,22 +97,22 @@
 	return out
 }
 
-// relayOf returns the VM that passes on what this VM says to its domain: of those that
-// were heard a short while ago, or of all if none was, the one that comes first for this
-// VM, or for further copies those behind it.
+// relayOf returns the relay for messages of this VM among the VMs of another domain. Candidates
+// are the VMs seen within relayTimeout, or all if none was. They are ranked by rendezvous
+// hashing on this VM; copy selects the candidate of that rank.
 func (x *Exchange) relayOf(peers []Peer, copy int) Peer {
-	heard := make([]Peer, 0, len(peers))
+	candidates := make([]Peer, 0, len(peers))
 	for _, p := range peers {
-		if x.SeenWithin(p.VM, relayHeard) {
-			heard = append(heard, p)
+		if x.SeenWithin(p.VM, relayTimeout) {
+			candidates = append(candidates, p)
 		}
 	}
-	if len(heard) == 0 {
-		heard = peers
+	if len(candidates) == 0 {
+		candidates = peers
 	}
 	key := ids.Target(x.VM)
-	slices.SortFunc(heard, func(a, b Peer) int {
+	slices.SortFunc(candidates, func(a, b Peer) int {
 		return cmp.Compare(routing.VMWeight(key, b.VM), routing.VMWeight(key, a.VM))
 	})
-	return heard[copy%len(heard)]
+	return candidates[copy%len(candidates)]
 }
--- a/internal/news/relay_test.go
+++ b/internal/news/relay_test.go
@@ -10,9 +10,9 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// TestDatagramSaysWhatWasMeant encodes and decodes a message with everything in it, and one
-// that speaks of a target which the receiver does not know.
-func TestDatagramSaysWhatWasMeant(t *testing.T) {
+// TestMessageRoundTrip encodes and decodes a message with all fields and with a target that the
+// receiver does not know, and checks that malformed datagrams are rejected.
+func TestMessageRoundTrip(t *testing.T) {
 	m := Message{
 		VM: "vm1", Seq: 3, Incarnation: 12, Loads: []Load{{Target: "e1", InFlight: 2, Pending: 9190, NotResumable: 1}, {Target: "unknown", InFlight: 1}},
 		Unresponsive: []ids.Target{"e2", "unknown"}, Order: &Order{Target: "e1", Weights: "7", Done: true}, RecentWeights: []RecentWeights{{Model: "m", Version: 7, AgeMs: 40}},
@@ -37,32 +37,34 @@
 	}, *m.Order) {
 		t.Fatalf("got %+v\nwant %+v", got, want)
 	}
-	for _, bad := range [][]byte{nil, {9}, {keep, 0xff}, append([]byte{passOn}, "no cbor"...)} {
+	for _, bad := range [][]byte{nil, {9}, {actionDeliver, 0xff}, append([]byte{actionForward}, "no cbor"...)} {
 		if _, err := decode(bad, resolveIn()); err == nil {
-			t.Errorf("%q was taken for news", bad)
+			t.Errorf("malformed datagram %q was accepted", bad)
 		}
 	}
 }
 
-// TestLastChangeCounts tells of a prefix that came and went between two rounds.
-func TestLastChangeCounts(t *testing.T) {
+// TestLastChangeOfPrefixWins checks that of two changes of a prefix in one round only the last one
+// is sent.
+func TestLastChangeOfPrefixWins(t *testing.T) {
 	held, gone := cacheview.Change{Target: "e1", ID: 7}, cacheview.Change{Target: "e1", ID: 7, Gone: true}
 	for _, c := range []struct {
 		changes       []cacheview.Change
 		held, dropped int
 	}{{[]cacheview.Change{held, gone}, 0, 1}, {[]cacheview.Change{gone, held}, 1, 0}} {
-		if g := group(c.changes); len(g) != 1 || len(g[0].Held) != c.held || len(g[0].Dropped) != c.dropped {
+		if g := groupChanges(c.changes); len(g) != 1 || len(g[0].Held) != c.held || len(g[0].Dropped) != c.dropped {
 			t.Errorf("%v became %+v", c.changes, g)
 		}
 	}
 }
 
-// TestDatagramsAreSmall holds a round of a busy VM of a small fleet, and a full message of
-// caches, below what one packet carries. Before: 42 bytes a load and 70 an entry of a feed.
+// TestDatagramsAreSmall checks that a round of a busy VM in a small fleet and a full message of
+// cache changes each fit in one packet. As JSON with full names they took 42 bytes per load and 70
+// per cache entry.
 func TestDatagramsAreSmall(t *testing.T) {
 	loads := Message{VM: "front-wonosobo-1", Seq: 1000, Incarnation: time.Now().UnixMilli()}
 	caches := Message{VM: "front-wonosobo-1", Incarnation: time.Now().UnixMilli()}
-	for i := range maxTold {
+	for i := range maxCacheChanges {
 		if i < 9 {
 			loads.Loads = append(loads.Loads, Load{Target: ids.Target(fmt.Sprintf("i-%010x", i)), InFlight: 20, Pending: 9000, NotResumable: 3})
 		}
@@ -76,7 +78,7 @@
 	}
 }
 
-// fleetOf starts n VMs in each of the domains, which know each other.
+// fleetOf starts n VMs in each of the domains and lists them all as peers of each other.
 func fleetOf(t *testing.T, n int, domains ...ids.FailureDomain) []*Exchange {
 	t.Helper()
 	var all []*Exchange
@@ -100,7 +102,7 @@
 	return all
 }
 
-// drain takes in what has come, and returns how many datagrams there were.
+// drain handles the datagrams that have arrived and returns their number.
 func (x *Exchange) drain(t *testing.T) int {
 	t.Helper()
 	buf := make([]byte, maxDatagram)
@@ -117,52 +119,53 @@
 			}
 			return n
 		}
-		x.take(append([]byte(nil), buf[:k]...))
+		x.handle(append([]byte(nil), buf[:k]...))
 	}
 }
 
-// TestNewsCrossABoundaryOnce sends one message in a fleet of three domains of six VMs: each
-// other VM gets it once, one datagram crosses each boundary, and nothing goes round.
-func TestNewsCrossABoundaryOnce(t *testing.T) {
+// TestMessageCrossesDomainBoundaryOnce sends one message in a fleet of three domains of six VMs. Each
+// other VM must get it once, one datagram must cross each boundary, and no datagram may circulate.
+func TestMessageCrossesDomainBoundaryOnce(t *testing.T) {
 	all := fleetOf(t, 6, "a", "b", "c")
-	all[0].tellRound(Message{Loads: []Load{{Target: "e1", InFlight: 3}}})
+	all[0].sendRound(Message{Loads: []Load{{Target: "e1", InFlight: 3}}})
 	if sent := all[0].Sent.Load(); sent != 5+2 {
 		t.Fatalf("%d datagrams were sent, want one for each VM of the domain and one for each other domain", sent)
 	}
-	for range 2 { // relays pass on in the first turn
+	for range 2 { // relays forward in the first pass
 		for _, x := range all[1:] {
 			x.drain(t)
 		}
 	}
-	passed := int64(0)
+	forwarded := int64(0)
 	for _, x := range all[1:] {
 		if n := x.Received.Load(); n != 1 {
-			t.Errorf("%s heard %d datagrams, want 1", x.VM, n)
+			t.Errorf("%s received %d datagrams, want 1", x.VM, n)
 		}
 		if l := x.Load.All("e1"); l.InFlight != 3 {
-			t.Errorf("%s knows of the load %+v", x.VM, l)
+			t.Errorf("%s has the load %+v, want 3 in flight", x.VM, l)
 		}
-		passed += x.Forwarded.Load()
+		forwarded += x.Forwarded.Load()
 	}
-	if passed != 2*5 {
-		t.Errorf("%d datagrams were passed on, want 10", passed)
+	if forwarded != 2*5 {
+		t.Errorf("%d datagrams were forwarded, want 10", forwarded)
 	}
 }
 
-// TestSmallDomainsAreToldDirectly sends to domains in which a lost relay would be felt.
-func TestSmallDomainsAreToldDirectly(t *testing.T) {
-	all := fleetOf(t, relayFrom, "a", "b")
-	all[0].tellRound(Message{})
+// TestSmallDomainsGetDirectMessages checks that no relay is used for a domain so small that a lost
+// relay would affect a large share of its VMs.
+func TestSmallDomainsGetDirectMessages(t *testing.T) {
+	all := fleetOf(t, relayThreshold, "a", "b")
+	all[0].sendRound(Message{})
 	for _, x := range all[1:] {
 		if n := x.drain(t); n != 1 || x.Forwarded.Load() != 0 {
-			t.Errorf("%s got %d datagrams and passed on %d", x.VM, n, x.Forwarded.Load())
+			t.Errorf("%s got %d datagrams and forwarded %d, want 1 and 0", x.VM, n, x.Forwarded.Load())
 		}
 	}
 }
 
-// TestRelayThatIsGoneIsPassedOver checks that a relay which is no longer heard is replaced
-// as soon as another of its domain is, and that copies go by different relays.
-func TestRelayThatIsGoneIsPassedOver(t *testing.T) {
+// TestUnresponsiveRelayIsReplaced checks that a VM that was seen recently replaces a relay that was
+// not, and that two copies of a message go through different relays.
+func TestUnresponsiveRelayIsReplaced(t *testing.T) {
 	x := newExchange()
 	x.VM, x.FailureDomain = "vm0", "a"
 	var peers []Peer
@@ -172,10 +175,10 @@
 	x.SetPeers(peers)
 	first, second := x.relayOf(peers, 0), x.relayOf(peers, 1)
 	if first == second {
-		t.Fatal("both copies go by one relay")
+		t.Fatal("both copies go through one relay")
 	}
-	x.note(second.VM, 0, time.Now())
+	x.recordContact(second.VM, 0, time.Now())
 	if got := x.relayOf(peers, 0); got != second {
-		t.Errorf("%s is the relay, want the one that is heard", got.VM)
+		t.Errorf("%s is the relay, want the one that was seen", got.VM)
 	}
 }
--- a/internal/news/tree.go
+++ b/internal/news/tree.go
@@ -11,111 +11,114 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// In fleets of more than Exchange.TreeFrom VMs news go over a tree, so that what a VM sends and takes
-// in does not grow with the number of VMs: told one by one to the VMs of the own failure
-// domain, each of 195 VMs took in 200 datagrams a second (worked out from the pause), heard of no load beyond its
-// domain, and read the cache feeds of all others with more readers than there were places.
+// In fleets of more than Exchange.TreeFrom VMs messages are aggregated over a tree, so that the
+// cost per VM does not grow with the number of VMs. Without it, messages went one by one to the
+// VMs of the own failure domain: each of 195 VMs received 200 datagrams per second (computed from
+// the round interval), knew of no load outside its domain, and read the cache feeds of all other
+// VMs with more readers than there were slots.
 //
-// The VMs of a failure domain agree on an order of themselves, the widest links first. Each
-// reports to the first of them that answers, its parent; that one is the root of the domain.
-// Roots exchange the sums of their domains, and tell their children the sum of all:
+// The VMs of a failure domain are sorted, widest links first. Each VM reports to the first one
+// that responds, its parent; the VM without a parent is the root of the domain. Roots exchange
+// the sums of their domains, and send the sum of all domains to their children:
 //
 //	VM ── report ──> root ── report ──> roots of other domains
 //	VM <── total ─── root <── report ── roots of other domains
 //
-// A VM takes its own part out of the total: the total names the round of each VM that is in
-// it. A parent that sends no total for parentWait is passed over until it says that it is
-// there; as parents always come before their children in the order, no ring of parents can
-// arise. A VM that has children and is no root passes on between the two.
-// Domains that are cut off from each other have a tree each, and miss each other's sums.
+// A VM subtracts its own share from the total: the total lists the round of each VM that it
+// includes. A VM skips a parent that sends no total for parentTimeout until that parent announces
+// itself. A parent always precedes its children in the order, so parents cannot form a cycle. A
+// VM that has children and is not a root forwards between the two. Domains that are cut off from
+// each other have a tree each, without the sums of the other.
 //
-// What is told once (orders, changes of caches) goes along as events of the VM that told it;
-// what must not be missed goes twice.
+// State that is sent once (orders, cache changes) travels as events of the VM that sent it;
+// events that must not be lost are sent twice.
 
 const (
-	// treeRound is the longest pause between two rounds of the tree, and treeHaste the
-	// shortest: orders are passed on after that.
-	treeRound = 150 * time.Millisecond
-	treeHaste = 40 * time.Millisecond
-	// reportFor is for how long a report counts: four rounds, of which three may be lost.
-	reportFor = 600 * time.Millisecond
-	// parentWait is after how long without a total a parent is passed over.
-	parentWait = 600 * time.Millisecond
-	// avoidFor is for how long a parent is passed over that does not speak. It says so when it
-	// is back; each try of one that is gone costs a failure domain its news for parentWait.
-	avoidFor = 30 * time.Second
-	// avoidLeast is the same for one that says so.
-	avoidLeast = 3 * time.Second
-	// rootsTried is how many VMs of a domain whose root is not known are sent reports at a
-	// time; after triedRounds the next ones.
-	rootsTried  = 2
-	triedRounds = 4
-	// helloRounds is how often a root says that it is there to all VMs of its domain, some of
-	// which may pass it over, in rounds: once a second.
-	helloRounds = 7
-	// ownRounds is how many of its own rounds a VM remembers, to take them out of totals.
-	ownRounds = 32
-	// maxEvents bounds the changes of caches that a digest carries, in entries of about 9
-	// bytes; with those of other kinds a datagram stays within maxDatagram.
+	// treeRoundInterval is the longest interval between two rounds of the tree. treeOrderDelay is
+	// the shortest one: a VM that gets an order to forward starts the next round after it.
+	treeRoundInterval = 150 * time.Millisecond
+	treeOrderDelay    = 40 * time.Millisecond
+	// reportTTL is the time for which a report is valid: four rounds, of which three may be lost.
+	reportTTL = 600 * time.Millisecond
+	// parentTimeout is the time without a total after which a VM skips its parent.
+	parentTimeout = 600 * time.Millisecond
+	// avoidSilent is the time for which a VM skips a parent from which it hears nothing. A parent
+	// that is back announces itself; each retry of one that is still down leaves a failure domain
+	// without updates for parentTimeout.
+	avoidSilent = 30 * time.Second
+	// avoidAnnounced is the same time for a parent that has announced itself.
+	avoidAnnounced = 3 * time.Second
+	// rootCandidates is the number of VMs of a domain with an unknown root that get reports at the
+	// same time. After rootCandidateRounds rounds the next ones get them.
+	rootCandidates      = 2
+	rootCandidateRounds = 4
+	// announceRounds is the number of rounds between two announcements of a root to all VMs of its
+	// domain, some of which may skip it: about one second.
+	announceRounds = 7
+	// ownRoundHistory is the number of its own rounds that a VM stores, to subtract them from
+	// totals.
+	ownRoundHistory = 32
+	// maxEvents bounds the cache changes in a digest, in entries of about 9 bytes. Together with
+	// the other kinds of events, a datagram then stays within maxDatagram.
 	maxEvents = 900
-	// maxQueued bounds the changes that wait to be passed on.
+	// maxQueued bounds the cache changes that wait to be forwarded.
 	maxQueued = 4 * maxEvents
 )
 
-// tree is this VM's part of the tree. Safe for concurrent use.
+// tree is this VM's state in the tree. It is safe for concurrent use.
 type tree struct {
-	mu       sync.Mutex
-	before   []Peer                       // VMs of the own domain that come before this one
-	far      map[ids.FailureDomain][]Peer // those of the others, in their order
-	peers    map[shortVM]Peer
-	children map[ids.VM]heardDigest
-	roots    map[ids.VM]heardDigest
-	total    heardDigest // as the parent told it
-	parent   ids.VM
-	since    time.Time // this VM reports to the parent since then
-	avoid    map[ids.VM]avoided
-	round    uint64
-	own      [ownRounds][]Load            // by round
-	ownUses  [ownRounds][]allowance.Use   // by round
-	up, down []event                      // to be passed on
-	again    []event                      // told in the last round, to be told once more
-	lost     map[ids.FailureDomain]uint64 // domains whose root is not known, and since which round
-	silent   map[ids.VM]bool              // VMs that told of silent targets
-	untold   int64                        // changes of caches that were left out, since takeUntold
-	wake     chan struct{}
+	mu                    sync.Mutex
+	parentCandidates      []Peer                       // VMs of the own domain that precede this one
+	otherDomains          map[ids.FailureDomain][]Peer // VMs of the other domains, sorted
+	peers                 map[shortVM]Peer
+	children              map[ids.VM]receivedDigest
+	roots                 map[ids.VM]receivedDigest
+	total                 receivedDigest // last total of the parent
+	parent                ids.VM
+	parentSince           time.Time // time at which this VM chose its parent
+	avoided               map[ids.VM]avoidance
+	round                 uint64
+	own                   [ownRoundHistory][]Load          // loads by round
+	ownUses               [ownRoundHistory][]allowance.Use // uses by round
+	eventsUp, eventsDown  []event                          // to be sent to the parent or the other roots, and to the children
+	repeatEvents          []event                          // sent in the last round, to be sent once more
+	rootUnknownSince      map[ids.FailureDomain]uint64     // round since which the root of a domain is unknown
+	unresponsiveReporters map[ids.VM]bool                  // VMs whose last report listed unresponsive targets
+	dropped               int64                            // cache changes dropped since the last takeDropped
+	wake                  chan struct{}
 }
 
-// avoided is a parent that sent no total. The zero value is none.
-type avoided struct {
-	since  time.Time
-	speaks bool // it said since that it is there
+// avoidance is the state of a parent that sent no total. The zero value avoids nothing.
+type avoidance struct {
+	since     time.Time
+	announced bool // it has announced itself since
 }
 
-func (a avoided) passedOver(now time.Time) bool {
-	if a.speaks {
-		return now.Sub(a.since) < avoidLeast
+func (a avoidance) active(now time.Time) bool {
+	if a.announced {
+		return now.Sub(a.since) < avoidAnnounced
 	}
-	return now.Sub(a.since) < avoidFor
+	return now.Sub(a.since) < avoidSilent
 }
 
-// byOrder sorts the VMs of a failure domain: the widest links first, since a parent sends
+// compareTreeOrder sorts the VMs of a failure domain: widest links first, since a parent sends
 // the total to all its children.
-func byOrder(a, b Peer) int {
+func compareTreeOrder(a, b Peer) int {
 	if a.LinkMbps != b.LinkMbps {
 		return cmp.Compare(b.LinkMbps, a.LinkMbps)
 	}
 	return cmp.Compare(routing.VMWeight(treeKey, b.VM), routing.VMWeight(treeKey, a.VM))
 }
 
-// treeKey names the tree for rendezvous.
+// treeKey is the rendezvous key that ranks VMs with equal links.
 const treeKey ids.Target = "news tree"
 
-// setPeers takes in all VMs, this one included.
+// setPeers replaces the list of VMs, which includes this one.
 func (t *tree) setPeers(self ids.VM, domain ids.FailureDomain, all []Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.before, t.far, t.peers = nil, map[ids.FailureDomain][]Peer{}, map[shortVM]Peer{}
-	sorted := slices.SortedFunc(slices.Values(all), byOrder)
+	t.parentCandidates, t.otherDomains, t.peers = nil, map[ids.FailureDomain][]Peer{}, map[shortVM]Peer{}
+	sorted := slices.SortedFunc(slices.Values(all), compareTreeOrder)
 	first := true
 	for _, p := range sorted {
 		switch {
@@ -123,9 +126,9 @@
 			first = false
 			continue
 		case p.FailureDomain != domain:
-			t.far[p.FailureDomain] = append(t.far[p.FailureDomain], p)
+			t.otherDomains[p.FailureDomain] = append(t.otherDomains[p.FailureDomain], p)
 		case first:
-			t.before = append(t.before, p)
+			t.parentCandidates = append(t.parentCandidates, p)
 		}
 		t.peers[shortenVM(p.VM)] = p
 	}
@@ -136,131 +139,130 @@
 	}
 }
 
-// tell queues an event of this VM, or of a child, for the parent and the children.
-func (t *tree) tell(e event) {
+// enqueue queues an event of this VM for the parent and the children.
+func (t *tree) enqueue(e event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.up = t.queue(t.up, e)
-	t.down = t.queue(t.down, e)
+	t.eventsUp = t.appendEvent(t.eventsUp, e)
+	t.eventsDown = t.appendEvent(t.eventsDown, e)
 	if len(e.Orders) > 0 {
-		t.again = append(t.again, e)
+		t.repeatEvents = append(t.repeatEvents, e)
 	}
-	t.hurry(e)
+	t.wakeForOrders(e)
 }
 
-// hurry ends the pause between two rounds for an order. The lock is held.
-func (t *tree) hurry(e event) {
+// wakeForOrders starts the next round early if e contains an order. The caller holds the lock.
+func (t *tree) wakeForOrders(e event) {
 	if len(e.Orders) == 0 {
 		return
 	}
 	select {
 	case t.wake <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is pending
 	}
 }
 
-// queue adds an event; changes of caches that are too many are left out: a belief that is
-// missing costs a computation at most.
-// The lock is held.
-func (t *tree) queue(q []event, e event) []event {
-	if n := entries([]event{e}); n > 0 && entries(q)+n > maxQueued {
-		t.untold += int64(n)
-		e.Caches = nil
+// appendEvent appends an event to a queue. It drops the event's cache changes if the queue would
+// exceed maxQueued: a missing cache entry costs one computation at most. The caller holds the
+// lock.
+func (t *tree) appendEvent(q []event, e event) []event {
+	if n := cacheEntries([]event{e}); n > 0 && cacheEntries(q)+n > maxQueued {
+		t.dropped += int64(n)
+		e.CacheChanges = nil
 	}
 	return append(q, e)
 }
 
-// takeUntold returns how many changes of caches were left out since the last call.
-func (t *tree) takeUntold() int64 {
+// takeDropped returns the number of cache changes dropped since the last call.
+func (t *tree) takeDropped() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	n := t.untold
-	t.untold = 0
+	n := t.dropped
+	t.dropped = 0
 	return n
 }
 
-func entries(events []event) int {
+func cacheEntries(events []event) int {
 	n := 0
 	for _, e := range events {
-		for _, c := range e.Caches {
+		for _, c := range e.CacheChanges {
 			n += 1 + len(c.Held) + len(c.Dropped)
 		}
 	}
 	return n
 }
 
-// takeEvents returns as many queued events as fit in a digest, and the rest.
-func takeEvents(q []event) (now, later []event) {
+// splitEvents returns the queued events that fit in a digest, and the remaining ones.
+func splitEvents(q []event) (now, later []event) {
 	n := 0
 	for i := range q {
-		if n += entries(q[i : i+1]); n > maxEvents && i > 0 {
+		if n += cacheEntries(q[i : i+1]); n > maxEvents && i > 0 {
 			return q[:i], slices.Clone(q[i:])
 		}
 	}
 	return q, nil
 }
 
-// hear takes in a digest of a VM: a report, or a total of its parent's. It returns whether
-// it is to be taken for what the fleet says, and where its events go.
-func (t *tree) hear(from Peer, d digest, isTotal, sameDomain bool, now time.Time) (applies bool) {
+// receive stores a digest from another VM, a report or a total, and queues its events for
+// forwarding. It reports whether the digest is the current total of the fleet.
+func (t *tree) receive(from Peer, d digest, isTotal, sameDomain bool, now time.Time) (applies bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := heardDigest{d, now}
+	h := receivedDigest{d, now}
 	h.Events = nil
 	switch {
 	case isTotal && from.VM != t.parent:
 		return false
 	case isTotal:
 		t.total, applies = h, true
-		delete(t.avoid, from.VM)
-		t.pass(d.Events, false)
+		delete(t.avoided, from.VM)
+		t.forwardEvents(d.Events, false)
 	case sameDomain:
-		t.children = put(t.children, from.VM, h)
-		t.pass(d.Events, true)
+		t.children = putDigest(t.children, from.VM, h)
+		t.forwardEvents(d.Events, true)
 	default:
-		t.roots = put(t.roots, from.VM, h)
-		t.pass(d.Events, false)
+		t.roots = putDigest(t.roots, from.VM, h)
+		t.forwardEvents(d.Events, false)
 	}
 	return applies
 }
 
-func put(m map[ids.VM]heardDigest, vm ids.VM, h heardDigest) map[ids.VM]heardDigest {
+func putDigest(m map[ids.VM]receivedDigest, vm ids.VM, h receivedDigest) map[ids.VM]receivedDigest {
 	if m == nil {
-		m = map[ids.VM]heardDigest{}
+		m = map[ids.VM]receivedDigest{}
 	}
 	m[vm] = h
 	return m
 }
 
-// pass queues events that were heard: those of children go on to the parent or the other
-// roots, and all go to the children. The lock is held.
-func (t *tree) pass(events []event, up bool) {
+// forwardEvents queues received events: those of children for the parent or the other roots, and
+// all for the children. The caller holds the lock.
+func (t *tree) forwardEvents(events []event, up bool) {
 	for _, e := range events {
 		if up {
-			t.up = t.queue(t.up, e)
+			t.eventsUp = t.appendEvent(t.eventsUp, e)
 		}
 		if len(t.children) > 0 {
-			t.down = t.queue(t.down, e)
+			t.eventsDown = t.appendEvent(t.eventsDown, e)
 		}
-		t.hurry(e)
+		t.wakeForOrders(e)
 	}
 }
 
-// chooseParent returns the VM to which this one reports; false: it is a root. The lock is
-// held.
+// chooseParent returns the parent of this VM; false: this VM is a root. The caller holds the lock.
 func (t *tree) chooseParent(now time.Time) (Peer, bool) {
-	if t.parent != "" && now.Sub(maxTime(t.since, t.total.at)) > parentWait {
-		if t.avoid == nil {
-			t.avoid = map[ids.VM]avoided{}
+	if t.parent != "" && now.Sub(maxTime(t.parentSince, t.total.receivedAt)) > parentTimeout {
+		if t.avoided == nil {
+			t.avoided = map[ids.VM]avoidance{}
 		}
-		t.avoid[t.parent] = avoided{since: now}
+		t.avoided[t.parent] = avoidance{since: now}
 	}
-	for _, p := range t.before {
-		if t.avoid[p.VM].passedOver(now) {
+	for _, p := range t.parentCandidates {
+		if t.avoided[p.VM].active(now) {
 			continue
 		}
 		if t.parent != p.VM {
-			t.parent, t.since, t.total = p.VM, now, heardDigest{}
+			t.parent, t.parentSince, t.total = p.VM, now, receivedDigest{}
 		}
 		return p, true
 	}
@@ -275,63 +277,63 @@
 	return b
 }
 
-// met notes that a VM says that it is there: it is tried again as a parent, once it has
-// been passed over for avoidLeast. One that can be heard and hears nothing says so, too.
-func (t *tree) met(vm ids.VM) {
+// peerAnnounced records that a VM has announced itself. It may become the parent again
+// once it has been skipped for avoidAnnounced. A VM that can send but not receive announces itself, too.
+func (t *tree) peerAnnounced(vm ids.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if a, ok := t.avoid[vm]; ok {
-		a.speaks = true
-		t.avoid[vm] = a
+	if a, ok := t.avoided[vm]; ok {
+		a.announced = true
+		t.avoided[vm] = a
 	}
 }
 
-// sending is what one round sends.
-type sending struct {
-	report  digest
-	to      []Peer // of the report
-	total   *digest
-	kids    []Peer // to whom the total goes
-	applies bool   // this VM is a root: the total is what it believes
-	hello   bool   // this VM is a root: VMs that pass it over are to know that it is there
+// roundOutput is what a VM sends in one round.
+type roundOutput struct {
+	report   digest
+	reportTo []Peer // receivers of the report
+	total    *digest
+	totalTo  []Peer // receivers of the total
+	applies  bool   // this VM is a root, and total is its own view of the fleet
+	announce bool   // this VM is a root and announces itself to its domain, where VMs may skip it
 }
 
-// next makes a round of this VM's own words.
-func (t *tree) next(self ids.VM, own digest, loads []Load, now time.Time) sending {
+// nextRound starts a round with this VM's own state and returns what to send.
+func (t *tree) nextRound(self ids.VM, own digest, loads []Load, now time.Time) roundOutput {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.round++
-	t.own[t.round%ownRounds], t.ownUses[t.round%ownRounds] = loads, own.Uses
+	t.own[t.round%ownRoundHistory], t.ownUses[t.round%ownRoundHistory] = loads, own.Uses
 	own.addMember(member{shortenVM(self), uint16(t.round)})
-	parts := append([]heardDigest{{own, now}}, fresh(t.children, now)...)
+	parts := append([]receivedDigest{{own, now}}, unexpired(t.children, now)...)
 	up, down := t.dueEvents()
-	out := sending{report: sum(parts, now), kids: t.kids()}
+	out := roundOutput{report: sum(parts, now), totalTo: t.childPeers()}
 	out.report.Events = up
 	if parent, ok := t.chooseParent(now); ok {
-		out.to = []Peer{parent}
-		out.total = t.passedOn(down, now)
+		out.reportTo = []Peer{parent}
+		out.total = t.parentTotal(down, now)
 		return out
 	}
-	out.to, out.applies = t.otherRoots(now), true
-	out.hello = t.round%helloRounds == 1
-	total := sum(append(parts, fresh(t.roots, now)...), now)
+	out.reportTo, out.applies = t.otherRoots(now), true
+	out.announce = t.round%announceRounds == 1
+	total := sum(append(parts, unexpired(t.roots, now)...), now)
 	total.Events = down
 	out.total = &total
 	return out
 }
 
-// dueEvents returns the events that this round tells, and queues those that are told twice
-// for the next one. The lock is held.
+// dueEvents returns the events to send in this round, and queues those that are sent twice for
+// the next one. The caller holds the lock.
 func (t *tree) dueEvents() (up, down []event) {
-	up, moreUp := takeEvents(t.up)
-	down, moreDown := takeEvents(t.down)
-	t.up, t.down = append(moreUp, t.again...), append(moreDown, t.again...)
-	t.again = nil
+	up, moreUp := splitEvents(t.eventsUp)
+	down, moreDown := splitEvents(t.eventsDown)
+	t.eventsUp, t.eventsDown = append(moreUp, t.repeatEvents...), append(moreDown, t.repeatEvents...)
+	t.repeatEvents = nil
 	return up, down
 }
 
-// kids returns the children. The lock is held.
-func (t *tree) kids() []Peer {
+// childPeers returns the children. The caller holds the lock.
+func (t *tree) childPeers() []Peer {
 	var out []Peer
 	for vm := range t.children {
 		out = append(out, t.peers[shortenVM(vm)])
@@ -339,23 +341,23 @@
 	return out
 }
 
-// passedOn returns the parent's total with other events; nil: the parent has told none yet.
-// The lock is held.
-func (t *tree) passedOn(events []event, now time.Time) *digest {
-	if t.total.at.IsZero() {
+// parentTotal returns the parent's last total with the given events; nil: there is none yet. The
+// caller holds the lock.
+func (t *tree) parentTotal(events []event, now time.Time) *digest {
+	if t.total.receivedAt.IsZero() {
 		return nil
 	}
 	total := t.total.digest
 	total.Events = events
-	total.Limits = aged(total.Limits, now.Sub(t.total.at))
+	total.Limits = addAge(total.Limits, now.Sub(t.total.receivedAt))
 	return &total
 }
 
-// fresh returns the digests that still count, and forgets the others.
-func fresh(m map[ids.VM]heardDigest, now time.Time) []heardDigest {
-	var out []heardDigest
+// unexpired returns the digests that are still valid, and deletes the others.
+func unexpired(m map[ids.VM]receivedDigest, now time.Time) []receivedDigest {
+	var out []receivedDigest
 	for vm, h := range m {
-		if now.Sub(h.at) > reportFor {
+		if now.Sub(h.receivedAt) > reportTTL {
 			delete(m, vm)
 			continue
 		}
@@ -364,14 +366,14 @@
 	return out
 }
 
-// otherRoots returns the roots of the other domains, and for each domain without a known
-// one some VMs that may be it. The lock is held.
+// otherRoots returns the roots of the other domains and, for each domain with an unknown root, some
+// VMs that may be it. The caller holds the lock.
 func (t *tree) otherRoots(now time.Time) []Peer {
 	var out []Peer
-	if t.lost == nil {
-		t.lost = map[ids.FailureDomain]uint64{}
+	if t.rootUnknownSince == nil {
+		t.rootUnknownSince = map[ids.FailureDomain]uint64{}
 	}
-	for domain, peers := range t.far {
+	for domain, peers := range t.otherDomains {
 		known := false
 		for _, p := range peers {
 			if _, ok := t.roots[p.VM]; ok {
@@ -379,31 +381,31 @@
 			}
 		}
 		if known {
-			delete(t.lost, domain)
+			delete(t.rootUnknownSince, domain)
 			continue
 		}
-		if t.lost[domain] == 0 {
-			t.lost[domain] = t.round
+		if t.rootUnknownSince[domain] == 0 {
+			t.rootUnknownSince[domain] = t.round
 		}
-		for i := range min(rootsTried, len(peers)) {
-			at := int((t.round-t.lost[domain])/triedRounds)*rootsTried + i
+		for i := range min(rootCandidates, len(peers)) {
+			at := int((t.round-t.rootUnknownSince[domain])/rootCandidateRounds)*rootCandidates + i
 			out = append(out, peers[at%len(peers)])
 		}
 	}
 	return out
 }
 
-// without takes this VM's own part out of a total.
-func (t *tree) without(self ids.VM, total []Load, uses []allowance.Use, members []member) ([]Load, []allowance.Use) {
+// subtractOwn subtracts this VM's own loads and uses from a total.
+func (t *tree) subtractOwn(self ids.VM, total []Load, uses []allowance.Use, members []member) ([]Load, []allowance.Use) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	me := shortenVM(self)
 	for _, m := range members {
 		behind := uint16(t.round) - m.round
-		if m.vm != me || behind >= ownRounds {
+		if m.vm != me || behind >= ownRoundHistory {
 			continue
 		}
-		round := (t.round - uint64(behind)) % ownRounds
+		round := (t.round - uint64(behind)) % ownRoundHistory
 		for _, l := range t.own[round] {
 			subtract(total, l)
 		}
@@ -422,7 +424,7 @@
 	}
 }
 
-// peer returns the VM of a name; false: it is not listed.
+// peer returns the peer with the given name; false: it is not listed.
 func (t *tree) peer(vm ids.VM) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -430,18 +432,19 @@
 	return p, ok && p.VM == vm
 }
 
-// peerOf returns the VM of a short name; false: it is not listed.
-func (t *tree) peerOf(vm shortVM) (Peer, bool) {
+// peerByShort returns the peer with the given short name; false: it is not listed.
+func (t *tree) peerByShort(vm shortVM) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, ok := t.peers[vm]
 	return p, ok
 }
 
-// swapSilent notes which VMs tell of silent targets now, and returns which did before.
-func (t *tree) swapSilent(now map[ids.VM]bool) (before map[ids.VM]bool) {
+// swapUnresponsiveReporters stores the VMs that now report unresponsive targets, and returns those
+// that did before.
+func (t *tree) swapUnresponsiveReporters(now map[ids.VM]bool) (before map[ids.VM]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, t.silent = t.silent, now
+	before, t.unresponsiveReporters = t.unresponsiveReporters, now
 	return before
 }
--- a/internal/news/tree_exchange_test.go
+++ b/internal/news/tree_exchange_test.go
@@ -9,8 +9,8 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// largeFleet returns 102 VMs of two domains; vm0 has the widest link of its
-// domain, and far0 that of the other.
+// largeFleet returns 102 VMs of two domains; vm0 and far0 have the widest links of their domains and
+// thus are the roots.
 func largeFleet() []Peer {
 	peers := []Peer{{VM: "vm0", FailureDomain: "z", Addr: "127.0.0.1:1", LinkMbps: 200}, {VM: "far0", FailureDomain: "y", Addr: "127.0.0.1:1", LinkMbps: 200}}
 	for i := range 100 {
@@ -23,22 +23,22 @@
 	return peers
 }
 
-// TestDigestsOnTheWire lets a child, another root and a parent speak to a VM by datagrams:
-// it believes the sum of the others, hears each event once, and takes its own part out.
+// TestDigestsOnTheWire sends a VM datagrams from a child, another root and an unlisted VM. Its view
+// must be the sum of the listed ones without its own share, and it must get each event once.
 func TestDigestsOnTheWire(t *testing.T) {
 	x := newExchange()
-	var ordered []Order
-	var changed []cacheview.Change
-	silent := map[ids.VM][]ids.Target{}
-	x.OnOrder = func(o Order) { ordered = append(ordered, o) }
-	x.OnCacheChange = func(c cacheview.Change) { changed = append(changed, c) }
-	x.OnUnresponsive = func(vm ids.VM, s []ids.Target) { silent[vm] = s }
+	var orders []Order
+	var changes []cacheview.Change
+	unresponsive := map[ids.VM][]ids.Target{}
+	x.OnOrder = func(o Order) { orders = append(orders, o) }
+	x.OnCacheChange = func(c cacheview.Change) { changes = append(changes, c) }
+	x.OnUnresponsive = func(vm ids.VM, s []ids.Target) { unresponsive[vm] = s }
 	x.CacheChanges = func() []cacheview.Change { return nil }
 	x.Unresponsive = func() []ids.Target { return nil }
 	x.RecentWeights = func() []RecentWeights { return nil }
 	x.SetPeers(largeFleet())
-	if !x.isLarge() {
-		t.Fatal("news don't go over the tree")
+	if !x.usesTree() {
+		t.Fatal("a fleet of 102 VMs does not use the tree")
 	}
 	own := x.Load.Sent("e1", 700, time.Now())
 	defer own.End()
@@ -48,31 +48,31 @@
 		return d
 	}
 	child := report("otherA0", "e1", 2)
-	child.Silent = []wireSilent{{VM: shortenVM("otherA0"), Targets: []shortID{shorten("e2")}}}
+	child.Unresponsive = []wireUnresponsive{{VM: shortenVM("otherA0"), Targets: []shortID{shorten("e2")}}}
 	child.Events = []event{
 		{VM: shortenVM("otherA0"), Orders: []Order{{Target: "e1", Weights: "4"}}},
-		{VM: shortenVM("vm0"), Orders: []Order{{Target: "e2"}}}, // this VM's own, come back
-		{VM: shortenVM("otherA0"), Caches: []wireCache{{Target: shorten("e1"), Held: []uint64{5}}}},
+		{VM: shortenVM("vm0"), Orders: []Order{{Target: "e2"}}}, // this VM's own event, returned over the tree
+		{VM: shortenVM("otherA0"), CacheChanges: []wireCache{{Target: shorten("e1"), Held: []uint64{5}}}},
 	}
-	x.takeMessage(t, Message{VM: "otherA0", Report: child})
-	x.takeMessage(t, Message{VM: "far0", Report: report("far0", "e1", 3)})
-	x.takeMessage(t, Message{VM: "stranger", Report: report("stranger", "e1", 100)})
+	x.handleMessage(t, Message{VM: "otherA0", Report: child})
+	x.handleMessage(t, Message{VM: "far0", Report: report("far0", "e1", 3)})
+	x.handleMessage(t, Message{VM: "unlisted", Report: report("unlisted", "e1", 100)})
 	x.Listen = "127.0.0.1:0"
 	if err := x.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = x.conn.Close() })
-	x.treeRound(time.Now())
+	x.sendTreeRound(time.Now())
 	if got := x.Load.All("e1"); got != (loadview.PeerLoad{InFlight: 6, Pending: 720}) {
-		t.Errorf("the load is %+v, want 1 own request and 5 of others", got)
+		t.Errorf("the load is %+v, want 1 own request and 5 of other VMs", got)
 	}
-	if len(ordered) != 1 || ordered[0].Target != "e1" || len(changed) != 1 {
-		t.Errorf("heard the orders %+v and the changes %+v", ordered, changed)
+	if len(orders) != 1 || orders[0].Target != "e1" || len(changes) != 1 {
+		t.Errorf("received orders %+v and changes %+v, want one of each", orders, changes)
 	}
-	if s := silent["otherA0"]; len(s) != 1 || s[0] != "e2" {
-		t.Errorf("otherA0 has lost %v", s)
+	if s := unresponsive["otherA0"]; len(s) != 1 || s[0] != "e2" {
+		t.Errorf("unresponsive targets of otherA0: %v, want e2", s)
 	}
 	if !x.SeenWithin("far0", time.Second) || x.SeenWithin("otherA1", time.Second) {
-		t.Error("who lives is not what the total says")
+		t.Error("the VMs seen are not the members of the total")
 	}
 }
--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -9,28 +9,29 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// treeFleet plays the trees of a fleet in virtual time, step by step: what is sent in one
-// step arrives in the next, some of it never.
+// treeFleet simulates the trees of a fleet in virtual time, in steps: datagrams that are sent in one
+// step arrive in the next one, unless they are lost.
 type treeFleet struct {
-	t     *testing.T
-	now   time.Time
-	all   []Peer
-	trees map[ids.VM]*tree
-	due   map[ids.VM]time.Time
-	loads map[ids.VM][]Load
-	dead  map[ids.VM]bool
-	deaf  map[ids.VM]bool            // they send and hear nothing
-	cut   map[ids.FailureDomain]bool // from the other domains
-	mail  []treeMail
-	loss  float64
-	draws *rand.Rand
-	// totals are what VMs believe of the others, and heard which order they have heard.
-	totals map[ids.VM]map[ids.Target]int
-	heard  map[ids.VM]bool
-	sent   map[ids.VM]int
+	t               *testing.T
+	now             time.Time
+	all             []Peer
+	trees           map[ids.VM]*tree
+	due             map[ids.VM]time.Time
+	loads           map[ids.VM][]Load
+	dead            map[ids.VM]bool
+	receivesNothing map[ids.VM]bool            // VMs that send but receive nothing
+	cut             map[ids.FailureDomain]bool // domains that are cut off from the others
+	inTransit       []treeDatagram
+	loss            float64
+	rng             *rand.Rand
+	// totals is each VM's view of the loads of the others, and orderReceived the VMs that have
+	// received an order.
+	totals        map[ids.VM]map[ids.Target]int
+	orderReceived map[ids.VM]bool
+	sent          map[ids.VM]int
 }
 
-type treeMail struct {
+type treeDatagram struct {
 	from, to Peer
 	d        digest
 	isTotal  bool
@@ -41,8 +42,8 @@
 func newTreeFleet(t *testing.T, domains, perDomain int, loss float64) *treeFleet {
 	f := &treeFleet{
 		t: t, now: time.Unix(1_000_000, 0), trees: map[ids.VM]*tree{}, due: map[ids.VM]time.Time{}, loads: map[ids.VM][]Load{},
-		dead: map[ids.VM]bool{}, deaf: map[ids.VM]bool{}, cut: map[ids.FailureDomain]bool{}, loss: loss, draws: rand.New(rand.NewPCG(1, 2)),
-		totals: map[ids.VM]map[ids.Target]int{}, heard: map[ids.VM]bool{}, sent: map[ids.VM]int{},
+		dead: map[ids.VM]bool{}, receivesNothing: map[ids.VM]bool{}, cut: map[ids.FailureDomain]bool{}, loss: loss, rng: rand.New(rand.NewPCG(1, 2)),
+		totals: map[ids.VM]map[ids.Target]int{}, orderReceived: map[ids.VM]bool{}, sent: map[ids.VM]int{},
 	}
 	for d := range domains {
 		for i := range perDomain {
@@ -64,28 +65,28 @@
 	tr := &tree{wake: make(chan struct{}, 1)}
 	tr.setPeers(p.VM, p.FailureDomain, f.all)
 	f.trees[p.VM] = tr
-	f.due[p.VM] = f.now.Add(time.Duration(f.draws.Int64N(int64(treeRound))))
+	f.due[p.VM] = f.now.Add(time.Duration(f.rng.Int64N(int64(treeRoundInterval))))
 	delete(f.dead, p.VM)
 }
 
 func (f *treeFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(treeStep) {
-		mail := f.mail
-		f.mail = nil
-		for _, m := range mail {
+		arrived := f.inTransit
+		f.inTransit = nil
+		for _, m := range arrived {
 			f.deliver(m)
 		}
 		for _, p := range f.all {
 			tr := f.trees[p.VM]
 			select {
 			case <-tr.wake:
-				f.due[p.VM] = minTime(f.due[p.VM], f.now.Add(treeHaste))
+				f.due[p.VM] = minTime(f.due[p.VM], f.now.Add(treeOrderDelay))
 			default:
 			}
 			if f.dead[p.VM] || f.now.Before(f.due[p.VM]) {
 				continue
 			}
-			f.due[p.VM] = f.now.Add(treeRound)
+			f.due[p.VM] = f.now.Add(treeRoundInterval)
 			f.round(p)
 		}
 	}
@@ -101,51 +102,51 @@
 func (f *treeFleet) round(p Peer) {
 	var own digest
 	for _, l := range f.loads[p.VM] {
-		own.Loads = append(own.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.NotResumable})
+		own.Loads = append(own.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.NotResumable})
 	}
-	s := f.trees[p.VM].next(p.VM, own, f.loads[p.VM], f.now)
-	for _, to := range s.to {
-		f.mail = append(f.mail, treeMail{from: p, to: to, d: s.report})
+	s := f.trees[p.VM].nextRound(p.VM, own, f.loads[p.VM], f.now)
+	for _, to := range s.reportTo {
+		f.inTransit = append(f.inTransit, treeDatagram{from: p, to: to, d: s.report})
 	}
-	f.sent[p.VM] += len(s.to)
+	f.sent[p.VM] += len(s.reportTo)
 	if s.total != nil {
-		for _, to := range s.kids {
-			f.mail = append(f.mail, treeMail{from: p, to: to, d: *s.total, isTotal: true})
+		for _, to := range s.totalTo {
+			f.inTransit = append(f.inTransit, treeDatagram{from: p, to: to, d: *s.total, isTotal: true})
 		}
-		f.sent[p.VM] += len(s.kids)
+		f.sent[p.VM] += len(s.totalTo)
 	}
 	if s.applies {
-		f.believe(p.VM, *s.total)
+		f.applyTotal(p.VM, *s.total)
 	}
-	if s.hello {
+	if s.announce {
 		for _, to := range f.all {
 			if to.FailureDomain == p.FailureDomain && to.VM != p.VM {
-				f.trees[to.VM].met(p.VM)
+				f.trees[to.VM].peerAnnounced(p.VM)
 			}
 		}
 	}
 }
 
-func (f *treeFleet) deliver(m treeMail) {
+func (f *treeFleet) deliver(m treeDatagram) {
 	across := m.from.FailureDomain != m.to.FailureDomain
-	if f.dead[m.to.VM] || f.deaf[m.to.VM] || across && (f.cut[m.from.FailureDomain] || f.cut[m.to.FailureDomain]) || f.draws.Float64() < f.loss {
+	if f.dead[m.to.VM] || f.receivesNothing[m.to.VM] || across && (f.cut[m.from.FailureDomain] || f.cut[m.to.FailureDomain]) || f.rng.Float64() < f.loss {
 		return
 	}
-	applies := f.trees[m.to.VM].hear(m.from, m.d, m.isTotal, !across, f.now)
+	applies := f.trees[m.to.VM].receive(m.from, m.d, m.isTotal, !across, f.now)
 	if m.isTotal && !applies {
 		return
 	}
 	for _, e := range m.d.Events {
 		if len(e.Orders) > 0 {
-			f.heard[m.to.VM] = true
+			f.orderReceived[m.to.VM] = true
 		}
 	}
 	if applies {
-		f.believe(m.to.VM, m.d)
+		f.applyTotal(m.to.VM, m.d)
 	}
 }
 
-func (f *treeFleet) believe(vm ids.VM, d digest) {
+func (f *treeFleet) applyTotal(vm ids.VM, d digest) {
 	byShort := map[shortID]ids.Target{}
 	for _, loads := range f.loads {
 		for _, l := range loads {
@@ -154,18 +155,18 @@
 	}
 	var total []Load
 	for _, l := range d.Loads {
-		total = append(total, Load{Target: byShort[l.Target], InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.Bound})
+		total = append(total, Load{Target: byShort[l.Target], InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.NotResumable})
 	}
 	out := map[ids.Target]int{}
-	others, _ := f.trees[vm].without(vm, total, nil, d.members())
+	others, _ := f.trees[vm].subtractOwn(vm, total, nil, d.members())
 	for _, l := range others {
 		out[l.Target] += l.InFlight
 	}
 	f.totals[vm] = out
 }
 
-// wrong returns the VMs whose belief is not the sum of the loads of the others that they
-// can know of.
+// wrong returns the VMs whose view is not the sum of the loads of the other VMs that they can
+// reach.
 func (f *treeFleet) wrong() []ids.VM {
 	var out []ids.VM
 	for _, p := range f.all {
@@ -195,13 +196,13 @@
 func (f *treeFleet) expect(what string, most int) {
 	f.t.Helper()
 	if wrong := f.wrong(); len(wrong) > most {
-		f.t.Errorf("%s: %d VMs believe something else than the sum of the others, at most %d may", what, len(wrong), most)
+		f.t.Errorf("%s: %d VMs have a view that is not the sum of the others, want at most %d", what, len(wrong), most)
 	}
 }
 
-// TestTreeOf195VMs plays a fleet of 195 VMs: each knows the loads of all others, also after
-// the first of a domain has died, while a domain is cut off, and after all that. What a
-// VM sends stays bounded.
+// TestTreeOf195VMs checks in a fleet of 195 VMs that each has the loads of all others: at rest, after
+// a root has failed, while a domain is cut off, and after both have recovered. The number of
+// datagrams that a VM sends must stay bounded.
 func TestTreeOf195VMs(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.all = f.all[:195]
@@ -215,16 +216,16 @@
 		most, all = max(most, n), all+n
 	}
 	if perSecond := most / 2; perSecond > 300 {
-		t.Errorf("a VM sends %d datagrams a second", perSecond)
+		t.Errorf("a VM sends %d datagrams per second, want at most 300", perSecond)
 	}
 	if perSecond := float64(all) / 2 / 195; perSecond > 15 {
-		t.Errorf("VMs send %.1f datagrams a second on average", perSecond)
+		t.Errorf("VMs send %.1f datagrams per second on average, want at most 15", perSecond)
 	}
 
 	root := f.trees["vm-1-7"].parent
 	f.dead[root] = true
 	f.run(1200 * time.Millisecond)
-	f.expect("1.2 s after the root of a domain has died", 0)
+	f.expect("1.2 s after the root of a domain has failed", 0)
 	f.cut["z2"] = true
 	f.run(1200 * time.Millisecond)
 	f.expect("1.2 s after a domain was cut off", 0)
@@ -237,26 +238,26 @@
 		}
 	}
 	f.run(3 * time.Second)
-	f.expect("3 s after the root has started again", 0)
+	f.expect("3 s after the root has restarted", 0)
 }
 
-// TestTreeUnderLoss loses 3% of the datagrams: nearly all VMs know all loads, and an order
-// reaches them all before the drain of an engine ends.
+// TestTreeUnderLoss loses 3% of the datagrams. Nearly all VMs must have all loads, and an order must
+// reach nearly all VMs within 350 ms, before the drain of an engine ends.
 func TestTreeUnderLoss(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0.03)
 	f.run(2 * time.Second)
 	f.expect("under loss", 20)
-	teller := f.all[40].VM
-	f.trees[teller].tell(event{VM: shortenVM(teller), Orders: []Order{{Target: "e1"}}})
+	sender := f.all[40].VM
+	f.trees[sender].enqueue(event{VM: shortenVM(sender), Orders: []Order{{Target: "e1"}}})
 	f.run(350 * time.Millisecond)
-	f.heard[teller] = true
-	if n := len(f.all) - len(f.heard); n > 2 {
-		t.Errorf("%d of %d VMs have not heard of an order after 350 ms", n, len(f.all))
+	f.orderReceived[sender] = true
+	if n := len(f.all) - len(f.orderReceived); n > 2 {
+		t.Errorf("%d of %d VMs have not received an order after 350 ms, want at most 2", n, len(f.all))
 	}
 }
 
-// TestTreeAfterAllStart starts all VMs at once but the first two of each domain: each is
-// passed over in 0.6 s, and the roots that are left find each other in 0.6 s more.
+// TestTreeAfterAllStart starts all VMs at the same time, except the first two of each domain. The VMs
+// skip each of the two after 0.6 s, and the remaining roots find each other within 0.6 s more.
 func TestTreeAfterAllStart(t *testing.T) {
 	f := newTreeFleet(t, 17, 22, 0)
 	for i, p := range f.all {
@@ -266,9 +267,9 @@
 	f.expect("2.5 s after the start", 0)
 }
 
-// TestTreeTakesARootBack keeps the root of a domain down for so long that its children pass
-// it over for seconds more, and starts it again: it says that it is there, and all know all.
-func TestTreeTakesARootBack(t *testing.T) {
+// TestTreeRootReturns stops the root of a domain for so long that its children would skip it for
+// seconds more, and restarts it. The root announces itself, and all VMs have all loads again.
+func TestTreeRootReturns(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
 	root := f.trees["vm-1-7"].parent
@@ -280,28 +281,28 @@
 		}
 	}
 	f.run(2500 * time.Millisecond)
-	f.expect("2.5 s after the root has started again", 0)
+	f.expect("2.5 s after the root has restarted", 0)
 }
 
-// TestTreeCountsWhatItLeavesOut queues more changes of caches than are passed on, and an
-// order behind them: the order is passed on, and what was left out is counted.
-func TestTreeCountsWhatItLeavesOut(t *testing.T) {
+// TestTreeCountsDroppedChanges queues more cache changes than the queue holds, and an order after
+// them: the order must stay queued, and the dropped changes must be counted.
+func TestTreeCountsDroppedChanges(t *testing.T) {
 	tr := &tree{}
 	for range maxQueued/100 + 5 {
-		tr.tell(event{VM: 1, Caches: []wireCache{{Target: 7, Held: make([]uint64, 99)}}})
+		tr.enqueue(event{VM: 1, CacheChanges: []wireCache{{Target: 7, Held: make([]uint64, 99)}}})
 	}
-	tr.tell(event{VM: 1, Orders: []Order{{Target: "e1"}}})
-	if n := tr.takeUntold(); n < 5*100 || tr.takeUntold() != 0 {
-		t.Errorf("%d changes count as left out", n)
+	tr.enqueue(event{VM: 1, Orders: []Order{{Target: "e1"}}})
+	if n := tr.takeDropped(); n < 5*100 || tr.takeDropped() != 0 {
+		t.Errorf("%d changes count as dropped", n)
 	}
-	if last := tr.up[len(tr.up)-1]; len(last.Orders) != 1 || entries(tr.up) > maxQueued {
-		t.Errorf("%d changes are queued, and last %+v", entries(tr.up), last)
+	if last := tr.eventsUp[len(tr.eventsUp)-1]; len(last.Orders) != 1 || cacheEntries(tr.eventsUp) > maxQueued {
+		t.Errorf("%d changes are queued, and the last event is %+v", cacheEntries(tr.eventsUp), last)
 	}
 }
 
-// TestTreeLeavesTheDeadAlone takes the root of a domain away for good: after it was passed
-// over, nobody misses a word for trying it again.
-func TestTreeLeavesTheDeadAlone(t *testing.T) {
+// TestTreeDoesNotRetryFailedRoot stops the root of a domain for good. Once the VMs skip it, none may
+// lose loads because it tries the root again.
+func TestTreeDoesNotRetryFailedRoot(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
 	f.dead[f.trees["vm-1-7"].parent] = true
@@ -309,29 +310,29 @@
 	for range 100 {
 		f.run(200 * time.Millisecond)
 		if wrong := f.wrong(); len(wrong) > 0 {
-			t.Fatalf("%d VMs believe something else than the sum of the others %v after the root was lost", len(wrong), f.now.Sub(time.Unix(1_000_000, 0))-2*time.Second)
+			t.Fatalf("%d VMs have a view that is not the sum of the others %v after the root has failed", len(wrong), f.now.Sub(time.Unix(1_000_000, 0))-2*time.Second)
 		}
 	}
 }
 
-// TestTreeWithADeafRoot cuts the root of a domain off in one direction: it says that it is
-// there, and hears nothing. The others find together again, and try it now and then only.
-func TestTreeWithADeafRoot(t *testing.T) {
+// TestTreeRootThatReceivesNothing cuts a root off in one direction: it announces itself, but receives
+// nothing. The other VMs must reconnect and retry it only now and then.
+func TestTreeRootThatReceivesNothing(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
-	deaf := f.trees["vm-1-7"].parent
-	f.deaf[deaf] = true
-	f.loads[deaf] = nil // its domain can't know them: it reports to nobody there
+	root := f.trees["vm-1-7"].parent
+	f.receivesNothing[root] = true
+	f.loads[root] = nil // the root reports to no VM of its domain, so its domain cannot have its loads
 	f.run(1500 * time.Millisecond)
-	const looks = 100
-	apart := 0
-	for range looks {
+	const checks = 100
+	incomplete := 0
+	for range checks {
 		f.run(200 * time.Millisecond)
-		if len(f.wrong()) > 1 { // the deaf one itself
-			apart++
+		if len(f.wrong()) > 1 { // the root itself
+			incomplete++
 		}
 	}
-	if apart > looks*4/10 {
-		t.Errorf("in %d of %d looks a domain was apart", apart, looks)
+	if incomplete > checks*4/10 {
+		t.Errorf("in %d of %d checks a VM other than the root had wrong loads, want at most 40%%", incomplete, checks)
 	}
 }
--- a/internal/news/wire.go
+++ b/internal/news/wire.go
@@ -15,29 +15,29 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// The form of a datagram is CBOR with numbered fields, and targets in it are named by 32
-// bits of their hash: a load takes 10 bytes and a belief about a cache 9, against 42 and
-// 70 as JSON with whole names. Two targets of one VM's view with the same 32 bits (0.08% of
-// fleets of 2,600) would share what is told of either; loads and beliefs only bias a choice.
+// A datagram is CBOR with numbered fields. Targets are identified by 32 bits of their hash: a
+// load takes 10 bytes and a cache entry 9, against 42 and 70 as JSON with full names. Two
+// targets in the view of one VM that have the same 32 bits (0.08% of fleets of 2,600) would
+// share their reports; loads and cache entries only bias a choice.
 
-// shortID names a target in a datagram.
+// shortID identifies a target in a datagram by the low 32 bits of its hash.
 type shortID uint32
 
 func shorten(t ids.Target) shortID { return shortID(routing.HashTarget(t)) }
 
 type wireMessage struct {
-	VM        ids.VM          `cbor:"1,keyasint"`
-	Seq       uint64          `cbor:"2,keyasint,omitempty"`
-	Life      int64           `cbor:"3,keyasint,omitempty"`
-	Loads     []wireLoad      `cbor:"5,keyasint,omitempty"`
-	Silent    []shortID       `cbor:"6,keyasint,omitempty"`
-	Order     *Order          `cbor:"7,keyasint,omitempty"`
-	Named     []RecentWeights `cbor:"8,keyasint,omitempty"`
-	StoreDown string          `cbor:"9,keyasint,omitempty"`
-	Caches    []wireCache     `cbor:"10,keyasint,omitempty"`
-	Lapsed    *LeaseLapse     `cbor:"11,keyasint,omitempty"`
-	Report    *digest         `cbor:"12,keyasint,omitempty"`
-	Total     *digest         `cbor:"13,keyasint,omitempty"`
+	VM            ids.VM          `cbor:"1,keyasint"`
+	Seq           uint64          `cbor:"2,keyasint,omitempty"`
+	Incarnation   int64           `cbor:"3,keyasint,omitempty"`
+	Loads         []wireLoad      `cbor:"5,keyasint,omitempty"`
+	Unresponsive  []shortID       `cbor:"6,keyasint,omitempty"`
+	Order         *Order          `cbor:"7,keyasint,omitempty"`
+	RecentWeights []RecentWeights `cbor:"8,keyasint,omitempty"`
+	StoreDown     string          `cbor:"9,keyasint,omitempty"`
+	CacheChanges  []wireCache     `cbor:"10,keyasint,omitempty"`
+	LeaseLapse    *LeaseLapse     `cbor:"11,keyasint,omitempty"`
+	Report        *digest         `cbor:"12,keyasint,omitempty"`
+	Total         *digest         `cbor:"13,keyasint,omitempty"`
 
 	Crashes []quarantine.Report `cbor:"14,keyasint,omitempty"`
 	Uses    []allowance.Use     `cbor:"15,keyasint,omitempty"`
@@ -47,75 +47,76 @@
 }
 
 type wireLoad struct {
-	_        struct{} `cbor:",toarray"`
-	Target   shortID
-	InFlight int
-	Pending  int
-	Bound    int
+	_            struct{} `cbor:",toarray"`
+	Target       shortID
+	InFlight     int
+	Pending      int
+	NotResumable int
 }
 
-// wireCache is what changed of one target's cache, in one of its lives.
+// wireCache holds the changes of one target's cache within one generation of the target.
 type wireCache struct {
-	_       struct{} `cbor:",toarray"`
-	Target  shortID
-	Life    uint16
-	Emptied bool
-	Held    []uint64
-	Dropped []uint64
+	_          struct{} `cbor:",toarray"`
+	Target     shortID
+	Generation uint16
+	Emptied    bool
+	Held       []uint64
+	Dropped    []uint64
 }
 
-// The first byte of a datagram says what its receiver does with it.
+// The first byte of a datagram is the action of its receiver.
 const (
-	keep   = 0
-	passOn = 1 // pass it on to the other VMs of its failure domain, as one to keep
+	actionDeliver = 0 // handle it
+	actionForward = 1 // handle it and forward it, as actionDeliver, to the other VMs of the failure domain
 )
 
-// Encode renders a message that its receiver keeps.
+// Encode returns the datagram for m, marked as not to be forwarded. Encode does not check that it
+// fits in a datagram.
 func Encode(m *Message) ([]byte, error) {
 	w := wireMessage{
-		VM: m.VM, Seq: m.Seq, Life: m.Incarnation, Order: m.Order, Named: m.RecentWeights,
-		StoreDown: m.StoreDown, Caches: group(m.CacheChanges), Lapsed: m.LeaseLapse, Report: m.Report, Total: m.Total,
+		VM: m.VM, Seq: m.Seq, Incarnation: m.Incarnation, Order: m.Order, RecentWeights: m.RecentWeights,
+		StoreDown: m.StoreDown, CacheChanges: groupChanges(m.CacheChanges), LeaseLapse: m.LeaseLapse, Report: m.Report, Total: m.Total,
 		Crashes: m.Crashes, Uses: m.Uses, Limits: wireLimits(m.VM, m.Limits), Canaries: m.Canaries,
 	}
 	for _, l := range m.Loads {
-		w.Loads = append(w.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, Bound: l.NotResumable})
+		w.Loads = append(w.Loads, wireLoad{Target: shorten(l.Target), InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.NotResumable})
 	}
 	for _, t := range m.Unresponsive {
-		w.Silent = append(w.Silent, shorten(t))
+		w.Unresponsive = append(w.Unresponsive, shorten(t))
 	}
 	data, err := cbor.Marshal(w)
-	return append([]byte{keep}, data...), eris.Wrap(err, "encode news")
+	return append([]byte{actionDeliver}, data...), eris.Wrap(err, "encode peer message")
 }
 
-// decode reads a datagram. What it says of targets that resolve does not know is left out.
+// decode parses a datagram and leaves out state of targets that resolve does not know.
 func decode(data []byte, resolve func(short uint32) (ids.Target, bool)) (Message, error) {
-	if len(data) == 0 || data[0] > passOn {
-		return Message{}, errForm
+	if len(data) == 0 || data[0] > actionForward {
+		return Message{}, errMalformed
 	}
 	var w wireMessage
 	if err := cbor.Unmarshal(data[1:], &w); err != nil {
-		return Message{}, eris.Wrap(err, "decode news")
+		return Message{}, eris.Wrap(err, "decode peer message")
 	}
 	m := Message{
-		VM: w.VM, Seq: w.Seq, Incarnation: w.Life, Order: w.Order, RecentWeights: w.Named, StoreDown: w.StoreDown, LeaseLapse: w.Lapsed, Report: w.Report, Total: w.Total,
+		VM: w.VM, Seq: w.Seq, Incarnation: w.Incarnation, Order: w.Order, RecentWeights: w.RecentWeights, StoreDown: w.StoreDown, LeaseLapse: w.LeaseLapse, Report: w.Report, Total: w.Total,
 		Crashes: w.Crashes, Uses: w.Uses, Canaries: w.Canaries,
 	}
 	for _, l := range w.Loads {
 		if t, ok := resolve(uint32(l.Target)); ok {
-			m.Loads = append(m.Loads, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.Bound})
+			m.Loads = append(m.Loads, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.NotResumable})
 		}
 	}
 	for i := range w.Limits {
 		if t, ok := resolve(uint32(w.Limits[i].Target)); ok {
-			m.Limits = append(m.Limits, w.Limits[i].word(t))
+			m.Limits = append(m.Limits, w.Limits[i].limit(t))
 		}
 	}
-	for _, s := range w.Silent {
+	for _, s := range w.Unresponsive {
 		if t, ok := resolve(uint32(s)); ok {
 			m.Unresponsive = append(m.Unresponsive, t)
 		}
 	}
-	for _, c := range w.Caches {
+	for _, c := range w.CacheChanges {
 		if t, ok := resolve(uint32(c.Target)); ok {
 			m.CacheChanges = append(m.CacheChanges, c.changes(t)...)
 		}
@@ -123,14 +124,15 @@
 	return m, nil
 }
 
-var errForm = eris.New("this is no datagram of news")
+var errMalformed = eris.New("decode peer message: datagram is empty or starts with an unknown action")
 
-// group gathers changes by target and life. Of several about one prefix the last counts.
-func group(changes []cacheview.Change) []wireCache {
+// groupChanges groups changes by target and generation. Of several changes of one prefix only the
+// last one remains.
+func groupChanges(changes []cacheview.Change) []wireCache {
 	type key struct {
-		target ids.Target
-		life   uint16
-		id     prefix.ID
+		target     ids.Target
+		generation uint16
+		id         prefix.ID
 	}
 	var out []wireCache
 	last := map[key]bool{}
@@ -140,10 +142,10 @@
 		} else {
 			last[k] = true
 		}
-		at := slices.IndexFunc(out, func(w wireCache) bool { return w.Target == shorten(c.Target) && w.Life == c.Life })
+		at := slices.IndexFunc(out, func(w wireCache) bool { return w.Target == shorten(c.Target) && w.Generation == c.Life })
 		if at < 0 {
 			at = len(out)
-			out = append(out, wireCache{Target: shorten(c.Target), Life: c.Life})
+			out = append(out, wireCache{Target: shorten(c.Target), Generation: c.Life})
 		}
 		switch {
 		case c.Emptied:
@@ -157,17 +159,17 @@
 	return out
 }
 
-// changes is the inverse of group for one target.
+// changes is the inverse of groupChanges for one target.
 func (w *wireCache) changes(t ids.Target) []cacheview.Change {
 	var out []cacheview.Change
 	if w.Emptied {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, Emptied: true})
+		out = append(out, cacheview.Change{Target: t, Life: w.Generation, Emptied: true})
 	}
 	for _, id := range w.Held {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, ID: prefix.ID(id)})
+		out = append(out, cacheview.Change{Target: t, Life: w.Generation, ID: prefix.ID(id)})
 	}
 	for _, id := range w.Dropped {
-		out = append(out, cacheview.Change{Target: t, Life: w.Life, ID: prefix.ID(id), Gone: true})
+		out = append(out, cacheview.Change{Target: t, Life: w.Generation, ID: prefix.ID(id), Gone: true})
 	}
 	return out
 }
