--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -18,9 +18,9 @@
 
 const attempt = "att-1"
 
-// wire is what a good target sends: n numbered chunks, the last with a finish
-// reason, then the end.
-func wire(n int) []string {
+// validStream returns the events of a correct stream: n numbered chunks, the last with a
+// finish reason, then the end marker.
+func validStream(n int) []string {
 	var out []string
 	for i := 1; i <= n; i++ {
 		finish := "null"
@@ -32,21 +32,21 @@
 	return append(out, fmt.Sprintf("id: %d\ndata: [DONE]\n\n", n+1))
 }
 
-// damage does to the events what targets and networks do.
+// damage applies random faults of targets and networks to the events and returns the stream.
 func damage(rt *rapid.T, events []string) string {
 	for range rapid.IntRange(0, 3).Draw(rt, "damages") {
 		i := rapid.IntRange(0, len(events)-1).Draw(rt, "at")
 		j := rapid.IntRange(0, len(events)-1).Draw(rt, "other")
 		switch rapid.IntRange(0, 4).Draw(rt, "damage") {
-		case 0: // lost
+		case 0: // an event is lost
 			events = append(events[:i:i], events[i+1:]...)
-		case 1: // twice
+		case 1: // an event is sent twice
 			events = append(events[:i+1:i+1], events[i:]...)
-		case 2: // out of order
+		case 2: // two events are swapped
 			events[i], events[j] = events[j], events[i]
-		case 3: // of another answer
+		case 3: // an event belongs to another answer
 			events[i] = strings.ReplaceAll(events[i], attempt, "att-2")
-		default: // an error instead
+		default: // an error event replaces an event
 			events[i] = "event: error\ndata: {}\n\n"
 		}
 		if len(events) == 0 {
@@ -60,7 +60,7 @@
 	return text
 }
 
-// readAll relays one connection and returns the numbers passed on.
+// readAll verifies the stream of one connection and returns the data of the forwarded events.
 func readAll(v *Verifier, text string) (passed []string, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestWholeOrBroken draws damage, and resumes behind it: what is passed on is at
-// every moment a prefix of the true answer, and it counts as complete only if it
-// is all of it.
-func TestWholeOrBroken(t *testing.T) {
+// TestDamagedStreams damages streams at random and resumes after the damage. The forwarded
+// events must always be a prefix of the true answer, and the answer counts as complete only
+// if all of its events were forwarded.
+func TestDamagedStreams(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "events")
 		v := NewVerifier(attempt)
@@ -93,7 +93,7 @@
 			if v.Complete() {
 				break
 			}
-			passed, err := readAll(v, damage(rt, wire(n)[v.Last():]))
+			passed, err := readAll(v, damage(rt, validStream(n)[v.Last():]))
 			got = append(got, passed...)
 			if (err == nil) != v.Complete() {
 				rt.Fatalf("error %v, complete %v", err, v.Complete())
@@ -101,16 +101,17 @@
 		}
 		for i, data := range got {
 			if !strings.Contains(data, fmt.Sprintf(`"n":%d,`, i+1)) || !strings.Contains(data, attempt) {
-				rt.Fatalf("event %d passed on is %s", i+1, data)
+				rt.Fatalf("forwarded event %d is %s", i+1, data)
 			}
 		}
 		if v.Complete() && len(got) != n {
-			rt.Fatalf("complete with %d of %d events", len(got), n)
+			rt.Fatalf("the answer counts as complete with %d of %d events", len(got), n)
 		}
 	})
 }
 
-// A target that numbers nothing is checked by finish reason and end alone.
+// TestUnnumbered checks that the stream of a target that does not number its events is
+// verified by finish reason and end marker alone.
 func TestUnnumbered(t *testing.T) {
 	text := "data: {\"id\":\"att-1\",\"finish_reason\":null}\n\ndata: {\"id\":\"att-1\",\"finish_reason\":\"stop\"}\n\ndata: [DONE]\n\n"
 	v := NewVerifier(attempt)
@@ -119,13 +120,13 @@
 	}
 	v = NewVerifier(attempt)
 	if _, err := readAll(v, strings.Replace(text, `"stop"`, "null", 1)); err == nil {
-		t.Fatal("an end without a finish reason was taken for complete")
+		t.Fatal("a stream that ended without a finish reason was accepted as complete")
 	}
 }
 
-// TestBufferedIsAWholeEvent asks, behind a first event, whether another is at hand: a
-// part of one is none, since its rest may not come.
-func TestBufferedIsAWholeEvent(t *testing.T) {
+// TestBufferedIsCompleteEvent checks Buffered after a first event: only a complete second event
+// counts, since the remainder of a partial one may never arrive.
+func TestBufferedIsCompleteEvent(t *testing.T) {
 	const event = "id: 2\ndata: x\n\n"
 	cases := map[string]bool{event: true, "\n" + event: true, strings.ReplaceAll(event, "\n", "\r\n"): true, event + "id": true, "\n": false, "\n\n": false, "\r\n\r\n": false}
 	for n := range len(event) {
@@ -148,7 +149,7 @@
 func TestReaderLimits(t *testing.T) {
 	long := "data: " + strings.Repeat("x", maxEventBytes+10) + "\n\n"
 	if _, err := NewReader(strings.NewReader(long)).Next(); err == nil {
-		t.Fatal("an event over the limit was read")
+		t.Fatal("an event over the size limit was read")
 	}
 	line := "data: " + strings.Repeat("y", 3*readBuffer) + "\n\n"
 	ev, err := NewReader(strings.NewReader(line)).Next()
@@ -156,12 +157,12 @@
 		t.Fatalf("%d bytes, %v", len(ev.Data), err)
 	}
 	if _, err := NewReader(strings.NewReader("data: half")).Next(); err != io.ErrUnexpectedEOF {
-		t.Fatalf("cut within a line: %v", err)
+		t.Fatalf("the input ended within a line: got %v", err)
 	}
 }
 
 func BenchmarkRelay(b *testing.B) {
-	text := strings.Join(wire(1000), "")
+	text := strings.Join(validStream(1000), "")
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		v := NewVerifier(attempt)
--- a/internal/relay/raw.go
+++ b/internal/relay/raw.go
@@ -10,33 +10,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// RawEvent is one server-sent event as it came, with its blank line. Raw is valid
-// until the next call of Next.
+// RawEvent is one server-sent event, byte for byte as received, with the blank line that
+// ends it. Raw is valid until the next call of Next. ID is set if Numbered is true.
 type RawEvent struct {
 	Raw      []byte
 	ID       uint64
 	Numbered bool
 }
 
-// RawReader cuts a stream into whole events and leaves their bytes as they are.
+// RawReader splits a stream into complete events without changing their bytes. It is not safe
+// for concurrent use.
 type RawReader struct {
 	r   *bufio.Reader
 	raw []byte
 }
 
-// NewRawReader returns a reader over r.
+// NewRawReader returns a RawReader that reads from r.
 func NewRawReader(r io.Reader) *RawReader {
 	return &RawReader{r: bufio.NewReaderSize(r, rawBuffer)}
 }
 
-// rawBuffer is the reader's size, in bytes: some events.
+// rawBuffer is the size of the read buffer in bytes, enough for several events.
 const rawBuffer = 4 << 10
 
-// Buffered tells whether Next need not wait, as Reader's does.
+// Buffered reports whether a complete event is buffered, as Reader.Buffered does.
 func (r *RawReader) Buffered() bool { return holdsEvent(r.r) }
 
-// Next returns the next whole event. io.EOF is returned only between events;
-// input that ends within one is io.ErrUnexpectedEOF.
+// Next returns the next complete event. It returns io.EOF only between events, and
+// io.ErrUnexpectedEOF if the input ends within an event.
 func (r *RawReader) Next() (RawEvent, error) {
 	r.raw = r.raw[:0]
 	var ev RawEvent
@@ -67,19 +68,19 @@
 	}
 	id, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 64)
 	if err != nil {
-		return eris.Errorf("event number %q is no number", value)
+		return eris.Errorf("read event stream: event id %q is not a number", value)
 	}
 	ev.ID, ev.Numbered = id, true
 	return nil
 }
 
-// line appends one line with its end to raw.
+// line appends one line, with its line ending, to raw.
 func (r *RawReader) line() error {
 	for {
 		part, err := r.r.ReadSlice('\n')
 		r.raw = append(r.raw, part...)
 		if len(r.raw) > maxEventBytes {
-			return eris.New("an event is too large")
+			return eris.New("read event stream: event exceeds the size limit")
 		}
 		if err == nil {
 			return nil
--- a/internal/relay/sse.go
+++ b/internal/relay/sse.go
@@ -1,4 +1,5 @@
-// Package relay reads a target's event stream and checks that it is whole.
+// Package relay parses the server-sent events of a target's answer and verifies that the
+// stream is complete: that no event is missing, duplicated or from another answer.
 package relay
 
 import (
@@ -10,35 +11,36 @@
 	"github.com/rotisserie/eris"
 )
 
-// readBuffer bounds what is read ahead of the caller; it is the only buffer
-// between target and caller, so a slow caller slows the target down.
+// readBuffer bounds the read-ahead, in bytes. It is the only buffer between target and
+// caller, so a slow caller applies back-pressure to the target.
 const readBuffer = 16 << 10
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
 // Event is one server-sent event. Data is valid until the next call of Next.
 type Event struct {
-	ID    uint64 // zero: not numbered
+	ID    uint64 // zero if the event has no number
 	Data  []byte
-	Error bool // an "error" event
+	Error bool // the type of the event is "error"
 }
 
-// Reader parses server-sent events.
+// Reader parses server-sent events. It is not safe for concurrent use.
 type Reader struct {
 	r    *bufio.Reader
 	data []byte
 }
 
-// NewReader returns a parser over r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, readBuffer)} }
 
-// Buffered tells whether Next need not wait: a whole event is at hand. A part of one
-// does not count, since its rest may be long in coming.
+// Buffered reports whether a complete event is buffered, so that Next returns without
+// reading from the connection. A partial event does not count, since its remainder may take
+// long to arrive.
 func (r *Reader) Buffered() bool { return holdsEvent(r.r) }
 
-// holdsEvent tells whether a whole event lies in the buffer. One that is longer than
-// the buffer never does.
+// holdsEvent reports whether r has a complete event in its buffer. It never does for an event
+// that is longer than the buffer.
 func holdsEvent(r *bufio.Reader) bool {
 	held, _ := r.Peek(r.Buffered())
 	held = bytes.TrimLeft(held, "\r\n") // blank lines before an event
@@ -56,8 +58,8 @@
 
 var newline, crlf = []byte("\n"), []byte("\r\n")
 
-// Next returns the next event. io.EOF is returned only between events; input
-// that ends within one is io.ErrUnexpectedEOF.
+// Next returns the next event. It returns io.EOF only between events, and
+// io.ErrUnexpectedEOF if the input ends within an event.
 func (r *Reader) Next() (Event, error) {
 	r.data = r.data[:0]
 	var ev Event
@@ -90,7 +92,7 @@
 	switch string(name) {
 	case "data":
 		if len(r.data)+len(value) > maxEventBytes {
-			return eris.New("an event is too large")
+			return eris.New("read event stream: event exceeds the size limit")
 		}
 		if len(r.data) > 0 {
 			r.data = append(r.data, '\n')
@@ -99,7 +101,7 @@
 	case "id":
 		id, err := strconv.ParseUint(string(value), 10, 64)
 		if err != nil {
-			return eris.Errorf("event number %q is no number", value)
+			return eris.Errorf("read event stream: event id %q is not a number", value)
 		}
 		ev.ID = id
 	case "event":
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// line returns one line without its end; it is valid until the next read.
+// line returns one line without its line ending. The slice is valid until the next read.
 func (r *Reader) line() ([]byte, error) {
 	line, err := r.r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -132,5 +134,5 @@
 			return long, err
 		}
 	}
-	return nil, eris.New("a line is too long")
+	return nil, eris.New("read event stream: line exceeds the size limit")
 }
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -7,21 +7,21 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Verdict says what to do with an event.
+// Verdict is what the caller of Accept must do with an event.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Forward   Verdict = iota // pass it on
-	Duplicate                // drop it: it was passed on before
+	Forward   Verdict = iota // send it to the caller
+	Duplicate                // drop it: it was forwarded before
 	Done                     // the stream is complete
 )
 
-// BrokenError says how a stream is broken. What was passed on before is a true
-// prefix of the answer; Resume at Last can go on from there.
+// BrokenError reports how a stream is broken. The events that were forwarded before it are a
+// correct prefix of the answer, and the stream can be resumed after event Last.
 type BrokenError struct {
 	Reason string
-	Last   uint64 // number of the last event passed on
+	Last   uint64 // number of the last forwarded event
 }
 
 // Error implements error.
@@ -35,10 +35,10 @@
 	finishNull = []byte("null")
 )
 
-// Verifier checks one answer's events: each belongs to the attempt, none is
-// missing, none counts twice, and the end is the end. It outlives the broken
-// connection of an attempt, so that a resumed stream is checked against what was
-// passed on before.
+// Verifier checks the events of one answer: each belongs to the attempt, none is missing, none
+// is forwarded twice, and the stream ends after a finish reason. A Verifier is used for all
+// connections of an attempt, so that it checks a resumed stream against the events that were
+// forwarded before the connection broke. It is not safe for concurrent use.
 type Verifier struct {
 	attempt  []byte
 	last     uint64
@@ -47,69 +47,69 @@
 	done     bool
 }
 
-// NewVerifier returns a verifier for the answer of one attempt. An empty attempt
-// skips the check that each event names it.
+// NewVerifier returns a Verifier for the answer of one attempt. An empty attempt disables the
+// check that each event contains the ID of the attempt.
 func NewVerifier(attempt ids.Attempt) *Verifier { return &Verifier{attempt: []byte(attempt)} }
 
-// Last returns the number of the last event passed on.
+// Last returns the number of the last forwarded event, or zero.
 func (v *Verifier) Last() uint64 { return v.last }
 
-// Numbered tells whether the target numbers its events, and so can resume.
+// Numbered reports whether the target numbers its events, which resuming requires.
 func (v *Verifier) Numbered() bool { return v.numbered }
 
-// Complete tells whether the whole answer was passed on.
+// Complete reports whether the whole answer was forwarded.
 func (v *Verifier) Complete() bool { return v.done }
 
 func (v *Verifier) broken(reason string) error { return &BrokenError{Reason: reason, Last: v.last} }
 
-// Accept judges the next event.
+// Accept checks the next event. It returns a *BrokenError if the stream is broken.
 func (v *Verifier) Accept(ev Event) (Verdict, error) {
 	if v.done {
 		return Duplicate, nil
 	}
 	if ev.Error {
-		return 0, v.broken("the target reports an error")
+		return 0, v.broken("the target sent an error event")
 	}
 	if dup, err := v.number(ev.ID); dup || err != nil {
 		return Duplicate, err
 	}
 	if bytes.Equal(ev.Data, doneMark) {
 		if !v.finished {
-			return 0, v.broken("the end came without a finish reason")
+			return 0, v.broken("the stream ended without a finish reason")
 		}
 		v.done = true
 		return Done, nil
 	}
 	if !bytes.Contains(ev.Data, v.attempt) {
-		return 0, v.broken("an event of another answer")
+		return 0, v.broken("an event belongs to another answer")
 	}
 	v.last++
 	v.finished = v.finished || finishes(ev.Data)
 	return Forward, nil
 }
 
-// number checks an event's number. Numbers start at 1 and have no gaps.
+// number checks the number of an event. Numbers start at 1 and have no gaps.
 func (v *Verifier) number(id uint64) (duplicate bool, err error) {
 	if id == 0 {
 		if v.numbered {
-			return false, v.broken("an event without a number")
+			return false, v.broken("an event has no number, earlier ones had")
 		}
 		return false, nil
 	}
 	if !v.numbered && v.last > 0 {
-		return false, v.broken("numbers began in the middle")
+		return false, v.broken("an event is numbered, earlier ones were not")
 	}
 	v.numbered = true
 	if id <= v.last {
 		return true, nil
 	}
 	if id != v.last+1 {
-		return false, v.broken(fmt.Sprintf("event %d came after %d", id, v.last))
+		return false, v.broken(fmt.Sprintf("received event %d after event %d", id, v.last))
 	}
 	return false, nil
 }
 
-// finishes tells whether a chunk carries a finish reason.
+// finishes reports whether a chunk carries a finish reason.
 func finishes(data []byte) bool {
 	for {
 		i := bytes.Index(data, finishKey)
