--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,9 +1,9 @@
-// Package gossip decides what a VM tells its peers, and in which order: the most
-// urgent news first, within a budget of bytes a message.
+// Package gossip queues the updates that a VM sends to its peers and fills messages
+// with them: the most urgent updates first, within a byte budget per message.
 //
-// A VM tells its own news to every peer of its failure domain on an open stream;
-// nobody passes news on. At 22 VMs that costs fewer bytes than any scheme which
-// relays (docs/design/gossip.md), takes one hop, and depends on nobody else.
+// A VM sends its own updates to every peer of its failure domain on an open stream;
+// peers do not forward them. At 22 VMs that costs fewer bytes than any relaying scheme
+// (docs/design/gossip.md), takes one hop, and depends on no third VM.
 package gossip
 
 import (
@@ -17,17 +17,17 @@
 	"github.com/threadwall/threadwall/internal/peerpb"
 )
 
-// maxDispatches bounds the dispatches that wait to be told; the oldest give way.
+// maxDispatches bounds the queued dispatches; a new one replaces the oldest.
 const maxDispatches = 256
 
-// Outbox holds news until it is told. Safe for concurrent use.
+// Outbox holds updates until Fill puts them into a message. It is safe for concurrent use.
 type Outbox struct {
 	mu         sync.Mutex
-	urgent     map[uint32]*peerpb.TargetReport // a target leaves, falls silent or is reborn
+	urgent     map[uint32]*peerpb.TargetReport // a target is leaving, has stopped responding or has restarted
 	loads      map[uint32]*peerpb.TargetReport
 	dispatches []*peerpb.Dispatch // newest last
 	demands    map[uint32]*peerpb.Demand
-	told       map[uint32]*peerpb.Demand // demands as last told
+	sent       map[uint32]*peerpb.Demand // demands as last sent
 	dropped    uint64
 }
 
@@ -35,11 +35,12 @@
 func New() *Outbox {
 	return &Outbox{
 		urgent: map[uint32]*peerpb.TargetReport{}, loads: map[uint32]*peerpb.TargetReport{},
-		demands: map[uint32]*peerpb.Demand{}, told: map[uint32]*peerpb.Demand{},
+		demands: map[uint32]*peerpb.Demand{}, sent: map[uint32]*peerpb.Demand{},
 	}
 }
 
-// Report adds a report on a target; it replaces an earlier one.
+// Report queues a report on a target and replaces an earlier one. Fill sends an urgent
+// report regardless of the budget.
 func (o *Outbox) Report(r *peerpb.TargetReport, urgent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -51,7 +52,7 @@
 	o.loads[r.Target] = r
 }
 
-// Dispatch adds a dispatch.
+// Dispatch queues a dispatch.
 func (o *Outbox) Dispatch(d *peerpb.Dispatch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,37 +63,38 @@
 	o.dispatches = append(o.dispatches, d)
 }
 
-// Demands are told again when they changed by this part.
+// demandChange is the relative change beyond which a demand is sent again.
 const demandChange = 0.25
 
-// Demand adds a workspace's demand if it differs from what was told by a quarter.
+// Demand queues a workspace's demand if it differs from the one last sent by more than a
+// quarter.
 func (o *Outbox) Demand(d *peerpb.Demand) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	told, ok := o.told[d.Workspace]
-	if ok && !changed(told.Decirequests, d.Decirequests) && !changed(told.Decioffered, d.Decioffered) {
+	sent, ok := o.sent[d.Workspace]
+	if ok && !changed(sent.Decirequests, d.Decirequests) && !changed(sent.Decioffered, d.Decioffered) {
 		return
 	}
 	o.demands[d.Workspace] = d
 }
 
-// changed tells whether a figure differs from what was told by more than demandChange.
-func changed(told, is uint32) bool {
-	diff := float64(is) - float64(told)
-	return max(diff, -diff) > demandChange*float64(told)
+// changed reports whether a value differs from the one last sent by more than demandChange.
+func changed(sent, current uint32) bool {
+	diff := float64(current) - float64(sent)
+	return max(diff, -diff) > demandChange*float64(sent)
 }
 
-// Pending returns whether there is anything to tell beside the heartbeat.
+// Pending reports whether any update is queued. Heartbeats are not queued here.
 func (o *Outbox) Pending() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.urgent)+len(o.loads)+len(o.dispatches)+len(o.demands) > 0
 }
 
-// Fill moves news into a message, up to about budget bytes: urgent reports
-// always, then demands, dispatches newest first, and loads, the longest queues
-// first. What finds no room is dropped if newer news will say it better, and
-// waits otherwise.
+// Fill moves queued updates into n, up to about budget bytes: all urgent reports, then
+// demands, dispatches newest first, and loads with the longest queues first. Demands that
+// do not fit stay queued. Dispatches and loads that do not fit are dropped, since newer
+// ones replace them.
 func (o *Outbox) Fill(n *peerpb.News, budget int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -109,7 +111,7 @@
 	for _, k := range slices.Sorted(maps.Keys(o.demands)) {
 		if d := o.demands[k]; fits(d) {
 			n.Demands = append(n.Demands, d)
-			o.told[k] = d
+			o.sent[k] = d
 			delete(o.demands, k)
 		}
 	}
@@ -117,7 +119,7 @@
 	o.fillLoads(n, fits)
 }
 
-// fieldOverhead is the tag and length of one entry, in bytes.
+// fieldOverhead is the size of the tag and length of one entry, in bytes.
 const fieldOverhead = 2
 
 func (o *Outbox) fillDispatches(n *peerpb.News, fits func(proto.Message) bool) {
@@ -147,7 +149,8 @@
 	clear(o.loads)
 }
 
-// Dropped returns how much news found no room.
+// Dropped returns the number of dispatches and loads that did not fit into the queue or a
+// message.
 func (o *Outbox) Dropped() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -15,8 +15,8 @@
 	m.Run()
 }
 
-// TestFill: urgent reports always go out, demand is never lost, what is not urgent
-// stays within the budget, and an outbox empties.
+// TestFill checks on random updates that Fill always sends urgent reports, never loses a
+// demand, keeps all other updates within the budget, and empties the outbox.
 func TestFill(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		o := New()
@@ -38,10 +38,10 @@
 				demands[id] = d
 			}
 		}
-		told := map[uint32]bool{}
+		sent := map[uint32]bool{}
 		for round := 0; o.Pending(); round++ {
 			if round > 200 {
-				rt.Fatalf("it does not empty within a budget of %d", budget)
+				rt.Fatalf("the outbox does not empty within a budget of %d bytes", budget)
 			}
 			n := &peerpb.News{}
 			o.Fill(n, budget)
@@ -55,35 +55,35 @@
 				}
 			}
 			if size := proto.Size(rest); size > budget {
-				rt.Fatalf("%d bytes within a budget of %d", size, budget)
+				rt.Fatalf("%d bytes exceed the budget of %d", size, budget)
 			}
 			for _, d := range n.Demands {
-				told[d.Workspace] = true
+				sent[d.Workspace] = true
 			}
-			budget += 20 // what was too large for one round finds room later
+			budget += 20 // an update that was too large for one round fits in a later one
 		}
 		if len(urgent) > 0 {
 			rt.Fatalf("urgent reports were lost: %v", urgent)
 		}
 		for id := range demands {
-			if !told[id] {
-				rt.Fatalf("demand of %d was never told", id)
+			if !sent[id] {
+				rt.Fatalf("the demand of workspace %d was never sent", id)
 			}
 		}
 	})
 }
 
-func TestDemandIsToldWhenItChanges(t *testing.T) {
+func TestDemandIsSentWhenItChanges(t *testing.T) {
 	o := New()
-	tell := func(rate uint32) int {
+	send := func(rate uint32) int {
 		o.Demand(&peerpb.Demand{Workspace: 1, Decirequests: rate})
 		n := &peerpb.News{}
 		o.Fill(n, 1000)
 		return len(n.Demands)
 	}
-	for i, want := range []struct{ rate, told uint32 }{{100, 1}, {110, 0}, {130, 1}, {100, 0}, {90, 1}, {0, 1}, {0, 0}} {
-		if got := tell(want.rate); got != int(want.told) {
-			t.Errorf("step %d, rate %d: told %d times", i, want.rate, got)
+	for i, want := range []struct{ rate, sent uint32 }{{100, 1}, {110, 0}, {130, 1}, {100, 0}, {90, 1}, {0, 1}, {0, 0}} {
+		if got := send(want.rate); got != int(want.sent) {
+			t.Errorf("step %d, rate %d: sent %d times", i, want.rate, got)
 		}
 	}
 }
