--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -1,6 +1,6 @@
-// Package hlc is a hybrid logical clock: wall time where clocks agree, and a
-// logical count where they don't, so that an event that was caused by another
-// always carries the larger stamp, on whichever VM it happened.
+// Package hlc implements a hybrid logical clock. A stamp combines wall time with a logical
+// counter, which takes over where the wall clocks of VMs disagree: an event that was caused
+// by another one carries the larger stamp, on whichever VM it happened.
 package hlc
 
 import (
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Stamp is wall milliseconds in the upper 48 bits and a logical count in the
+// Stamp holds wall time in milliseconds in the upper 48 bits and a logical counter in the
 // lower 16. Stamps are compared as integers.
 type Stamp uint64
 
 const logicalBits = 16
 
-// Time returns the wall part.
+// Time returns the wall time of the stamp.
 func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s >> logicalBits)) }
 
-// Logical returns the logical count.
+// Logical returns the logical counter of the stamp.
 func (s Stamp) Logical() uint16 { return uint16(s) }
 
-// String returns wall time with the logical count behind it.
+// String returns the wall time in UTC, followed by "+" and the logical counter.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%s+%d", s.Time().UTC().Format("15:04:05.000"), s.Logical())
 }
 
-// Clock hands out stamps that never go back. Safe for concurrent use.
+// Clock returns strictly increasing stamps. It is safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 	now  func() time.Time
 }
 
-// New returns a clock over now; nil means time.Now.
+// New returns a clock that reads wall time from now; nil means time.Now.
 func New(now func() time.Time) *Clock {
 	if now == nil {
 		now = time.Now
@@ -45,12 +45,12 @@
 func (c *Clock) Now() Stamp { return c.Observe(0) }
 
 // Observe merges the stamp of a received message and returns a stamp for the
-// receipt, larger than both the message's and every earlier local one.
+// receipt, larger than both remote and every earlier local stamp.
 func (c *Clock) Observe(remote Stamp) Stamp {
 	wall := Stamp(uint64(c.now().UnixMilli()) << logicalBits)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// A full logical count carries into the wall part, which keeps order.
+	// An overflow of the logical counter carries into the wall time, which keeps the order.
 	c.last = max(c.last+1, remote+1, wall)
 	return c.last
 }
