--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,15 +1,16 @@
-// Package clock tells time that goes on while the VM is suspended.
+// Package clock provides a clock that keeps running while the VM is suspended.
 //
-// A VM may stand still for seconds: the hypervisor suspends it, migrates it, or wakes it
-// up later. The monotonic clock that time.Now carries does not count that time, so an age
-// taken with it is too young, and what was proven before the suspension is trusted after
-// it. The time of day counts it, but may be set. CLOCK_BOOTTIME counts it and only goes
+// A VM may stop running for seconds: the hypervisor suspends it, migrates it, or resumes it
+// late. The monotonic clock that time.Now reads does not count that time, so an age computed
+// with it is too small, and a proof from before the suspension is still trusted after it.
+// The wall clock counts that time, but may be set. CLOCK_BOOTTIME counts it and only goes
 // forward.
 //
 // The times that this package returns have no monotonic reading: Sub, Before and After
-// compare what CLOCK_BOOTTIME said. They lie near the time of day at the start of the
-// process, and are not to be shown as that. Timers of package time run on the monotonic
-// clock and fire late after a suspension, so whoever acts on one asks Now again.
+// compare readings of CLOCK_BOOTTIME. They are offset to the wall time at the start of the
+// process, but must not be displayed as wall time. Timers of package time run on the
+// monotonic clock and fire late after a suspension, so code that acts on a timer must call
+// Now again.
 package clock
 
 import (
@@ -19,7 +20,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// base is what is added to CLOCK_BOOTTIME: the time of day at the start, less that clock.
+// base is the offset from CLOCK_BOOTTIME to the wall time at the start of the process.
 var base = func() time.Duration {
 	boot, err := bootTime()
 	if err != nil {
@@ -28,10 +29,10 @@
 	return time.Duration(time.Now().UnixNano()) - boot
 }()
 
-// skipped is how much time tests have let pass for this clock alone.
+// skipped is the sum of all calls of Skip, in nanoseconds.
 var skipped atomic.Int64
 
-// virtual is set where tests run in virtual time.
+// virtual is set by UseVirtualTime.
 var virtual atomic.Bool
 
 func bootTime() (time.Duration, error) {
@@ -42,15 +43,16 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// CheckSupport returns an error where the system has no clock that counts suspended time. Now is
-// then time.Now, and trust may outlive its proof by the length of a suspension.
+// CheckSupport returns an error if the system has no clock that counts suspended time. Now
+// then falls back to time.Now, and a proof may be trusted for longer than it is valid, by the
+// length of a suspension.
 func CheckSupport() error {
 	_, err := bootTime()
 	return err
 }
 
-// Now returns the time. It costs a system call of some 60 ns (BenchmarkNow): with the ten
-// or so looks that a request takes, 10 requests/s take 0.0006% of a core.
+// Now returns the current time. Each call is a system call of about 60 ns (BenchmarkNow): at
+// about ten calls per request, 10 requests/s take 0.0006% of a core.
 func Now() time.Time {
 	boot, err := bootTime()
 	if err != nil || virtual.Load() {
@@ -59,14 +61,16 @@
 	return time.Unix(0, int64(base+boot)+skipped.Load())
 }
 
-// Since returns the time since t.
+// Since returns the time that has passed since t, suspensions included.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t.
+// Until returns the time that is left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// UseVirtualTime has Now follow time.Now, which tests in virtual time replace. For tests.
+// UseVirtualTime makes Now follow time.Now, which package testing/synctest replaces by virtual
+// time. For tests.
 func UseVirtualTime() { virtual.Store(true) }
 
-// Skip lets time pass for this clock and not for timers, as a suspension does. For tests.
+// Skip moves this clock forward by d and leaves timers alone, as a suspension does. A negative
+// d undoes an earlier call. For tests.
 func Skip(d time.Duration) { skipped.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNowGoesForward compares the clock with that of timers: they agree while the system
-// runs, and a suspension counts for one alone.
+// TestNowGoesForward compares this clock with the one of timers: they agree while the system
+// runs, and only this one counts a suspension.
 func TestNowGoesForward(t *testing.T) {
 	if err := CheckSupport(); err != nil {
 		t.Fatalf("the system has no clock that counts suspended time: %v", err)
@@ -21,11 +21,11 @@
 	Skip(pause)
 	defer Skip(-pause)
 	if d := Since(before) - time.Since(ran) - pause; d.Abs() > 5*time.Millisecond {
-		t.Errorf("a suspension of %v counts as %v less", pause, d)
+		t.Errorf("after a suspension of %v the clock is off by %v", pause, d)
 	}
 }
 
-// TestWatch suspends for a time that is noticed, once, and for one that is not.
+// TestWatch checks that Watch reports a long suspension once, and a short one not at all.
 func TestWatch(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -35,36 +35,36 @@
 		defer close(done)
 		Watch(ctx, func(length time.Duration) { woke <- length })
 	}()
-	time.Sleep(2 * lookEvery)
+	time.Sleep(2 * checkInterval)
 	const short, long = 100 * time.Millisecond, 20 * time.Second
 	Skip(short)
 	defer Skip(-short - long)
-	time.Sleep(3 * lookEvery)
+	time.Sleep(3 * checkInterval)
 	Skip(long)
 	select {
 	case length := <-woke:
 		if (length - long).Abs() > 100*time.Millisecond {
-			t.Errorf("a suspension of %v was seen as %v", long, length)
+			t.Errorf("a suspension of %v was reported as %v", long, length)
 		}
 	case <-time.After(time.Second):
-		t.Fatal("the suspension was not noticed within a second")
+		t.Fatal("the suspension was not reported within a second")
 	}
-	time.Sleep(3 * lookEvery)
+	time.Sleep(3 * checkInterval)
 	cancel()
 	<-done
 	if len(woke) > 0 {
-		t.Errorf("it was noticed again: %v", <-woke)
+		t.Errorf("the suspension was reported again: %v", <-woke)
 	}
 }
 
-// BenchmarkNow is the cost of one look; time.Now took 40 ns beside it.
+// BenchmarkNow measures one call of Now; time.Now took 40 ns in the same run.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
 	}
 }
 
-// BenchmarkTimeNow is the cost of a look at the clock that stands still.
+// BenchmarkTimeNow measures time.Now, whose monotonic clock does not count suspensions.
 func BenchmarkTimeNow(b *testing.B) {
 	for b.Loop() {
 		_ = time.Now()
--- a/internal/clock/rule_test.go
+++ b/internal/clock/rule_test.go
@@ -10,32 +10,33 @@
 	"testing"
 )
 
-// timersOnly are the places that may look at time.Now, with the reason. All else decides
-// about trust, or hands on what does.
+// timersOnly lists the files and directories that may call time.Now, Since and Until, with the
+// reason. All others decide how long something is trusted, or pass on times that do.
 var timersOnly = map[string]string{
 	"clock/":               "this clock itself",
-	"lab/":                 "stand-ins, not the product's VMs",
-	"soak/":                "the soak runs outside of the VMs",
+	"lab/":                 "simulated components, not VMs of the product",
+	"soak/":                "the soak test runs outside of the VMs",
 	"yardstick/":           "measurements",
 	"capacity/":            "measurements",
-	"hlc/hlc.go":           "others compare it: the time of day",
-	"claims/claims.go":     "callers' keys carry the time of day",
-	"services/services.go": "callers' keys carry the time of day; the deadline of a context is on the clock of timers",
-	"engine/engine.go":     "the deadline of a context is on the clock of timers",
+	"hlc/hlc.go":           "other processes compare it: wall time",
+	"claims/claims.go":     "idempotency keys of callers carry wall time",
+	"services/services.go": "idempotency keys of callers carry wall time; deadlines of contexts are on the clock of timers",
+	"engine/engine.go":     "deadlines of contexts are on the clock of timers",
 	"gateway/answers.go":   "deadlines of connections are on the clock of timers",
 	"gateway/gateway.go":   "deadlines of connections are on the clock of timers",
 	"forward/deliver.go":   "deadlines of connections are on the clock of timers",
 	"forward/handler.go":   "deadlines of connections are on the clock of timers",
-	"daemon/probing.go":    "peers compare it: the time of day",
-	"daemon/daemon.go":     "peers compare it: the time of day names this start",
-	"news/news.go":         "peers compare it: the time of day names this start",
+	"daemon/probing.go":    "peers compare it: wall time",
+	"daemon/daemon.go":     "peers compare it: wall time identifies this start of the process",
+	"news/news.go":         "peers compare it: wall time identifies this start of the process",
 }
 
-var looks = regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
+var timeCalls = regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
 
-// TestTrustGoesByThisClock reads the sources: an age or a deadline that is taken with
-// time.Now does not count a suspension, and outlives what it stands for.
-func TestTrustGoesByThisClock(t *testing.T) {
+// TestSourcesUsePackageClock reads the sources for uses of time.Now, Since and Until: an age or
+// deadline computed with them does not count suspensions, so the thing it limits is trusted for
+// too long.
+func TestSourcesUsePackageClock(t *testing.T) {
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 			return err
@@ -46,14 +47,14 @@
 				return nil
 			}
 		}
-		return noLooks(t, path)
+		return checkFile(t, path)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func noLooks(t *testing.T, path string) error {
+func checkFile(t *testing.T, path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -62,7 +63,7 @@
 	lines := bufio.NewScanner(f)
 	for n := 1; lines.Scan(); n++ {
 		code, _, _ := strings.Cut(lines.Text(), "//")
-		if looks.MatchString(code) {
+		if timeCalls.MatchString(code) {
 			t.Errorf("%s:%d: %s: use package clock, or give the reason in timersOnly", path, n, strings.TrimSpace(code))
 		}
 	}
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -6,46 +6,47 @@
 )
 
 const (
-	// lookEvery is how often a suspension is looked for: one is noticed so soon after the
-	// VM runs again.
-	lookEvery = 50 * time.Millisecond
-	// suspended is how far the two clocks must part between two looks: a shorter suspension
-	// is no reason to give anything up, since links and peers bear it.
-	suspended = 300 * time.Millisecond
-	// together is the time within which both clocks must be read: a process that waits for
-	// the processor in between is not suspended.
-	together = 5 * time.Millisecond
-	// readTries bounds the tries to read them so.
-	readTries = 5
+	// checkInterval is the interval between two checks for a suspension, and so the longest
+	// delay until one is noticed after the VM has resumed.
+	checkInterval = 50 * time.Millisecond
+	// minSuspension is the difference between the two clocks, from one check to the next, that
+	// counts as a suspension. Connections and peers tolerate shorter ones.
+	minSuspension = 300 * time.Millisecond
+	// maxReadSkew is the time within which both clocks must be read: a process that is
+	// descheduled between the two reads is not suspended.
+	maxReadSkew = 5 * time.Millisecond
+	// maxReads bounds the attempts to read both clocks within maxReadSkew.
+	maxReads = 5
 )
 
-// Watch calls woke with the length of each suspension, soon after its end, until ctx ends.
-func Watch(ctx context.Context, woke func(length time.Duration)) {
-	tick := time.NewTicker(lookEvery)
+// Watch calls resumed with the length of each suspension, within about checkInterval of its end,
+// until ctx ends. It ignores suspensions shorter than minSuspension.
+func Watch(ctx context.Context, resumed func(length time.Duration)) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
-	ran, was := both()
+	monotonic, boot := readClocks()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		nowRan, now := both()
-		length := now.Sub(was) - nowRan.Sub(ran)
-		ran, was = nowRan, now
-		if length >= suspended {
-			woke(length)
+		nowMonotonic, nowBoot := readClocks()
+		length := nowBoot.Sub(boot) - nowMonotonic.Sub(monotonic)
+		monotonic, boot = nowMonotonic, nowBoot
+		if length >= minSuspension {
+			resumed(length)
 		}
 	}
 }
 
-// both reads the clock of timers and this one at the same time.
-func both() (ran, now time.Time) {
-	for range readTries {
-		ran, now = time.Now(), Now()
-		if time.Since(ran) < together {
+// readClocks reads the clock of timers and the one of this package at nearly the same time.
+func readClocks() (monotonic, boot time.Time) {
+	for range maxReads {
+		monotonic, boot = time.Now(), Now()
+		if time.Since(monotonic) < maxReadSkew {
 			break
 		}
 	}
-	return ran, now
+	return monotonic, boot
 }
