--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline keeps the last events of one process, typed and stamped by a
-// hybrid logical clock, so that the command line can merge the events of all
-// processes into one causal order and say why a request went where it did.
+// Package timeline keeps the most recent events of one process. Events are typed and
+// stamped by a hybrid logical clock, so that the command line can merge the events of all
+// processes into one causal order and explain why a request was routed to its target.
 package timeline
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Kind names a type of event.
+// Kind is the type of an event, as written in JSON.
 type Kind string
 
 // The kinds of event.
@@ -33,8 +33,8 @@
 	KindLifecycle  Kind = "lifecycle"
 )
 
-// Event is one entry. Detail is a typed struct of the package that recorded it,
-// held as JSON.
+// Event is one entry of a Log. Record sets At, VM and Detail. Detail is the JSON form of a
+// struct of the package that recorded the event.
 type Event struct {
 	At      hlc.Stamp       `json:"at"`
 	VM      ids.VM          `json:"vm"`
@@ -46,7 +46,8 @@
 	Detail  json.RawMessage `json:"detail,omitempty"`
 }
 
-// Log is a bounded ring of events: the newest overwrite the oldest.
+// Log is a ring buffer of events: new events overwrite the oldest. It is safe for concurrent
+// use.
 type Log struct {
 	clock *hlc.Clock
 	vm    ids.VM
@@ -57,15 +58,16 @@
 	full   bool
 }
 
-// NewLog returns a log that keeps the last size events.
+// NewLog returns a log that keeps the last size events; size must be positive.
 func NewLog(vm ids.VM, clock *hlc.Clock, size int) *Log {
 	return &Log{clock: clock, vm: vm, events: make([]Event, size)}
 }
 
-// Clock returns the log's clock, for stamps on peer calls.
+// Clock returns the clock that stamps the log's events, for stamps on calls to peers.
 func (l *Log) Clock() *hlc.Clock { return l.clock }
 
-// Record stamps and keeps e. A detail that cannot be encoded is left out.
+// Record stamps e and stores it, with detail encoded as JSON. It omits a detail that cannot be
+// encoded.
 func (l *Log) Record(e Event, detail any) {
 	e.VM = l.vm
 	if detail != nil {
@@ -79,8 +81,8 @@
 	l.full = l.full || l.next == 0
 }
 
-// Events returns a copy of the kept events, oldest first. A non-empty request
-// keeps only that request's.
+// Events returns a copy of the stored events, oldest first. If request is not empty, it
+// returns only the events of that request.
 func (l *Log) Events(request ids.Request) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,8 +97,8 @@
 	return slices.DeleteFunc(all, func(e Event) bool { return e.Request != request })
 }
 
-// Merge returns the events of several processes in causal order. Stamps order
-// them; events with equal stamps are concurrent and are ordered by VM.
+// Merge returns the events of several processes in causal order, sorted by stamp. Events with
+// equal stamps are concurrent; Merge sorts them by VM.
 func Merge(logs ...[]Event) []Event {
 	all := slices.Concat(logs...)
 	slices.SortStableFunc(all, func(a, b Event) int {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -17,9 +17,9 @@
 	m.Run()
 }
 
-// TestCausalOrder draws VMs whose wall clocks differ by minutes, jump back, and
-// send each other messages. In the merged time line a message's receipt stands
-// behind its sending, and each VM's events stand in their own order.
+// TestCausalOrder generates VMs that send each other messages while their wall clocks differ by
+// minutes and jump back. In the merged timeline, the receipt of a message must come after its
+// sending, and the events of each VM must keep their order.
 func TestCausalOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const vms = 3
@@ -29,7 +29,7 @@
 			walls[i] = time.Unix(1_700_000_000, 0).Add(time.Duration(rapid.IntRange(-300, 300).Draw(rt, "skew")) * time.Second)
 			logs[i] = NewLog(ids.VM(fmt.Sprint("vm", i)), hlc.New(func() time.Time { return walls[i] }), 1000)
 		}
-		causes := map[string]string{} // event -> an event that must stand before it
+		causes := map[string]string{} // event -> an event that must come before it
 		last := make([]string, vms)
 		record := func(vm int, name, cause string) {
 			logs[vm].Record(Event{Kind: KindAttempt, Text: name}, nil)
@@ -61,13 +61,14 @@
 				event = name[:len(name)-4]
 			}
 			if at[event] <= at[cause] {
-				rt.Fatalf("%q stands before %q", event, cause)
+				rt.Fatalf("%q does not come after %q", event, cause)
 			}
 		}
 	})
 }
 
-// A full log keeps the newest events, oldest first.
+// TestLogOverwrites checks that a full log keeps the newest events and returns them oldest
+// first.
 func TestLogOverwrites(t *testing.T) {
 	l := NewLog("vm", hlc.New(nil), 4)
 	for i := range 10 {
@@ -78,9 +79,9 @@
 		got += e.Text
 	}
 	if got != "6789" {
-		t.Errorf("kept %s", got)
+		t.Errorf("the log kept events %s, want 6789", got)
 	}
 	if n := len(l.Events("1")); n != 2 {
-		t.Errorf("%d events of request 1", n)
+		t.Errorf("got %d events of request 1, want 2", n)
 	}
 }
