--- a/internal/news/bound_test.go
+++ b/internal/news/bound_test.go
@@ -13,8 +13,8 @@
 // many events as one round carries.
 //
 // 986 VMs that start at the same time each miss the first answers of the feeds that they read. The
-// list of these targets was longer than a datagram, so no total was sent, no VM heard from any
-// other, and each went on reading feeds as if it were alone.
+// list of these targets was longer than a datagram, so no total was sent, no VM got the state of
+// any other, and each went on reading feeds as if it were alone.
 func TestTotalFitsInDatagram(t *testing.T) {
 	for _, size := range []struct{ vms, targets int }{{986, 9_756}, {2_000, 20_000}} {
 		now := time.Now()
--- a/internal/news/digest.go
+++ b/internal/news/digest.go
@@ -85,7 +85,7 @@
 	// maxDigestLoads and maxDigestUnresponsive bound the targets in a digest, so that it fits in a
 	// datagram with 2,000 VMs and a full set of events. Beyond them a digest has only the targets
 	// with the most work and an equal share of the unresponsive targets of each VM. A digest that
-	// does not fit is not sent, and then no VM hears from any other.
+	// does not fit is not sent, and then no VM gets the state of any other.
 	maxDigestLoads        = 1_200
 	maxDigestUnresponsive = 800
 )
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestRecentWeightsSentWithoutLoads checks that a round without loads sends recent weights: peers may
-// have no other VM to hear of them from.
+// have no other VM to get them from.
 func TestRecentWeightsSentWithoutLoads(t *testing.T) {
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/news/tree.go
+++ b/internal/news/tree.go
@@ -42,9 +42,9 @@
 	reportTTL = 600 * time.Millisecond
 	// parentTimeout is the time without a total after which a VM skips its parent.
 	parentTimeout = 600 * time.Millisecond
-	// avoidSilent is the time for which a VM skips a parent from which it hears nothing. A parent
-	// that is back announces itself; each retry of one that is still down leaves a failure domain
-	// without updates for parentTimeout.
+	// avoidSilent is the time for which a VM skips a parent that has not announced itself since.
+	// A parent that is back announces itself; each retry of one that is still down leaves a
+	// failure domain without updates for parentTimeout.
 	avoidSilent = 30 * time.Second
 	// avoidAnnounced is the same time for a parent that has announced itself.
 	avoidAnnounced = 3 * time.Second
--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -18,7 +18,7 @@
 	trees           map[ids.VM]*tree
 	due             map[ids.VM]time.Time
 	loads           map[ids.VM][]Load
-	dead            map[ids.VM]bool
+	stopped         map[ids.VM]bool
 	receivesNothing map[ids.VM]bool            // VMs that send but receive nothing
 	cut             map[ids.FailureDomain]bool // domains that are cut off from the others
 	inTransit       []treeDatagram
@@ -42,7 +42,7 @@
 func newTreeFleet(t *testing.T, domains, perDomain int, loss float64) *treeFleet {
 	f := &treeFleet{
 		t: t, now: time.Unix(1_000_000, 0), trees: map[ids.VM]*tree{}, due: map[ids.VM]time.Time{}, loads: map[ids.VM][]Load{},
-		dead: map[ids.VM]bool{}, receivesNothing: map[ids.VM]bool{}, cut: map[ids.FailureDomain]bool{}, loss: loss, rng: rand.New(rand.NewPCG(1, 2)),
+		stopped: map[ids.VM]bool{}, receivesNothing: map[ids.VM]bool{}, cut: map[ids.FailureDomain]bool{}, loss: loss, rng: rand.New(rand.NewPCG(1, 2)),
 		totals: map[ids.VM]map[ids.Target]int{}, orderReceived: map[ids.VM]bool{}, sent: map[ids.VM]int{},
 	}
 	for d := range domains {
@@ -66,7 +66,7 @@
 	tr.setPeers(p.VM, p.FailureDomain, f.all)
 	f.trees[p.VM] = tr
 	f.due[p.VM] = f.now.Add(time.Duration(f.rng.Int64N(int64(treeRoundInterval))))
-	delete(f.dead, p.VM)
+	delete(f.stopped, p.VM)
 }
 
 func (f *treeFleet) run(d time.Duration) {
@@ -83,7 +83,7 @@
 				f.due[p.VM] = minTime(f.due[p.VM], f.now.Add(treeOrderDelay))
 			default:
 			}
-			if f.dead[p.VM] || f.now.Before(f.due[p.VM]) {
+			if f.stopped[p.VM] || f.now.Before(f.due[p.VM]) {
 				continue
 			}
 			f.due[p.VM] = f.now.Add(treeRoundInterval)
@@ -129,7 +129,7 @@
 
 func (f *treeFleet) deliver(m treeDatagram) {
 	across := m.from.FailureDomain != m.to.FailureDomain
-	if f.dead[m.to.VM] || f.receivesNothing[m.to.VM] || across && (f.cut[m.from.FailureDomain] || f.cut[m.to.FailureDomain]) || f.rng.Float64() < f.loss {
+	if f.stopped[m.to.VM] || f.receivesNothing[m.to.VM] || across && (f.cut[m.from.FailureDomain] || f.cut[m.to.FailureDomain]) || f.rng.Float64() < f.loss {
 		return
 	}
 	applies := f.trees[m.to.VM].receive(m.from, m.d, m.isTotal, !across, f.now)
@@ -170,13 +170,13 @@
 func (f *treeFleet) wrong() []ids.VM {
 	var out []ids.VM
 	for _, p := range f.all {
-		if f.dead[p.VM] {
+		if f.stopped[p.VM] {
 			continue
 		}
 		want := map[ids.Target]int{}
 		for _, q := range f.all {
 			apart := q.FailureDomain != p.FailureDomain && (f.cut[q.FailureDomain] || f.cut[p.FailureDomain])
-			if q.VM == p.VM || f.dead[q.VM] || apart {
+			if q.VM == p.VM || f.stopped[q.VM] || apart {
 				continue
 			}
 			for _, l := range f.loads[q.VM] {
@@ -223,7 +223,7 @@
 	}
 
 	root := f.trees["vm-1-7"].parent
-	f.dead[root] = true
+	f.stopped[root] = true
 	f.run(1200 * time.Millisecond)
 	f.expect("1.2 s after the root of a domain has failed", 0)
 	f.cut["z2"] = true
@@ -261,7 +261,7 @@
 func TestTreeAfterAllStart(t *testing.T) {
 	f := newTreeFleet(t, 17, 22, 0)
 	for i, p := range f.all {
-		f.dead[p.VM] = i%22 < 2 // the first two of each domain
+		f.stopped[p.VM] = i%22 < 2 // the first two of each domain
 	}
 	f.run(2500 * time.Millisecond)
 	f.expect("2.5 s after the start", 0)
@@ -273,7 +273,7 @@
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
 	root := f.trees["vm-1-7"].parent
-	f.dead[root] = true
+	f.stopped[root] = true
 	f.run(5 * time.Second)
 	for _, p := range f.all {
 		if p.VM == root {
@@ -305,7 +305,7 @@
 func TestTreeDoesNotRetryFailedRoot(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
-	f.dead[f.trees["vm-1-7"].parent] = true
+	f.stopped[f.trees["vm-1-7"].parent] = true
 	f.run(1500 * time.Millisecond)
 	for range 100 {
 		f.run(200 * time.Millisecond)
