--- a/internal/forward/allowance.go
+++ b/internal/forward/allowance.go
@@ -11,22 +11,22 @@
 // stepAllowance is the step at which a workspace is over its allowance.
 const stepAllowance = "allowance"
 
-// taken is what a call took of its workspace's allowance.
-type taken struct {
+// charge is what a call took of its workspace's allowance.
+type charge struct {
 	call allowance.Call
 	at   time.Time // zero: nothing was taken
 }
 
-// allow takes what the call costs out of its workspace's allowance, or refuses it: once its
+// chargeAllowance takes what the call costs out of its workspace's allowance, or refuses it: once its
 // key is known, and before anything waits or is sent for it.
-func (r *run) allow() *outcome.Error {
+func (r *run) chargeAllowance() *outcome.Error {
 	if r.f.Allowances == nil || r.workspace == nil {
 		return nil
 	}
 	call := allowance.Call{Workspace: r.workspace.Name, Cost: r.workspace.Allowance.Cost(r.call.Tokens)}
 	judged := r.f.Allowances.Take(call)
 	if judged.Admitted {
-		r.taken = taken{call, clock.Now()}
+		r.charge = charge{call, clock.Now()}
 		return nil
 	}
 	r.f.Log.Request("over-allowance", string(r.call.ID)).Str("workspace", string(call.Workspace)).Float64("cost", call.Cost).
@@ -36,9 +36,9 @@
 	return outcome.New(outcome.NotRun, outcome.CodeRateLimited, stepAllowance, "", "the workspace is over its allowance").After(judged.ComeBack)
 }
 
-// settle gives back what a call took that has run nowhere.
-func (r *run) settle() {
-	if !r.taken.at.IsZero() && r.attempts == 0 {
-		r.f.Allowances.Return(r.taken.call, r.taken.at)
+// refundUnused gives back what a call took that has run nowhere.
+func (r *run) refundUnused() {
+	if !r.charge.at.IsZero() && r.attempts == 0 {
+		r.f.Allowances.Return(r.charge.call, r.charge.at)
 	}
 }
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -27,24 +27,24 @@
 
 // choice is a decided replica and what goes along with the call.
 type choice struct {
-	target routing.Target
-	wait   time.Duration  // predicted until the first event
-	queue  time.Duration  // of that, until the replica turns to the call
-	rate   float32        // tokens/s at which the replica is taken to work
-	age    time.Duration  // of what was known of the replica's load
-	levels []prefix.Level // shared parts
-	work   int32          // tokens that the replica is expected to compute
-	salt   string
-	home   string // address of the replica that computes shared parts which nobody is known to hold; empty: the target
-	fetch  string
-	save   string
-	pass   *canary.Pass // to the target's version; nil: versions are not told apart
-	calm   bool         // how long the answer takes shows how fast the target is
+	target         routing.Target
+	wait           time.Duration  // predicted until the first event
+	queue          time.Duration  // of that, until the replica turns to the call
+	rate           float32        // tokens/s at which the replica is taken to work
+	age            time.Duration  // of what was known of the replica's load
+	levels         []prefix.Level // shared parts
+	work           int32          // tokens that the replica is expected to compute
+	salt           string
+	home           string // address of the replica that computes shared parts which nobody is known to hold; empty: the target
+	fetch          string
+	save           string
+	pass           *canary.Pass // to the target's version; nil: versions are not told apart
+	representative bool         // how long the answer takes shows how fast the target is
 }
 
-// retryNoTarget is when a caller should come back when no replica can serve: about
+// noTargetRetryAfter is when a caller should come back when no replica can serve: about
 // the time in which a replica's return is noticed.
-const retryNoTarget = 200 * time.Millisecond
+const noTargetRetryAfter = 200 * time.Millisecond
 
 // newWeightsGrace is how long after weights were named nothing is preferred for having
 // them: operators give that time, and the first engines that have them would get
@@ -63,8 +63,8 @@
 		req.Levels = kvcache.Levels(wall, p.Model, parts)
 		req.Tokens = p.Tokens
 		req.FetchRate = f.KV.FetchRate
-		req.Pending = f.KV.computing(req.Levels)
-		r.visit(req.Levels)
+		req.Pending = f.KV.computingTarget(req.Levels)
+		r.addRendezvousTargets(req.Levels)
 		newest, since, old := f.Weights.Wanted(p.Model, clock.Now())
 		req.OldWeights, req.Once = old, !r.route.Repeatable() || r.route.Kind != streamKind
 		if since >= newWeightsGrace {
@@ -76,11 +76,11 @@
 	snap, d, pass := r.choose(&req, sc)
 	if d.Index < 0 {
 		r.logNoTarget(sc)
-		return choice{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "decide", "", "no replica can take the call now").After(f.Fleet.ComeBack(&req, snap, sc, retryNoTarget))
+		return choice{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "decide", "", "no replica can take the call now").After(f.Fleet.ComeBack(&req, snap, sc, noTargetRetryAfter))
 	}
 	c := choice{
 		target: snap.View.Targets[d.Index], wait: seconds(d.PredictedTTFT), queue: seconds(d.QueueWait), rate: d.Rate,
-		age: f.Fleet.LoadAge(snap, d.Index), pass: pass, calm: calm(snap, d.Index, &sc.Inputs[d.Index]), levels: req.Levels, work: max(req.Tokens-d.Cached, 0),
+		age: f.Fleet.LoadAge(snap, d.Index), pass: pass, representative: isRepresentative(snap, d.Index, &sc.Inputs[d.Index]), levels: req.Levels, work: max(req.Tokens-d.Cached, 0),
 	}
 	if len(req.Levels) > 0 || p != nil && r.route.Prompts {
 		wall := r.catalog.Wall(r.workspace)
@@ -97,14 +97,14 @@
 	return c, refusal
 }
 
-// visited is how many replicas come first for a prefix: a second one for when the first is gone.
-const visited = 2
+// rendezvousTargets is how many replicas come first for a prefix: a second one for when the first is gone.
+const rendezvousTargets = 2
 
-// visit lets the decision know where all VMs compute the prompt's shared levels, though these
+// addRendezvousTargets lets the decision know where all VMs compute the prompt's shared levels, though these
 // replicas may be none of this VM's.
-func (r *run) visit(levels []prefix.Level) {
+func (r *run) addRendezvousTargets(levels []prefix.Level) {
 	if r.f.AddRendezvousTargets != nil && len(levels) > 0 {
-		r.f.AddRendezvousTargets(r.service, routing.HomeKey(levels), visited)
+		r.f.AddRendezvousTargets(r.service, routing.HomeKey(levels), rendezvousTargets)
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // levelText names the shared levels of a prompt in logs, as id:tokens up to its end.
 func levelText(levels []prefix.Level) string {
-	b := make([]byte, 0, levelTextRoom*len(levels))
+	b := make([]byte, 0, levelTextBytes*len(levels))
 	for i, l := range levels {
 		if i > 0 {
 			b = append(b, ',')
@@ -155,8 +155,8 @@
 	return string(b)
 }
 
-// levelTextRoom is the usual size of one level in a log, in bytes.
-const levelTextRoom = 20
+// levelTextBytes is the usual size of one level in a log, in bytes.
+const levelTextBytes = 20
 
 func (r *run) logNoTarget(sc *fleet.Scratch) {
 	line := r.f.Log.Request("no-target", string(r.call.ID)).Str("service", r.service)
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -12,9 +12,9 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// pieceBytes is how much of an answer is written at a time. A caller that takes a piece in less
+// chunkBytes is how much of an answer is written at a time. A caller that takes a piece in less
 // than Tuning.ReaderTimeout goes on getting its answer, however slowly.
-const pieceBytes = 16 << 10
+const chunkBytes = 16 << 10
 
 // errUnread is a caller that leaves its answer unread.
 var errUnread = errors.New("the caller leaves its answer unread")
@@ -22,10 +22,10 @@
 // write passes a part of the answer on. While the caller does not read, the target's silence is
 // not its own.
 func (t *try) write(p []byte) error {
-	return t.delivering(func() error {
+	return t.timeWrite(func() error {
 		for len(p) > 0 {
-			n := min(len(p), pieceBytes)
-			t.r.expectRead()
+			n := min(len(p), chunkBytes)
+			t.r.extendWriteDeadline()
 			if _, err := t.r.w.Write(p[:n]); err != nil {
 				return err
 			}
@@ -37,13 +37,13 @@
 
 // flush sees to it that what was written is on its way.
 func (t *try) flush() error {
-	return t.delivering(func() error {
-		t.r.expectRead()
+	return t.timeWrite(func() error {
+		t.r.extendWriteDeadline()
 		return http.NewResponseController(t.r.w).Flush()
 	})
 }
 
-func (t *try) delivering(f func() error) error {
+func (t *try) timeWrite(f func() error) error {
 	t.stall.pause()
 	began := clock.Now()
 	err := f()
@@ -55,51 +55,51 @@
 	return err
 }
 
-// expectRead gives the caller its time to read the next piece.
-func (r *run) expectRead() {
+// extendWriteDeadline gives the caller its time to read the next piece.
+func (r *run) extendWriteDeadline() {
 	if d := r.f.Tuning.ReaderTimeout; d > 0 {
 		_ = http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(d)) // a writer without deadlines is no connection
 	}
 }
 
-// unreadBlame is for how long a caller may have left an answer unread before the end of it is no
+// maxUnreadBlamed is for how long a caller may have left an answer unread before the end of it is no
 // longer held against the target: targets cut off answers that stay unread.
-const unreadBlame = 500 * time.Millisecond
+const maxUnreadBlamed = 500 * time.Millisecond
 
-// cutOffUnread tells whether an answer broke off that the caller had not read.
-func (t *try) cutOffUnread(err *outcome.Error) bool {
-	return err.Code == outcome.CodeStreamBroken && t.unread > unreadBlame
+// brokeOffUnread tells whether an answer broke off that the caller had not read.
+func (t *try) brokeOffUnread(err *outcome.Error) bool {
+	return err.Code == outcome.CodeStreamBroken && t.unread > maxUnreadBlamed
 }
 
 // answerMemory bounds what answers that are read whole hold in memory, over all calls and for
 // each workspace. It holds a number for each workspace that has some. Safe for concurrent use.
 type answerMemory struct {
-	mu    sync.Mutex
-	held  int64
-	ofOne map[ids.Workspace]int64
+	mu          sync.Mutex
+	inUse       int64
+	byWorkspace map[ids.Workspace]int64
 }
 
 // reserve sets memory aside for one answer; false: there is not enough.
-func (m *answerMemory) reserve(ws ids.Workspace, bytes, most, mostOfOne int64) bool {
+func (m *answerMemory) reserve(ws ids.Workspace, bytes, limit, workspaceLimit int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.held+bytes > most || m.ofOne[ws]+bytes > mostOfOne {
+	if m.inUse+bytes > limit || m.byWorkspace[ws]+bytes > workspaceLimit {
 		return false
 	}
-	if m.ofOne == nil {
-		m.ofOne = map[ids.Workspace]int64{}
+	if m.byWorkspace == nil {
+		m.byWorkspace = map[ids.Workspace]int64{}
 	}
-	m.held += bytes
-	m.ofOne[ws] += bytes
+	m.inUse += bytes
+	m.byWorkspace[ws] += bytes
 	return true
 }
 
 func (m *answerMemory) release(ws ids.Workspace, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.held -= bytes
-	if m.ofOne[ws] -= bytes; m.ofOne[ws] == 0 {
-		delete(m.ofOne, ws)
+	m.inUse -= bytes
+	if m.byWorkspace[ws] -= bytes; m.byWorkspace[ws] == 0 {
+		delete(m.byWorkspace, ws)
 	}
 }
 
@@ -107,14 +107,14 @@
 func (m *answerMemory) InUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held
+	return m.inUse
 }
 
 // bufferFor is how much of an answer is read before any of it is passed on, in bytes, and a
 // function that gives the memory for it back. Without memory left it is one piece: the answer is
 // passed on as it comes, and a failure within it can't be mended any more.
 func (r *run) bufferFor(length int64) (bytes int64, release func()) {
-	bytes = int64(wholeBytes)
+	bytes = int64(bufferBytes)
 	held := 2 * bytes // a buffer that grows doubles
 	if length >= 0 {
 		bytes = min(length+1, bytes) // one more than there is, to find the end
@@ -124,8 +124,8 @@
 	if r.workspace != nil {
 		ws = r.workspace.Name
 	}
-	if bytes <= pieceBytes || !r.f.answers.reserve(ws, held, tu.MaxAnswerMemory, tu.MaxAnswerMemoryPerWorkspace) {
-		return min(bytes, pieceBytes), func() {}
+	if bytes <= chunkBytes || !r.f.answers.reserve(ws, held, tu.MaxAnswerMemory, tu.MaxAnswerMemoryPerWorkspace) {
+		return min(bytes, chunkBytes), func() {}
 	}
 	return bytes, func() { r.f.answers.release(ws, held) }
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -145,7 +145,7 @@
 	Draining atomic.Bool
 
 	usual     usualWork
-	calls     underWay
+	calls     activeCalls
 	inFlight  atomic.Int64
 	bodyBytes atomic.Int64
 	answers   answerMemory
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestAnswerComesBackUnchanged(t *testing.T) {
-	s := newStandIn(t, "a", ok("the answer"))
+	s := newFakeReplica(t, "a", ok("the answer"))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	resp, body, err := tf.ask(t, "Salt", "forged", "Workspace", "forged", "X-Mine", "kept")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "the answer" || resp.Header.Get("Signed") != "yes" {
@@ -54,7 +54,7 @@
 		}, http.StatusBadGateway, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := newStandIn(t, "a", c.first), newStandIn(t, "b", ok("fine"))
+			first, second := newFakeReplica(t, "a", c.first), newFakeReplica(t, "b", ok("fine"))
 			tf := newFleet(t, route(catalog.Once, 1), first, second)
 			for range 20 { // until the first replica is picked first
 				resp, body, err := tf.ask(t)
@@ -88,7 +88,7 @@
 // TestRefusalSaysWhenToComeBack checks that a call which has not run is refused at
 // once, truly, and with advice.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	s := newStandIn(t, "a", status(http.StatusServiceUnavailable, notRun))
+	s := newFakeReplica(t, "a", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	began := time.Now()
 	resp, _, err := tf.ask(t)
@@ -103,7 +103,7 @@
 // TestNoPromiseAfterAnUnknownAttempt lets one replica lose the answer of a call
 // that may be repeated, and the other refuse it: the end is unknown, not "not run".
 func TestNoPromiseAfterAnUnknownAttempt(t *testing.T) {
-	a, b := newStandIn(t, "a", hangUp), newStandIn(t, "b", status(http.StatusServiceUnavailable, notRun))
+	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
 		resp, _, err := tf.ask(t)
@@ -121,7 +121,7 @@
 }
 
 func TestIdempotentGoesOnElsewhere(t *testing.T) {
-	a, b := newStandIn(t, "a", hangUp), newStandIn(t, "b", ok("fine"))
+	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", ok("fine"))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
 		if resp, body, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
@@ -133,8 +133,8 @@
 // TestSilentReplicaIsLeft lets one replica hang: a call that may be repeated is
 // answered by the other, soon after its objective.
 func TestSilentReplicaIsLeft(t *testing.T) {
-	a := newStandIn(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
-	tf := newFleet(t, route(catalog.Idempotent, 2), a, newStandIn(t, "b", ok("fine")))
+	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
+	tf := newFleet(t, route(catalog.Idempotent, 2), a, newFakeReplica(t, "b", ok("fine")))
 	for range 5 {
 		began := time.Now()
 		resp, _, err := tf.ask(t)
@@ -146,7 +146,7 @@
 
 // TestRouteTimeout ends a call at its route's timeout though its caller would wait.
 func TestRouteTimeout(t *testing.T) {
-	a := newStandIn(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
+	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
 	r := route(catalog.Once, 1)
 	r.Timeout = 300 * time.Millisecond
 	tf := newFleet(t, r, a)
@@ -164,7 +164,7 @@
 // that the caller has gone, also while its answer is waited for.
 func TestCallerLeavesReplicaStops(t *testing.T) {
 	closed := make(chan struct{})
-	a := newStandIn(t, "a", func(c net.Conn, _ *http.Request) bool {
+	a := newFakeReplica(t, "a", func(c net.Conn, _ *http.Request) bool {
 		var b [1]byte
 		_, _ = c.Read(b[:])
 		close(closed)
@@ -188,7 +188,7 @@
 // TestKeys checks the workspace that goes along, and what a VM answers that can't
 // prove that its configuration is the newest.
 func TestKeys(t *testing.T) {
-	s := newStandIn(t, "a", ok("fine"))
+	s := newFakeReplica(t, "a", ok("fine"))
 	r := route(catalog.Once, 1)
 	r.Public = false
 	tf := newFleet(t, r, s)
@@ -225,7 +225,7 @@
 // TestNoConfiguration: a VM that knows no configuration can't know that a route or
 // a key does not exist.
 func TestNoConfiguration(t *testing.T) {
-	tf := newFleet(t, route(catalog.Once, 1), newStandIn(t, "a", ok("fine")))
+	tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("fine")))
 	tf.f.Catalog = &catalog.Current{}
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("got %v, %v", resp, err)
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -39,23 +39,23 @@
 	stream   streamState
 	progress progress
 	proofAge time.Duration // of the catalog, when the call was judged by it
-	guarded  quarantine.Call
-	taken    taken
+	guard    quarantine.Call
+	charge   charge
 }
 
-// retryWhenReady is when a caller should come back to a VM that lacks something it
+// vmRetryAfter is when a caller should come back to a VM that lacks something it
 // needs; other VMs may have it.
-const retryWhenReady = 100 * time.Millisecond
+const vmRetryAfter = 100 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := &run{f: f, w: w, req: req, received: clock.Now()}
 	f.Stats.Requests.Add(1)
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) // that of the call before
-	defer r.expectRead()                                            // what is still buffered is written after this
+	defer r.extendWriteDeadline()                                   // what is still buffered is written after this
 	defer f.inFlight.Add(-1)
 	if f.inFlight.Add(1) > f.Tuning.MaxInFlight {
-		r.refuse(outcome.New(outcome.NotRun, outcome.CodeOverloaded, "admit", "", "this VM is full").After(retryWhenReady))
+		r.refuse(outcome.New(outcome.NotRun, outcome.CodeOverloaded, "admit", "", "this VM is full").After(vmRetryAfter))
 		return
 	}
 	release, refusal := r.admit()
@@ -67,7 +67,7 @@
 	ctx, cancel := context.WithTimeout(req.Context(), clock.Until(r.ends))
 	defer cancel()
 	defer f.calls.add(r.ends, cancel)()
-	defer r.settle()
+	defer r.refundUnused()
 	r.serve(ctx)
 }
 
@@ -81,7 +81,7 @@
 		return release, outcome.Wrap(err, outcome.NotRun, outcome.CodeBadRequest, "read", "caller", err.Error())
 	}
 	if r.f.Catalog.Get() == nil {
-		return release, outcome.New(outcome.NotRun, outcome.CodeNotReady, "admit", "", "this VM has no configuration yet").After(retryWhenReady)
+		return release, outcome.New(outcome.NotRun, outcome.CodeNotReady, "admit", "", "this VM has no configuration yet").After(vmRetryAfter)
 	}
 	release, refusal = r.readBody(r.f.Catalog.Get().Limits.BodyBytes)
 	if refusal != nil {
@@ -95,81 +95,81 @@
 
 // authorize finds the route and the workspace.
 func (r *run) authorize() *outcome.Error {
-	sure := r.sure()
+	sure := r.catalogProven()
 	r.proofAge = r.f.Catalog.ProofAge(clock.Now())
 	r.route = r.catalog.Match(r.req.Host, r.req.URL.EscapedPath())
 	if r.route == nil {
-		return r.unless(sure, outcome.New(outcome.NotRun, outcome.CodeUnknownService, "route", "", "there is nothing at this host and path"))
+		return r.ifProven(sure, outcome.New(outcome.NotRun, outcome.CodeUnknownService, "route", "", "there is nothing at this host and path"))
 	}
 	if r.catalog.Keyed() && !r.route.Public {
 		r.workspace = r.catalog.WorkspaceOf(r.call.Key)
 		if r.workspace == nil {
-			return r.unless(sure, outcome.New(outcome.NotRun, outcome.CodeInvalidKey, "authenticate", "", "the API key is missing or wrong"))
+			return r.ifProven(sure, outcome.New(outcome.NotRun, outcome.CodeInvalidKey, "authenticate", "", "the API key is missing or wrong"))
 		}
 		if !sure {
-			return r.unsure()
+			return r.unprovenCatalog()
 		}
 	}
 	r.service = r.route.Pick(r.f.Fleet.Seed() * weightStride)
 	r.ends = r.end()
-	return r.allow()
+	return r.chargeAllowance()
 }
 
 // weightStride spreads consecutive calls over a route's weights.
 const weightStride = 0x9E3779B1
 
-// sure tells whether the catalog was proven to be the newest a short while ago.
-func (r *run) sure() bool {
+// catalogProven tells whether the catalog was proven to be the newest a short while ago.
+func (r *run) catalogProven() bool {
 	ttl := time.Duration(r.f.KeyTTL.Load())
 	return ttl == 0 || r.f.Catalog.ProofAge(clock.Now()) < ttl
 }
 
-// unless returns a refusal that rests on the catalog, or, when that may be old,
+// ifProven returns a refusal that rests on the catalog, or, when that may be old,
 // one that says so: a new key or route may not have reached this VM.
-func (r *run) unless(sure bool, refusal *outcome.Error) *outcome.Error {
+func (r *run) ifProven(sure bool, refusal *outcome.Error) *outcome.Error {
 	if sure {
 		return refusal
 	}
-	return r.unsure()
+	return r.unprovenCatalog()
 }
 
-func (r *run) unsure() *outcome.Error {
+func (r *run) unprovenCatalog() *outcome.Error {
 	return outcome.New(outcome.NotRun, outcome.CodeStoreDown, "authenticate", "store",
-		"this VM can't prove that its configuration is the newest").After(retryWhenReady)
+		"this VM can't prove that its configuration is the newest").After(vmRetryAfter)
 }
 
-// lapsed refuses a send whose call has no time left, or whose key can't be proven any more.
+// recheckAdmission refuses a send whose call has no time left, or whose key can't be proven any more.
 // Both were in order when the call was admitted; it may have waited since, and the VM may
 // have stood still.
-func (r *run) lapsed() *outcome.Error {
+func (r *run) recheckAdmission() *outcome.Error {
 	switch {
 	case clock.Until(r.ends) <= 0:
-		return outcome.Wrap(errLapsed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's time is over")
-	case r.workspace != nil && !r.sure():
-		e := r.unsure()
-		return outcome.Wrap(errLapsed, e.Outcome, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
+		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's time is over")
+	case r.workspace != nil && !r.catalogProven():
+		e := r.unprovenCatalog()
+		return outcome.Wrap(errNoLongerAllowed, e.Outcome, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 	}
 	return nil
 }
 
-// lapsed refuses a send that is not allowed any more. Connecting may take a second, and the VM
+// recheckSend refuses a send that is not allowed any more. Connecting may take a second, and the VM
 // may have stood still since the replica was chosen; it may have asked for a rest meanwhile.
-func (t *try) lapsed() *outcome.Error {
-	if refusal := t.r.lapsed(); refusal != nil {
+func (t *try) recheckSend() *outcome.Error {
+	if refusal := t.r.recheckAdmission(); refusal != nil {
 		return refusal
 	}
-	if refusal := t.retired(); refusal != nil {
+	if refusal := t.checkVersion(); refusal != nil {
 		return refusal
 	}
 	if !t.r.superseded(t.c) && t.r.f.Fleet.Members.Declines(t.c.target.ID, clock.Now()) {
-		return outcome.Wrap(errLapsed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica rests or leaves since it was chosen")
+		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica rests or leaves since it was chosen")
 	}
 	return nil
 }
 
-// errLapsed is the cause of a refusal for what has run out; it says nothing about the
+// errNoLongerAllowed is the cause of a refusal for what has run out; it says nothing about the
 // replica that was chosen.
-var errLapsed = errors.New("what allowed the call has run out since it was admitted")
+var errNoLongerAllowed = errors.New("what allowed the call has run out since it was admitted")
 
 // defaultWait bounds a call whose caller and route don't.
 const defaultWait = time.Minute
@@ -198,11 +198,11 @@
 		return release, outcome.New(outcome.NotRun, outcome.CodeTooLarge, "read", "caller", "the body has more than "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if want < 0 {
-		want = unknownBody
+		want = unknownBodyBytes
 	}
 	held = want
 	if r.f.bodyBytes.Add(want) > r.f.Tuning.MaxBodyMemory {
-		return release, outcome.New(outcome.NotRun, outcome.CodeOverloaded, "read", "caller", "the bodies of other calls fill this VM's memory").After(retryWhenReady)
+		return release, outcome.New(outcome.NotRun, outcome.CodeOverloaded, "read", "caller", "the bodies of other calls fill this VM's memory").After(vmRetryAfter)
 	}
 	if limit <= 0 {
 		limit = r.f.Tuning.MaxBodyMemory
@@ -223,8 +223,8 @@
 }
 
 const (
-	// unknownBody is the memory reserved for a body of unknown length, in bytes.
-	unknownBody = 256 << 10
+	// unknownBodyBytes is the memory reserved for a body of unknown length, in bytes.
+	unknownBodyBytes = 256 << 10
 	// bodyTimeout bounds reading a body, so that a caller that trickles holds no
 	// memory for long.
 	bodyTimeout = 30 * time.Second
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -19,9 +19,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// dropHop removes the headers of one connection, those that it names itself
+// removeHopHeaders removes the headers of one connection, those that it names itself
 // included.
-func dropHop(h http.Header) {
+func removeHopHeaders(h http.Header) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -48,7 +48,7 @@
 func (t *try) request() *upstream.Request {
 	r := t.r
 	h := maps.Clone(r.req.Header)
-	dropHop(h)
+	removeHopHeaders(h)
 	s := Send{
 		Call: &r.call, Replica: t.c.target.ID, Remaining: max(clock.Until(r.ends), time.Millisecond),
 		Priority: priority(r.route, r.workspace), LastEvent: r.stream.resumeFrom(&r.call),
@@ -59,13 +59,13 @@
 	}
 	r.f.Dialect.WriteSend(h, &s)
 	return &upstream.Request{
-		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Mine: r.mine, Before: t.lapsed,
+		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Mine: r.isOwnAnswer, Before: t.recheckSend,
 	}
 }
 
-// mine tells whether an answer belongs to the call. A refusal may come without
+// isOwnAnswer tells whether an answer belongs to the call. A refusal may come without
 // naming the request; a success must name it.
-func (r *run) mine(status int, h http.Header) bool {
+func (r *run) isOwnAnswer(status int, h http.Header) bool {
 	reply := r.f.Dialect.ReadReply(status, h)
 	if reply.Request == "" {
 		return status >= http.StatusMultipleChoices
@@ -73,13 +73,13 @@
 	return reply.Request == r.call.ID
 }
 
-// passHead passes an answer's head on. length is that of its body; negative: not
+// writeHead passes an answer's head on. length is that of its body; negative: not
 // known.
-func (r *run) passHead(a *upstream.Answer, length int) {
+func (r *run) writeHead(a *upstream.Answer, length int) {
 	r.begun, r.status = true, a.Status
 	out := r.w.Header()
 	in := maps.Clone(a.Header)
-	dropHop(in)
+	removeHopHeaders(in)
 	maps.Copy(out, in)
 	if _, ok := out["Content-Type"]; !ok {
 		out["Content-Type"] = nil // none is to be guessed
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -66,33 +66,33 @@
 	}
 }
 
-// standIn is a replica that answers by a script.
-type standIn struct {
+// fakeReplica is a replica that answers by a script.
+type fakeReplica struct {
 	id   ids.Target
 	addr string
-	// answer is called for each request; it returns false to close the connection. It is
+	// respond is called for each request; it returns false to close the connection. It is
 	// set before the first.
-	answer func(c net.Conn, r *http.Request) bool
-	stop   func() // ends the listener
-	mu     sync.Mutex
-	seen   []*http.Request
+	respond  func(c net.Conn, r *http.Request) bool
+	stop     func() // ends the listener
+	mu       sync.Mutex
+	received []*http.Request
 }
 
-func (s *standIn) requests() []*http.Request {
+func (s *fakeReplica) requests() []*http.Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*http.Request(nil), s.seen...)
+	return append([]*http.Request(nil), s.received...)
 }
 
-// newStandIn serves answer on each connection; it returns false to close it.
-func newStandIn(t *testing.T, id ids.Target, answer func(c net.Conn, r *http.Request) bool) *standIn {
+// newFakeReplica serves answer on each connection; it returns false to close it.
+func newFakeReplica(t *testing.T, id ids.Target, answer func(c net.Conn, r *http.Request) bool) *fakeReplica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &standIn{id: id, addr: l.Addr().String(), answer: answer, stop: func() { _ = l.Close() }}
+	s := &fakeReplica{id: id, addr: l.Addr().String(), respond: answer, stop: func() { _ = l.Close() }}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -105,7 +105,7 @@
 	return s
 }
 
-func (s *standIn) serve(c net.Conn) {
+func (s *fakeReplica) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -115,9 +115,9 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		s.mu.Lock()
-		s.seen = append(s.seen, r)
+		s.received = append(s.received, r)
 		s.mu.Unlock()
-		if !s.answer(c, r) {
+		if !s.respond(c, r) {
 			return
 		}
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// says answers with the head of an answer that begins so and has no body.
-func says(head string) func(net.Conn, *http.Request) bool {
+// respondHead answers with the head of an answer that begins so and has no body.
+func respondHead(head string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "%sId: %s\r\nContent-Length: 0\r\n\r\n", head, r.Header.Get("Id"))
 		return true
@@ -176,7 +176,7 @@
 	}
 }
 
-func newFleet(t *testing.T, r catalog.Route, replicas ...*standIn) *testFleet {
+func newFleet(t *testing.T, r catalog.Route, replicas ...*fakeReplica) *testFleet {
 	t.Helper()
 	tuning := membership.DefaultTuning
 	tuning.Grace = time.Hour
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -35,9 +35,9 @@
 	sends  int
 }
 
-// downFor is how long a store is left alone after a VM told that it does not answer. A
+// storeBackoff is how long a store is left alone after a VM told that it does not answer. A
 // replica that asks a dead store loses some hundred milliseconds.
-const downFor = 3 * time.Second
+const storeBackoff = 3 * time.Second
 
 // StoreDown records that a store does not answer, or does again.
 func (p *Planner) StoreDown(addr string, down bool, now time.Time) {
@@ -50,7 +50,7 @@
 	if p.down == nil {
 		p.down = map[string]time.Time{}
 	}
-	p.down[addr] = now.Add(downFor)
+	p.down[addr] = now.Add(storeBackoff)
 }
 
 // usable tells whether a store may be asked.
@@ -60,14 +60,14 @@
 	return !clock.Now().Before(p.down[addr])
 }
 
-// saveWait is how long a save that this VM asked for may take until the store's feed
+// saveTimeout is how long a save that this VM asked for may take until the store's feed
 // tells of it. One that was not told of by then is asked for again: a store whose link
 // is full drops saves.
-const saveWait = 2 * time.Second
+const saveTimeout = 2 * time.Second
 
-// storeLife stands for a store's life: its parts outlive weights versions, which
+// storeGeneration stands for a store's life: its parts outlive weights versions, which
 // stand in the ids instead.
-var storeLife = cacheview.LifeOf(1, "")
+var storeGeneration = cacheview.LifeOf(1, "")
 
 // StoreTarget names a store in the cache view.
 func StoreTarget(addr string) ids.Target { return ids.Target("kv-store " + addr) }
@@ -83,10 +83,10 @@
 		return
 	}
 	prompt := verdict.Prompt{Tokens: req.Tokens, Shared: req.Levels[len(req.Levels)-1].Tokens}
-	at := verdict.Places{Held: p.held(c, snap, sc), Home: c.home}
+	at := verdict.Places{Held: p.cachedTokens(c, snap, sc), Home: c.home}
 	at.Holder.Addr, at.Holder.Tokens = p.holder(c, snap, sc)
 	if store != nil {
-		at.Store = verdict.Source{Addr: store.Addr, Tokens: p.inStore(store, c.salt, m, parts)}
+		at.Store = verdict.Source{Addr: store.Addr, Tokens: p.storedTokens(store, c.salt, m, parts)}
 	}
 	moves := verdict.Move(prompt, at)
 	c.fetch, c.work = moves.Fetch, moves.Work
@@ -101,27 +101,27 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.saves[StoreLevel(salt, m, parts[len(parts)-1].ID)]
-	return clock.Since(last) > saveWait
+	return clock.Since(last) > saveTimeout
 }
 
-// saving notes that a save was asked for. The lock is held.
-func (p *Planner) saving(salt string, m ids.Model, parts []kvcache.Part) {
+// recordSave notes that a save was asked for. The lock is held.
+func (p *Planner) recordSave(salt string, m ids.Model, parts []kvcache.Part) {
 	now := clock.Now()
 	if p.saves == nil {
 		p.saves = map[prefix.ID]time.Time{}
 	}
-	if len(p.saves) >= maxSaves {
-		maps.DeleteFunc(p.saves, func(_ prefix.ID, at time.Time) bool { return now.Sub(at) > saveWait })
+	if len(p.saves) >= maxPendingSaves {
+		maps.DeleteFunc(p.saves, func(_ prefix.ID, at time.Time) bool { return now.Sub(at) > saveTimeout })
 	}
 	p.saves[StoreLevel(salt, m, parts[len(parts)-1].ID)] = now
 }
 
-// maxSaves is how many saves are remembered before old ones are swept out: two
+// maxPendingSaves is how many saves are remembered before old ones are swept out: two
 // seconds' worth of a busy VM.
-const maxSaves = 256
+const maxPendingSaves = 256
 
-// held is how much of the prompt the choice is believed to hold.
-func (p *Planner) held(c *choice, snap *fleet.Snapshot, sc *fleet.Scratch) int32 {
+// cachedTokens is how much of the prompt the choice is believed to hold.
+func (p *Planner) cachedTokens(c *choice, snap *fleet.Snapshot, sc *fleet.Scratch) int32 {
 	for i := range snap.View.Targets {
 		if snap.View.Targets[i].ID == c.target.ID {
 			return sc.Inputs[i].Cached
@@ -148,8 +148,8 @@
 	return addr, tokens
 }
 
-// inStore is how much of the prompt the store is believed to hold.
-func (p *Planner) inStore(store *catalog.KVStore, salt string, m ids.Model, parts []kvcache.Part) int32 {
+// storedTokens is how much of the prompt the store is believed to hold.
+func (p *Planner) storedTokens(store *catalog.KVStore, salt string, m ids.Model, parts []kvcache.Part) int32 {
 	target := StoreTarget(store.Addr)
 	end := int32(0)
 	for _, part := range parts {
@@ -161,16 +161,16 @@
 	return end
 }
 
-// sent records what a send leaves behind: the replica computes the shared parts, and
+// sendStarted records what a send leaves behind: the replica computes the shared parts, and
 // saves them to the store if it was told to.
-func (p *Planner) sent(c *choice, m ids.Model, parts []kvcache.Part) {
+func (p *Planner) sendStarted(c *choice, m ids.Model, parts []kvcache.Part) {
 	if len(c.levels) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.save != "" {
-		p.saving(c.salt, m, parts)
+		p.recordSave(c.salt, m, parts)
 	}
 	if p.pending == nil {
 		p.pending = map[prefix.ID]*pending{}
@@ -184,9 +184,9 @@
 	w.sends++
 }
 
-// ended records that a send no longer computes the shared parts: the replica holds
+// sendEnded records that a send no longer computes the shared parts: the replica holds
 // them now, or the send has failed.
-func (p *Planner) ended(c *choice, held bool) {
+func (p *Planner) sendEnded(c *choice, held bool) {
 	if len(c.levels) == 0 {
 		return
 	}
@@ -203,8 +203,8 @@
 	}
 }
 
-// computing returns the replica that computes a prompt's shared parts now.
-func (p *Planner) computing(levels []prefix.Level) ids.Target {
+// computingTarget returns the replica that computes a prompt's shared parts now.
+func (p *Planner) computingTarget(levels []prefix.Level) ids.Target {
 	if len(levels) == 0 {
 		return ""
 	}
@@ -220,5 +220,5 @@
 // given to the index.
 func StoreGeneration(cache *cacheview.Index, store ids.Target) cacheview.Life {
 	cache.SetLife(store, 1, "")
-	return storeLife
+	return storeGeneration
 }
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -14,8 +14,8 @@
 
 const storeAddr = "10.0.0.9:1"
 
-// planned asks a fresh plan for a prompt of one shared part, for the given choice.
-func planned(p *Planner, choiceID string, home int) choice {
+// newPlan asks a fresh plan for a prompt of one shared part, for the given choice.
+func newPlan(p *Planner, choiceID string, home int) choice {
 	parts := []kvcache.Part{{ID: "p1", Tokens: 800}}
 	req := routing.Request{Levels: kvcache.Levels("shared", "m", parts), Tokens: 1000}
 	snap := &fleet.Snapshot{View: routing.View{Targets: []routing.Target{
@@ -30,7 +30,7 @@
 	}
 	c.home = homeOf(&c, snap, home)
 	p.plan(&c, &req, snap, sc, &catalog.KVStore{Addr: storeAddr}, "shared", "m", parts)
-	p.sent(&c, "m", parts)
+	p.sendStarted(&c, "m", parts)
 	return c
 }
 
@@ -38,10 +38,10 @@
 // nobody is known to hold: away from home at its home, at home in the store.
 func TestUnheldPrefixIsAskedOfItsHome(t *testing.T) {
 	p := &Planner{Cache: cacheview.New(1024, nil)}
-	if c := planned(p, "b", 0); c.fetch != "10.0.0.1:1" {
+	if c := newPlan(p, "b", 0); c.fetch != "10.0.0.1:1" {
 		t.Fatalf("away from home it is fetched from %q, want from home", c.fetch)
 	}
-	if c := planned(p, "a", 0); c.fetch != storeAddr {
+	if c := newPlan(p, "a", 0); c.fetch != storeAddr {
 		t.Fatalf("at home it is fetched from %q, want from the store", c.fetch)
 	}
 }
@@ -89,10 +89,10 @@
 // store's feed tells. It is not asked for again at once either.
 func TestSaveIsNoProof(t *testing.T) {
 	p := &Planner{Cache: cacheview.New(1024, nil)}
-	if c := planned(p, "a", 0); c.save != storeAddr {
+	if c := newPlan(p, "a", 0); c.save != storeAddr {
 		t.Fatalf("the first call saves to %q", c.save)
 	}
-	c := planned(p, "a", 0)
+	c := newPlan(p, "a", 0)
 	if c.save != "" {
 		t.Fatal("the save was asked for twice within its time")
 	}
@@ -101,7 +101,7 @@
 	}
 	store := StoreTarget(storeAddr)
 	p.Cache.Holds(store, StoreGeneration(p.Cache, store), []prefix.Level{{ID: StoreLevel("1/shared", "m", "p1")}})
-	if c := planned(p, "a", 0); c.work != 200 || c.save != "" {
+	if c := newPlan(p, "a", 0); c.work != 200 || c.save != "" {
 		t.Fatalf("%d tokens are to be computed, saved to %q, after the store told of the part", c.work, c.save)
 	}
 }
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -22,21 +22,21 @@
 	LateWork                 // what the target was expected to compute took over half of the objective
 	LateQueue                // it waited at its target, beyond that
 	LatePause                // its first event was on time, a later one was not
-	lateCauses
+	lateCauseCount
 )
 
-var lateNames = [lateCauses]string{"on_time", "repeat", "before_send", "work", "queue", "pause"}
+var lateNames = [lateCauseCount]string{"on_time", "repeat", "before_send", "work", "queue", "pause"}
 
 // String returns the cause's name in metrics and logs.
 func (c LateCause) String() string { return lateNames[c] }
 
 // LateCounts counts answers by whether and why they were late. Safe for concurrent use.
-type LateCounts struct{ counts [lateCauses]atomic.Int64 }
+type LateCounts struct{ counts [lateCauseCount]atomic.Int64 }
 
 // Counts returns what was counted so far, by cause.
 func (l *LateCounts) Counts() map[string]int64 {
 	out := map[string]int64{}
-	for c := range lateCauses {
+	for c := range lateCauseCount {
 		out[c.String()] = l.counts[c].Load()
 	}
 	return out
@@ -47,7 +47,7 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (l *LateCounts) MarshalZerologObject(e *zerolog.Event) {
-	for c := range lateCauses {
+	for c := range lateCauseCount {
 		e.Int64(c.String(), l.counts[c].Load())
 	}
 }
@@ -61,8 +61,8 @@
 	pause time.Duration // the longest between two events
 }
 
-// event notes that an event, or the whole answer, was passed on.
-func (p *progress) event(now time.Time) {
+// observe notes that an observe, or the whole answer, was passed on.
+func (p *progress) observe(now time.Time) {
 	if p.first.IsZero() {
 		p.first = now
 	} else {
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -15,58 +15,58 @@
 // each route, and by the age of what was known of the target's load.
 
 const (
-	// errorSteps is the number of steps of a RatioHistogram; the last takes all above.
-	errorSteps = 16
-	// errorStep is the factor from step to step.
-	errorStep = math.Sqrt2
-	// leastError is where the first step ends, as measured/predicted. With the factor
+	// ratioBuckets is the number of steps of a RatioHistogram; the last takes all above.
+	ratioBuckets = 16
+	// ratioFactor is the factor from step to step.
+	ratioFactor = math.Sqrt2
+	// firstRatioLimit is where the first step ends, as measured/predicted. With the factor
 	// and the number of steps above the last step begins at 32.
-	leastError = 0.25
+	firstRatioLimit = 0.25
 	// maxErrorRoutes bounds the routes with a histogram of their own.
 	maxErrorRoutes = 32
 	// otherRoutes is the name under which further routes are counted together.
 	otherRoutes = "(other)"
-	// ageSteps is the number of steps by the age of the load; the last takes all above.
-	ageSteps = 6
-	// leastAge is where the first step of ages ends. Engines and peers tell loads a few
+	// ageBuckets is the number of steps by the age of the load; the last takes all above.
+	ageBuckets = 6
+	// firstAgeLimit is where the first step of ages ends. Engines and peers tell loads a few
 	// times a second; each step is twice as long as the one before.
-	leastAge = 100 * time.Millisecond
+	firstAgeLimit = 100 * time.Millisecond
 )
 
 // RatioHistogram counts ratios of measured to predicted times. Safe for concurrent use.
 type RatioHistogram struct {
-	counts [errorSteps]atomic.Int64
+	counts [ratioBuckets]atomic.Int64
 }
 
-// ratioStep is one step of a RatioHistogram as operators see it.
-type ratioStep struct {
+// ratioBucket is one step of a RatioHistogram as operators see it.
+type ratioBucket struct {
 	UpTo  float64 `json:"up_to"` // zero: all above
 	Count int64   `json:"count"`
 }
 
 // Observe counts one ratio.
-func (h *RatioHistogram) Observe(ratio float64) { h.counts[stepOf(ratio)].Add(1) }
+func (h *RatioHistogram) Observe(ratio float64) { h.counts[ratioBucketOf(ratio)].Add(1) }
 
-// stepOf returns the step that a ratio belongs to.
-func stepOf(ratio float64) int {
-	step, limit := 0, leastError
-	for step < errorSteps-1 && ratio > limit {
+// ratioBucketOf returns the step that a ratio belongs to.
+func ratioBucketOf(ratio float64) int {
+	step, limit := 0, firstRatioLimit
+	for step < ratioBuckets-1 && ratio > limit {
 		step++
-		limit *= errorStep
+		limit *= ratioFactor
 	}
 	return step
 }
 
 // MarshalJSON implements json.Marshaler.
 func (h *RatioHistogram) MarshalJSON() ([]byte, error) {
-	out := make([]ratioStep, errorSteps)
-	limit := leastError
+	out := make([]ratioBucket, ratioBuckets)
+	limit := firstRatioLimit
 	for i := range out {
 		out[i].Count = h.counts[i].Load()
-		if i < errorSteps-1 {
+		if i < ratioBuckets-1 {
 			out[i].UpTo = math.Round(limit*1000) / 1000
 		}
-		limit *= errorStep
+		limit *= ratioFactor
 	}
 	return json.Marshal(out)
 }
@@ -76,7 +76,7 @@
 type PredictionErrors struct {
 	mu     sync.Mutex
 	routes map[string]*RatioHistogram
-	ages   [ageSteps]RatioHistogram
+	ages   [ageBuckets]RatioHistogram
 }
 
 // Observe takes one send in: its route, the age of what was known of the target's load
@@ -84,7 +84,7 @@
 func (p *PredictionErrors) Observe(route string, age, predicted, measured time.Duration) {
 	ratio := errorRatio(predicted, measured)
 	p.route(route).Observe(ratio)
-	p.ages[ageStepOf(age)].Observe(ratio)
+	p.ages[ageBucketOf(age)].Observe(ratio)
 }
 
 // errorRatio is measured/predicted. To the prediction belongs what a first event takes
@@ -93,9 +93,9 @@
 	return float64(measured) / float64(max(predicted, 0)+loadview.FirstTokenFloor)
 }
 
-func ageStepOf(age time.Duration) int {
-	step, limit := 0, leastAge
-	for step < ageSteps-1 && age > limit {
+func ageBucketOf(age time.Duration) int {
+	step, limit := 0, firstAgeLimit
+	for step < ageBuckets-1 && age > limit {
 		step++
 		limit *= 2
 	}
@@ -128,11 +128,11 @@
 
 // MarshalJSON implements json.Marshaler.
 func (p *PredictionErrors) MarshalJSON() ([]byte, error) {
-	ages := make([]ageErrors, ageSteps)
-	limit := leastAge
+	ages := make([]ageErrors, ageBuckets)
+	limit := firstAgeLimit
 	for i := range ages {
 		ages[i].Ratios = &p.ages[i]
-		if i < ageSteps-1 {
+		if i < ageBuckets-1 {
 			ages[i].UpToMs = limit.Milliseconds()
 		}
 		limit *= 2
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -12,29 +12,29 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// shownErrors is what operators see of PredictionErrors.
-type shownErrors struct {
-	Routes map[string][]ratioStep `json:"routes"`
+// predictionReport is what operators see of PredictionErrors.
+type predictionReport struct {
+	Routes map[string][]ratioBucket `json:"routes"`
 	Ages   []struct {
-		UpToMs int64       `json:"up_to_ms"`
-		Ratios []ratioStep `json:"ratios"`
+		UpToMs int64         `json:"up_to_ms"`
+		Ratios []ratioBucket `json:"ratios"`
 	} `json:"load_ages"`
 }
 
-func shown(t *testing.T, p *PredictionErrors) shownErrors {
+func decodeErrors(t *testing.T, p *PredictionErrors) predictionReport {
 	t.Helper()
 	text, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s shownErrors
+	var s predictionReport
 	if err := json.Unmarshal(text, &s); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func total(steps []ratioStep) (n int64) {
+func total(steps []ratioBucket) (n int64) {
 	for _, s := range steps {
 		n += s.Count
 	}
@@ -48,7 +48,7 @@
 	p.Observe("a", 150*time.Millisecond, predicted, full*9/10)
 	p.Observe("a", time.Hour, predicted, 100*full)
 	p.Observe("b", 0, -time.Second, loadview.FirstTokenFloor/10)
-	s := shown(t, &p)
+	s := decodeErrors(t, &p)
 	a, b := s.Routes["a"], s.Routes["b"]
 	if total(a) != 2 || total(b) != 1 {
 		t.Fatalf("counted %d of a, %d of b", total(a), total(b))
@@ -74,7 +74,7 @@
 	for i := range 3 * maxErrorRoutes {
 		p.Observe(fmt.Sprint("route ", i), 0, 0, time.Second)
 	}
-	s := shown(t, &p)
+	s := decodeErrors(t, &p)
 	if len(s.Routes) != maxErrorRoutes+1 || total(s.Routes[otherRoutes]) != 2*maxErrorRoutes {
 		t.Fatalf("%d routes, %d calls of others", len(s.Routes), total(s.Routes[otherRoutes]))
 	}
@@ -84,7 +84,7 @@
 // its target's delay leads to.
 func TestPredictionErrorIsCounted(t *testing.T) {
 	answer := ok("fine")
-	s := newStandIn(t, "a", func(c net.Conn, r *http.Request) bool {
+	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 		time.Sleep(4 * loadview.FirstTokenFloor)
 		return answer(c, r)
 	})
@@ -101,7 +101,7 @@
 	if _, _, err := tf.ask(t); err != nil { // no prompt: nothing was predicted
 		t.Fatal(err)
 	}
-	steps := shown(t, &tf.f.Prediction).Routes[r.Name]
+	steps := decodeErrors(t, &tf.f.Prediction).Routes[r.Name]
 	if total(steps) != 2 {
 		t.Fatalf("counted %v", steps)
 	}
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -11,39 +11,39 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// guard begins to watch over the call's sends.
-func (r *run) guard() {
+// startGuard begins to watch over the call's sends.
+func (r *run) startGuard() {
 	request := quarantine.Request{Method: r.req.Method, Host: r.req.Host, URI: r.req.RequestURI, Body: r.body}
 	if r.workspace != nil {
 		request.Workspace = r.workspace.Name
 	}
-	r.guarded = r.f.Guard.Call(r.call.ID, request)
+	r.guard = r.f.Guard.Call(r.call.ID, request)
 }
 
-// blame starts a check whether the replica of a failed attempt has ended with it. One
+// checkForCrash starts a check whether the replica of a failed attempt has ended with it. One
 // that had to leave ends by itself.
-func (r *run) blame(ctx context.Context, t *try, err *outcome.Error) {
-	if err.Outcome != outcome.Unknown || !upstream.HungUp(err) || ctx.Err() != nil || endedHere(err) {
+func (r *run) checkForCrash(ctx context.Context, t *try, err *outcome.Error) {
+	if err.Outcome != outcome.Unknown || !upstream.HungUp(err) || ctx.Err() != nil || endedLocally(err) {
 		return
 	}
 	target, restarted := &t.c.target, r.superseded(t.c)
 	if !restarted && r.f.Fleet.Members.State(target.ID, clock.Now()) == routing.Leaving {
 		return
 	}
-	r.guarded.Broke(quarantine.Send{
+	r.guard.Broke(quarantine.Send{
 		Target: target.ID, Addr: target.Addr, Incarnation: target.Incarnation, Sent: t.sent, Broke: clock.Now(),
 	}, restarted)
 }
 
-// endedHere tells whether this VM ended the attempt itself.
-func endedHere(err *outcome.Error) bool {
+// endedLocally tells whether this VM ended the attempt itself.
+func endedLocally(err *outcome.Error) bool {
 	return errors.Is(err, errCallerGone) || errors.Is(err, errStalled) || errors.Is(err, errOldWeights)
 }
 
-// suspect names the request in the log of an attempt that may have run; empty for others.
-func (r *run) suspect(err *outcome.Error) string {
+// logFingerprint names the request in the log of an attempt that may have run; empty for others.
+func (r *run) logFingerprint(err *outcome.Error) string {
 	if err.Outcome == outcome.NotRun {
-		return r.guarded.Printed()
+		return r.guard.Printed()
 	}
-	return r.guarded.Fingerprint().String()
+	return r.guard.Fingerprint().String()
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -32,19 +32,19 @@
 // hello is the request that ask sends.
 var hello = quarantine.Request{Method: http.MethodPost, Host: "h.example", URI: "/x?q=1", Body: []byte("hello")}
 
-// mostCrashes bounds the crashes of quarantineHello; they are a second apart.
-const mostCrashes = 5
+// maxCrashes bounds the crashes of quarantineHello; they are a second apart.
+const maxCrashes = 5
 
 // quarantineHello makes replicas crash under the request that ask sends.
 func quarantineHello(l *quarantine.Ledger, crashes int) {
 	for i := range crashes {
-		at := time.Now().Add(time.Duration(i-mostCrashes) * time.Second)
+		at := time.Now().Add(time.Duration(i-maxCrashes) * time.Second)
 		l.Crashed(quarantine.Finding{Request: hello.Fingerprint(), Crash: quarantine.Crash{Replica: quarantine.Replica(i), Sent: at, Ended: at}})
 	}
 }
 
-// suspectsWithin waits until a number of requests is remembered, or d is over.
-func suspectsWithin(l *quarantine.Ledger, want int, d time.Duration) int {
+// waitForSuspects waits until a number of requests is remembered, or d is over.
+func waitForSuspects(l *quarantine.Ledger, want int, d time.Duration) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if n, _ = l.Counts(); n == want && want > 0 {
@@ -59,7 +59,7 @@
 func TestQuarantinedIsRefusedForGood(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Once, catalog.Idempotent, catalog.Stream} {
 		t.Run(kind.String(), func(t *testing.T) {
-			s := newStandIn(t, "a", ok("data: fine\n\n"))
+			s := newFakeReplica(t, "a", ok("data: fine\n\n"))
 			tf := newFleet(t, route(kind, 2), s)
 			quarantineHello(tf.watchCrashes(), 3)
 			resp, body, err := tf.ask(t)
@@ -96,7 +96,7 @@
 		quarantineHello(ledger, 3) // a peer tells of it meanwhile
 		return false
 	}
-	first, second := newStandIn(t, "a", crash), newStandIn(t, "b", crash)
+	first, second := newFakeReplica(t, "a", crash), newFakeReplica(t, "b", crash)
 	tf = newFleet(t, route(catalog.Idempotent, 2), first, second)
 	ledger = tf.watchCrashes()
 	resp, body, err := tf.ask(t)
@@ -117,45 +117,45 @@
 	}
 	for _, c := range []struct {
 		name   string
-		answer func(s *standIn) func(net.Conn, *http.Request) bool
+		answer func(s *fakeReplica) func(net.Conn, *http.Request) bool
 		blamed int
 	}{
-		{"it ends", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"it ends", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
 		}, 1},
-		{"it ends after a part of its answer", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"it ends after a part of its answer", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); s.stop(); return false }
 		}, 1},
-		{"its connection ends first, and it soon after", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"its connection ends first, and it soon after", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				time.AfterFunc(30*time.Millisecond, s.stop)
 				return false
 			}
 		}, 1},
-		{"it starts again under its name", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"it starts again under its name", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", s.addr, 2)}, time.Now())
 				return false
 			}
 		}, 1},
-		{"it breaks off and goes on", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"it breaks off and goes on", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); return false }
 		}, 0},
-		{"it hangs up and goes on", func(*standIn) func(net.Conn, *http.Request) bool { return hangUp }, 0},
-		{"it sends what is no answer, and ends", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"it hangs up and goes on", func(*fakeReplica) func(net.Conn, *http.Request) bool { return hangUp }, 0},
+		{"it sends what is no answer, and ends", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, _ *http.Request) bool {
 				_, _ = fmt.Fprint(c, "garbage\r\n\r\n")
 				s.stop()
 				return false
 			}
 		}, 0},
-		{"it refuses", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"it refuses", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusServiceUnavailable, notRun)
 		}, 0},
-		{"it fails", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"it fails", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusInternalServerError, signed)
 		}, 0},
-		{"it is leaving", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"it is leaving", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Leaves("a", 1)
 				s.stop()
@@ -164,14 +164,14 @@
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStandIn(t, "a", hangUp)
-			s.answer = c.answer(s)
+			s := newFakeReplica(t, "a", hangUp)
+			s.respond = c.answer(s)
 			tf = newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			if _, _, err := tf.ask(t); err != nil {
 				t.Fatal(err)
 			}
-			if n := suspectsWithin(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
+			if n := waitForSuspects(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
 				t.Errorf("%d requests are suspected, want %d", n, c.blamed)
 			}
 		})
@@ -193,7 +193,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn(t, "a", c.answer)
+			s := newFakeReplica(t, "a", c.answer)
 			tf := newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			quarantineHello(ledger, 2)
@@ -214,7 +214,7 @@
 	const trialDue = 15 * time.Second
 	clock.Skip(trialDue)
 	defer clock.Skip(-trialDue)
-	s := newStandIn(t, "a", ok("fine"))
+	s := newFakeReplica(t, "a", ok("fine"))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	ledger := tf.watchCrashes()
 	quarantineHello(ledger, 3)
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -77,7 +77,7 @@
 	if r.catalog != nil {
 		line = line.Uint64("catalog", r.catalog.Version).Int64("proof_age_ms", r.proofAge.Milliseconds())
 	}
-	if p := r.guarded.Printed(); p != "" {
+	if p := r.guard.Printed(); p != "" {
 		line = line.Str("fingerprint", p)
 	}
 	if p := &r.progress; !p.first.IsZero() {
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -18,7 +18,7 @@
 func TestCutByARestart(t *testing.T) {
 	var tf *testFleet
 	restarted := make(chan struct{})
-	s := newStandIn(t, "a", func(net.Conn, *http.Request) bool {
+	s := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool {
 		tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
 		tf.f.Upstream.Drop("a")
 		close(restarted)
@@ -47,7 +47,7 @@
 // incarnation before refused a call since another id answered: the new one stays in service.
 func TestLeavingEndsWithTheIncarnation(t *testing.T) {
 	var tf *testFleet
-	s := newStandIn(t, "a", func(c net.Conn, r *http.Request) bool {
+	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 		tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
 		return status(http.StatusMisdirectedRequest, "By: x\r\n")(c, r)
 	})
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -25,12 +25,12 @@
 // maxSends bounds the sends of one call, those that did not run included.
 const maxSends = 4
 
-// leastLeft is the time below which another attempt can't succeed.
-const leastLeft = 15 * time.Millisecond
+// minAttemptTime is the time below which another attempt can't succeed.
+const minAttemptTime = 15 * time.Millisecond
 
 // serve runs attempts until the call is answered.
 func (r *run) serve(ctx context.Context) {
-	r.guard()
+	r.startGuard()
 	r.f.Budgets.Of(r.service).Deposit()
 	for {
 		err := r.attempt(ctx)
@@ -40,7 +40,7 @@
 			return
 		}
 		if errors.Is(err, errCallerGone) || r.req.Context().Err() != nil {
-			r.left(err)
+			r.abandon(err)
 			return
 		}
 		if !r.mayRetry(ctx, err) {
@@ -50,18 +50,18 @@
 	}
 }
 
-// left ends a call whose caller has gone.
-func (r *run) left(err *outcome.Error) {
-	r.logEnd(statusClientGone, err)
+// abandon ends a call whose caller has gone.
+func (r *run) abandon(err *outcome.Error) {
+	r.logEnd(statusClientClosedRequest, err)
 	panic(http.ErrAbortHandler)
 }
 
-// statusClientGone is the customary status in logs for a caller that has left.
-const statusClientGone = 499
+// statusClientClosedRequest is the customary status in logs for a caller that has left.
+const statusClientClosedRequest = 499
 
 // fail ends a call that no attempt could answer.
 func (r *run) fail(ctx context.Context, err *outcome.Error) {
-	e := r.final(ctx, err)
+	e := r.finalError(ctx, err)
 	if !r.begun {
 		r.refuse(e)
 		return
@@ -72,8 +72,8 @@
 	panic(http.ErrAbortHandler) // the caller must not take the answer for whole
 }
 
-// final types the end of a call that failed.
-func (r *run) final(ctx context.Context, err *outcome.Error) *outcome.Error {
+// finalError types the end of a call that failed.
+func (r *run) finalError(ctx context.Context, err *outcome.Error) *outcome.Error {
 	e := err
 	if e.Outcome == outcome.NotRun && r.mayRan {
 		// The last attempt did not run; an earlier one may have.
@@ -83,7 +83,7 @@
 		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the call's time is over")
 	}
 	if e.Outcome == outcome.NotRun && e.RetryAfter == 0 && e.Code != outcome.CodeQuarantined {
-		e.RetryAfter = retryNoTarget
+		e.RetryAfter = noTargetRetryAfter
 	}
 	return e
 }
@@ -91,7 +91,7 @@
 // mayRetry decides whether another send follows a failed one.
 func (r *run) mayRetry(ctx context.Context, err *outcome.Error) bool {
 	switch {
-	case ctx.Err() != nil, clock.Until(r.ends) < leastLeft, r.sends >= maxSends:
+	case ctx.Err() != nil, clock.Until(r.ends) < minAttemptTime, r.sends >= maxSends:
 		return false
 	case err.Code == outcome.CodeNoTarget, err.Code == outcome.CodeStoreDown, err.Step == stepShed, err.Step == quarantine.Step:
 		return false
@@ -99,7 +99,7 @@
 		return false
 	case r.begun && !r.route.Resumable:
 		return false
-	case r.guarded.Refusal(false) != nil:
+	case r.guard.Refusal(false) != nil:
 		return false // this attempt's crash may have been the last that it took
 	case !nothingSent(err) && !r.f.Budgets.Of(r.service).Withdraw():
 		r.f.Stats.BudgetEmpty.Add(1)
@@ -119,11 +119,13 @@
 
 // nothingSent tells whether an attempt ended before anything of it reached the replica: it
 // counts neither as a repeat nor against the replica's limit.
-func nothingSent(err *outcome.Error) bool { return err.Step == stepDial || errors.Is(err, errLapsed) }
+func nothingSent(err *outcome.Error) bool {
+	return err.Step == stepDial || errors.Is(err, errNoLongerAllowed)
+}
 
 // attempt is one try: decide, send, judge, pass the answer on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
-	if refusal := r.guarded.Refusal(r.sends == 0); refusal != nil {
+	if refusal := r.guard.Refusal(r.sends == 0); refusal != nil {
 		return refusal
 	}
 	c, refusal := r.decide()
@@ -131,7 +133,7 @@
 		return refusal
 	}
 	defer c.pass.End()
-	if refusal := r.guarded.Sending(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
+	if refusal := r.guard.Sending(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
 	}
@@ -147,39 +149,39 @@
 	t := r.try(ctx, &c, work)
 	err := t.run()
 	t.end()
-	r.learn(ctx, t, err)
-	t.counted(err)
+	r.recordOutcome(ctx, t, err)
+	t.reportToGate(err)
 	return err
 }
 
 // try is one send to one replica.
 type try struct {
-	r      *run
-	c      *choice
-	work   *loadview.Work
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stall  *stallTimer
-	age    weightsWatch
-	sent   time.Time
-	begun  bool          // the replica's first event, or its answer, has come
-	kvSent bool          // the planner counts this send among those that compute
-	framed bool          // the answer says where it ends
-	unread time.Duration // for which the caller kept the answer waiting
+	r         *run
+	c         *choice
+	work      *loadview.Work
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	stall     *stallTimer
+	weights   weightsWatch
+	sent      time.Time
+	answering bool          // the replica's first event, or its answer, has come
+	kvSent    bool          // the planner counts this send among those that compute
+	framed    bool          // the answer says where it ends
+	unread    time.Duration // for which the caller kept the answer waiting
 }
 
 func (r *run) try(ctx context.Context, c *choice, work *loadview.Work) *try {
 	tctx, cancel := context.WithCancelCause(ctx)
 	t := &try{r: r, c: c, work: work, ctx: tctx, cancel: cancel, sent: clock.Now()}
-	t.stall = newStallTimer(t.silent)
+	t.stall = newStallTimer(t.onStall)
 	t.watchWeights()
 	return t
 }
 
 func (t *try) end() {
-	t.computed(false)
+	t.endComputing(false)
 	t.stall.stop()
-	t.endWatch()
+	t.stopWeightsWatch()
 	t.cancel(nil)
 }
 
@@ -187,15 +189,15 @@
 func (t *try) run() *outcome.Error {
 	r := t.r
 	if r.call.Prompt != nil && r.route.Prompts {
-		r.f.KV.sent(t.c, r.call.Prompt.Model, kvcache.Shared(r.call.Prompt.Parts))
+		r.f.KV.sendStarted(t.c, r.call.Prompt.Model, kvcache.Shared(r.call.Prompt.Parts))
 		t.kvSent = true
 	}
-	t.countMoves()
+	t.countTransfers()
 	r.progress.sent, r.progress.work = t.sent, seconds(float32(t.c.work)/max(t.c.rate, 1))
-	t.stall.start(t.firstWait())
+	t.stall.start(t.firstEventTimeout())
 	a, err := r.f.Upstream.Send(t.ctx, upstream.Replica{ID: t.c.target.ID, Addr: t.c.target.Addr}, t.request())
 	if err != nil {
-		return t.typed(err)
+		return t.classify(err)
 	}
 	defer a.Close()
 	t.framed = a.Framed()
@@ -203,28 +205,28 @@
 	if !r.superseded(t.c) && reply.Weights != "" && reply.Weights != t.c.target.Weights && (reply.Replica == "" || reply.Replica == t.c.target.ID) {
 		r.f.ObserveWeights(t.c.target.ID, reply.Weights)
 	}
-	t.signaled(&reply)
-	if e := t.judge(a, reply); e != nil {
+	t.recordSignals(&reply)
+	if e := t.checkHead(a, reply); e != nil {
 		return e
 	}
 	if r.begun && a.Status != http.StatusOK {
 		// The caller has a part of a stream; nothing but its rest can follow.
-		return t.broken(&Refusal{Status: a.Status})
+		return t.brokenAnswer(&Refusal{Status: a.Status})
 	}
 	if r.route.Kind == streamKind && a.Status < http.StatusMultipleChoices {
-		return t.relay(a)
+		return t.relayStream(a)
 	}
-	return t.whole(a)
+	return t.relayBuffered(a)
 }
 
-// started notes the replica's first event, or its answer: a sign of life, and a measure
+// firstOutput notes the replica's first event, or its answer: a sign of life, and a measure
 // of how long it took against what was predicted.
-func (t *try) started() {
-	if t.begun {
+func (t *try) firstOutput() {
+	if t.answering {
 		return
 	}
-	t.begun = true
-	t.endWatch()
+	t.answering = true
+	t.stopWeightsWatch()
 	now := clock.Now()
 	t.work.FirstToken()
 	if t.r.superseded(t.c) {
@@ -237,15 +239,15 @@
 	}
 }
 
-// computed notes that the replica is done with the prompt's shared parts, once.
-func (t *try) computed(held bool) {
+// endComputing notes that the replica is done with the prompt's shared parts, once.
+func (t *try) endComputing(held bool) {
 	if t.kvSent {
 		t.kvSent = false
-		t.r.f.KV.ended(t.c, held)
+		t.r.f.KV.sendEnded(t.c, held)
 	}
 }
 
-func (t *try) countMoves() {
+func (t *try) countTransfers() {
 	if t.c.fetch != "" {
 		t.r.f.Stats.Fetches.Add(1)
 	}
@@ -254,8 +256,8 @@
 	}
 }
 
-// typed returns an attempt's error, with what this VM itself ended it for.
-func (t *try) typed(err error) *outcome.Error {
+// classify returns an attempt's error, with what this VM itself ended it for.
+func (t *try) classify(err error) *outcome.Error {
 	e := outcome.Of(err)
 	switch {
 	case t.r.req.Context().Err() != nil:
@@ -268,8 +270,8 @@
 	return e
 }
 
-// judge looks at an answer's head.
-func (t *try) judge(a *upstream.Answer, reply Reply) *outcome.Error {
+// checkHead looks at an answer's head.
+func (t *try) checkHead(a *upstream.Answer, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
 	case reply.Mismatch:
@@ -277,20 +279,20 @@
 			"the replica is another one, or has other weights, than expected")
 	case reply.NotRun:
 		return outcome.Wrap(&Refusal{Status: a.Status, Replica: reply.Replica}, outcome.NotRun, outcome.CodeOverloaded, "refused", peer,
-			"the replica did not take the call").After(retryNoTarget)
+			"the replica did not take the call").After(noTargetRetryAfter)
 	case a.Status < http.StatusMultipleChoices && !reply.Signed:
 		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the answer lacks the replica's signature")
 	case a.Status >= http.StatusInternalServerError && t.r.repeatable():
 		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica failed")
-	case promises(a.Status):
+	case impliesNotRun(a.Status):
 		// The replica does not say that the call did not run, so neither may we.
 		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica refused without saying that the call did not run")
 	}
 	return nil
 }
 
-// promises tells whether a status means to callers that the call did not run.
-func promises(status int) bool {
+// impliesNotRun tells whether a status means to callers that the call did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -313,13 +315,13 @@
 	return "status " + http.StatusText(e.Status)
 }
 
-// learn feeds the end of an attempt back into what is believed of the replica.
-func (r *run) learn(ctx context.Context, t *try, err *outcome.Error) {
+// recordOutcome feeds the end of an attempt back into what is believed of the replica.
+func (r *run) recordOutcome(ctx context.Context, t *try, err *outcome.Error) {
 	now, c := clock.Now(), t.c
 	members := r.f.Fleet.Members
 	if err == nil {
 		if t.framed {
-			r.guarded.Answered(r.status)
+			r.guard.Answered(r.status)
 		}
 		switch {
 		case r.superseded(c):
@@ -331,7 +333,7 @@
 		}
 		return
 	}
-	r.blame(ctx, t, err)
+	r.checkForCrash(ctx, t, err)
 	if nothingSent(err) {
 		r.f.Fleet.GiveBack(c.target.ID)
 	}
@@ -349,11 +351,11 @@
 	switch {
 	case errors.Is(err, errCallerGone), ctx.Err() != nil && !errors.Is(err, errStalled):
 		return // says nothing about the replica
-	case errors.Is(err, errLapsed):
+	case errors.Is(err, errNoLongerAllowed):
 		// Nor does this: nothing was sent.
 	case errors.Is(err, errOldWeights):
 		// Nor does this, but that it is late; its queue is known as it is.
-	case t.cutOffUnread(err):
+	case t.brokeOffUnread(err):
 		// Nor does this: the caller did not read.
 	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
 		members.Leaves(c.target.ID, c.target.Incarnation)
@@ -370,7 +372,7 @@
 func (r *run) logFailed(c *choice, err *outcome.Error) {
 	r.f.Log.Request("attempt-failed", string(r.call.ID)).Str("target", string(c.target.ID)).
 		Uint64("incarnation", uint64(c.target.Incarnation)).Bool("restarted", r.superseded(c)).Str("outcome", err.Outcome.String()).
-		Str("step", err.Step).Str("fingerprint", r.suspect(err)).Str("error", err.Error()).Send()
+		Str("step", err.Step).Str("fingerprint", r.logFingerprint(err)).Str("error", err.Error()).Send()
 }
 
 // superseded tells whether the replica of an attempt has started again since it was
--- a/internal/forward/shed.go
+++ b/internal/forward/shed.go
@@ -39,15 +39,15 @@
 const (
 	// usualGain is the weight of one call.
 	usualGain = 0.05
-	// maxUsual bounds the routes that are remembered; beyond, all are forgotten.
-	maxUsual = 4096
+	// maxUsualRoutes bounds the routes that are remembered; beyond, all are forgotten.
+	maxUsualRoutes = 4096
 )
 
 // observe takes one call in and returns the usual work.
 func (u *usualWork) observe(route string, own float64) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.tokens == nil || len(u.tokens) >= maxUsual {
+	if u.tokens == nil || len(u.tokens) >= maxUsualRoutes {
 		u.tokens = map[string]float64{}
 	}
 	usual, known := u.tokens[route]
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -45,7 +45,7 @@
 		{"urgent and far too late", 0, time.Second, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStandIn(t, "a", ok("fine"))
+			s := newFakeReplica(t, "a", ok("fine"))
 			r := route(catalog.Idempotent, 2)
 			r.Prompts, r.Priority = true, c.priority
 			tf := newFleet(t, r, s)
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -1,7 +1,7 @@
 package forward
 
-// signaled takes in what the replica says of itself, whatever the answer is worth.
-func (t *try) signaled(reply *Reply) {
+// recordSignals takes in what the replica says of itself, whatever the answer is worth.
+func (t *try) recordSignals(reply *Reply) {
 	id, inc := t.c.target.ID, t.c.target.Incarnation
 	if t.r.superseded(t.c) || reply.Replica != "" && reply.Replica != id {
 		return // it speaks of another incarnation
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -23,7 +23,7 @@
 		"another incarnation": "HTTP/1.1 200 OK\r\nSigned: yes\r\nBy: other\r\nLeaving: yes\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newStandIn(t, "a", says(first))
+			a := newFakeReplica(t, "a", respondHead(first))
 			tf := newFleet(t, route(catalog.Once, 1), a)
 			for range 2 {
 				resp, _, err := tf.ask(t)
@@ -56,7 +56,7 @@
 // leaves: nothing is sent, and the call goes to another replica or is refused as not run.
 func TestSignalsAreAskedBeforeTheFirstByte(t *testing.T) {
 	for name, s := range map[string]membership.Signals{"rest": {Rest: time.Minute}, "leaving": {Leaving: true}} {
-		tf := newFleet(t, route(catalog.Once, 1), newStandIn(t, "a", ok("")))
+		tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("")))
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute)}
 		c := &choice{}
 		c.target.ID, c.target.Incarnation = "a", 1
@@ -65,7 +65,7 @@
 			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
 		}
 		tf.f.Fleet.Signaled("a", 1, s, time.Now())
-		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errLapsed) {
+		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
 			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
 		}
 	}
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -14,9 +14,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// maxChoices bounds how often a call is decided on anew since the version that it was to go to
+// maxVersionRetries bounds how often a call is decided on anew since the version that it was to go to
 // has been taken out of service meanwhile.
-const maxChoices = 4
+const maxVersionRetries = 4
 
 // choose picks a target among those that run a version which is in service. The pass, if there
 // is one, must be ended.
@@ -28,11 +28,11 @@
 	}
 	var snap *fleet.Snapshot
 	d := routing.Decision{Index: -1}
-	for range maxChoices {
+	for range maxVersionRetries {
 		seen := f.Fleet.Snapshot()
 		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.Draw{First: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
-			choices[i].MostHash = mostHash(r.service, seen, &choices[i])
+			choices[i].MostHash = maxHash(r.service, seen, &choices[i])
 			req.Software = &choices[i]
 			if snap, d = f.Fleet.Decide(req, r.tried, sc); d.Index >= 0 {
 				break
@@ -51,9 +51,9 @@
 	return snap, d, nil
 }
 
-// mostHash bounds the hashes of a version's targets where only a part of them gets calls; VMs
+// maxHash bounds the hashes of a version's targets where only a part of them gets calls; VMs
 // that see the same targets agree on them. Zero: all do.
-func mostHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
+func maxHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
 	if c.Part <= 0 || c.Part >= 1 {
 		return 0
 	}
@@ -71,20 +71,20 @@
 	return 0
 }
 
-// retired refuses a send to a version that was taken out of service since the target was chosen.
-func (t *try) retired() *outcome.Error {
+// checkVersion refuses a send to a version that was taken out of service since the target was chosen.
+func (t *try) checkVersion() *outcome.Error {
 	if !t.r.f.Software.Retires(t.r.service, t.c.target.Software) {
 		return nil
 	}
-	return outcome.Wrap(errLapsed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
+	return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
 }
 
 // expectedFloor is added to the time that an answer is expected to take, so that short
 // expectations are no measure by themselves.
 const expectedFloor = 50 * time.Millisecond
 
-// counted tells the gate how an attempt ended, if its target answered it.
-func (t *try) counted(err *outcome.Error) {
+// reportToGate tells the gate how an attempt ended, if its target answered it.
+func (t *try) reportToGate(err *outcome.Error) {
 	var refusal *Refusal
 	a := canary.Answer{}
 	switch {
@@ -97,15 +97,15 @@
 	default:
 		return // it did not answer, or did not run the call: that says nothing about its software
 	}
-	if !a.Failed && t.c.calm {
-		a.Took = t.took()
+	if !a.Failed && t.c.representative {
+		a.Took = t.answerTime()
 	}
 	t.c.pass.Ended(t.r.route.Name, t.c.target.ID, a)
 }
 
-// took is how long the target took, where that depends on the prompt as a multiple of what was
+// answerTime is how long the target answerTime, where that depends on the prompt as a multiple of what was
 // expected.
-func (t *try) took() time.Duration {
+func (t *try) answerTime() time.Duration {
 	took := clock.Since(t.sent)
 	if t.r.call.Prompt == nil || !t.r.route.Prompts {
 		return took
@@ -116,9 +116,9 @@
 	return time.Duration(float64(took) / float64(t.c.wait+expectedFloor) * float64(expectedFloor))
 }
 
-// calm tells whether a target's answers show how fast it is: it is not full, and has not just
+// isRepresentative tells whether a target's answers show how fast it is: it is not full, and has not just
 // started.
-func calm(snap *fleet.Snapshot, index int, in *routing.Input) bool {
+func isRepresentative(snap *fleet.Snapshot, index int, in *routing.Input) bool {
 	full := in.Slots > 0 && in.InFlight >= in.Slots
 	return !full && !snap.Status(index).Record.WarmAt.After(clock.Now())
 }
--- a/internal/forward/software_test.go
+++ b/internal/forward/software_test.go
@@ -26,7 +26,7 @@
 		"rolled back": {Service: "s", Stable: "v1", Barred: []ids.SoftwareVersion{"v2"}},
 		"promoting":   {Service: "s", Stable: "v2", Canary: "v3", Stage: canary.Promoting, Share: 1},
 	} {
-		tf := newFleet(t, route(catalog.Once, 1), newStandIn(t, "a", ok("")))
+		tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("")))
 		tf.f.Software = &canary.Gate{Log: eventlog.New(io.Discard, nil)}
 		tf.f.Software.Take(canary.Record{Service: "s", Stable: "v1", Canary: "v2", Stage: canary.Proving, Share: 0.1, Part: 1}, 1)
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute), service: "s", route: &tf.f.Catalog.Get().Routes[0]}
@@ -37,7 +37,7 @@
 			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
 		}
 		tf.f.Software.Take(later, 2)
-		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errLapsed) {
+		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
 			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
 		}
 	}
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -14,32 +14,32 @@
 // an attempt only where another one may follow; a silent replica that can't be
 // replaced is waited for.
 const (
-	// firstWaitFactor times the objective: an answer that comes so late is worth
+	// firstEventFactor times the objective: an answer that comes so late is worth
 	// little more than one that another replica gives from the start.
-	firstWaitFactor = 1.5
+	firstEventFactor = 1.5
 	// pauseFactor times the longest pause that is on time.
 	pauseFactor = 2
-	// leastFirstWait bounds the wait from below, for routes with short objectives.
-	leastFirstWait = 150 * time.Millisecond
+	// minFirstEventTimeout bounds the wait from below, for routes with short objectives.
+	minFirstEventTimeout = 150 * time.Millisecond
 	// defaultObjective stands for a route's where it has none.
 	defaultObjective = 2 * time.Second
 	// defaultPause stands for a route's longest pause where it has none.
 	defaultPause = 2 * time.Second
 )
 
-// firstWait is how long the replica may be silent before its first event, or its
+// firstEventTimeout is how long the replica may be silent before its first event, or its
 // answer. What it has to do before is waited for besides: under load all replicas
 // are late, and to leave one for the next would only make work.
-func (t *try) firstWait() time.Duration {
+func (t *try) firstEventTimeout() time.Duration {
 	aim := t.r.route.Objective
 	if aim <= 0 {
 		aim = defaultObjective
 	}
-	return max(time.Duration(float64(aim+t.c.wait)*firstWaitFactor), leastFirstWait)
+	return max(time.Duration(float64(aim+t.c.wait)*firstEventFactor), minFirstEventTimeout)
 }
 
-// pauseWait is how long the replica may be silent between two events.
-func (t *try) pauseWait() time.Duration {
+// pauseTimeout is how long the replica may be silent between two events.
+func (t *try) pauseTimeout() time.Duration {
 	pause := t.r.route.MaxPause
 	if pause <= 0 {
 		pause = defaultPause
@@ -47,9 +47,9 @@
 	return pause * pauseFactor
 }
 
-// silent is called when the replica has been silent for too long. Other calls avoid
+// onStall is called when the replica has been onStall for too long. Other calls avoid
 // it then; this call leaves it only if it may go on elsewhere.
-func (t *try) silent() {
+func (t *try) onStall() {
 	if !t.r.superseded(t.c) {
 		t.r.f.Fleet.Members.Silent(t.c.target.ID, t.sent, clock.Now())
 		t.r.f.Fleet.MarkDirty()
@@ -64,7 +64,7 @@
 	mu   sync.Mutex
 	fire func()
 	t    *time.Timer
-	over bool
+	done bool
 }
 
 func newStallTimer(fire func()) *stallTimer { return &stallTimer{fire: fire} }
@@ -73,7 +73,7 @@
 func (s *stallTimer) start(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.done {
 		return
 	}
 	if s.t == nil {
@@ -85,8 +85,8 @@
 
 func (s *stallTimer) expired() {
 	s.mu.Lock()
-	over := s.over
-	s.over = true
+	over := s.done
+	s.done = true
 	s.mu.Unlock()
 	if !over {
 		s.fire()
@@ -105,7 +105,7 @@
 func (s *stallTimer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.done = true
 	if s.t != nil {
 		s.t.Stop()
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -29,57 +29,57 @@
 	return c.LastEvent
 }
 
-// relay passes the events of a stream on as they come. No event that was passed on is
+// relayStream passes the events of a stream on as they come. No event that was passed on is
 // kept back while the next is waited for, nor lost when the stream breaks.
-func (t *try) relay(a *upstream.Answer) *outcome.Error {
+func (t *try) relayStream(a *upstream.Answer) *outcome.Error {
 	r := t.r
 	in := relay.NewRawReader(a.Body)
-	kept := false // an event was passed on and not flushed
+	unflushed := false // an event was passed on and not flushed
 	for {
-		if kept && !in.Buffered() {
+		if unflushed && !in.Buffered() {
 			if err := t.flush(); err != nil {
 				return t.callerGone(err)
 			}
-			kept = false
-			t.stall.start(t.pauseWait())
+			unflushed = false
+			t.stall.start(t.pauseTimeout())
 		}
 		ev, err := in.Next()
 		if errors.Is(err, io.EOF) {
 			return t.complete(a)
 		}
 		if err != nil {
-			if kept {
+			if unflushed {
 				_ = t.flush() // a caller that is gone is found out by what follows
 			}
-			return t.broken(err)
+			return t.brokenAnswer(err)
 		}
-		t.started()
-		t.computed(true)
-		if r.stream.passed(&ev) {
+		t.firstOutput()
+		t.endComputing(true)
+		if r.stream.duplicate(&ev) {
 			continue
 		}
-		if err := t.pass(a, &ev); err != nil {
+		if err := t.writeEvent(a, &ev); err != nil {
 			return t.callerGone(err)
 		}
-		kept = true
+		unflushed = true
 	}
 }
 
-// passed tells whether an event was passed on before, by an earlier attempt or as
+// duplicate tells whether an event was duplicate on before, by an earlier attempt or as
 // its own twin.
-func (s *streamState) passed(ev *relay.RawEvent) bool {
+func (s *streamState) duplicate(ev *relay.RawEvent) bool {
 	return ev.Numbered && s.numbered && ev.ID <= s.last
 }
 
-// pass writes one event. The head goes out with the first: the headers of the
+// writeEvent writes one event. The head goes out with the first: the headers of the
 // replica that began the stream stay, whichever goes on with it.
-func (t *try) pass(a *upstream.Answer, ev *relay.RawEvent) error {
+func (t *try) writeEvent(a *upstream.Answer, ev *relay.RawEvent) error {
 	r := t.r
 	if !r.begun {
-		r.passHead(a, unknownLength)
+		r.writeHead(a, unknownLength)
 	}
 	r.f.Stats.Events.Add(1)
-	r.progress.event(clock.Now())
+	r.progress.observe(clock.Now())
 	if ev.Numbered {
 		r.stream.last, r.stream.numbered = ev.ID, true
 	}
@@ -91,7 +91,7 @@
 	r := t.r
 	t.stall.stop()
 	if !r.begun {
-		r.passHead(a, unknownLength)
+		r.writeHead(a, unknownLength)
 	}
 	return nil
 }
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestStreamPassesWhole(t *testing.T) {
-	tf := newFleet(t, route(catalog.Stream, 1), newStandIn(t, "a", events(5, 0, false)))
+	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 0, false)))
 	resp, body, err := tf.ask(t)
 	if err != nil || resp.Header.Get("Signed") != "yes" || pieces(body) != "1 2 3 4 5" {
 		t.Fatalf("got %v, %q, %v", resp, body, err)
@@ -65,7 +65,7 @@
 func TestStreamResumes(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		for breakAt := 1; breakAt <= 5; breakAt++ {
-			a, b := newStandIn(t, "a", events(5, breakAt, torn)), newStandIn(t, "b", events(5, 0, false))
+			a, b := newFakeReplica(t, "a", events(5, breakAt, torn)), newFakeReplica(t, "b", events(5, 0, false))
 			tf := newFleet(t, route(catalog.Stream, 2), a, b)
 			for range 10 {
 				resp, body, err := tf.ask(t)
@@ -87,7 +87,7 @@
 // caller sees a cut connection.
 func TestBrokenStreamIsNotComplete(t *testing.T) {
 	for _, torn := range []bool{false, true} {
-		tf := newFleet(t, route(catalog.Stream, 1), newStandIn(t, "a", events(5, 3, torn)))
+		tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 3, torn)))
 		_, body, err := tf.ask(t)
 		if err == nil || pieces(body) != "1 2" {
 			t.Fatalf("torn %v: got %q, %v", torn, pieces(body), err)
@@ -95,9 +95,9 @@
 	}
 }
 
-// parts answers with each part in one write, as the network may join what a replica
+// sendChunks answers with each part in one write, as the network may join what a replica
 // wrote, waits for next between two, and then closes the connection.
-func parts(next <-chan struct{}, texts ...string) func(net.Conn, *http.Request) bool {
+func sendChunks(next <-chan struct{}, texts ...string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		out := fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for i, text := range texts {
@@ -120,7 +120,7 @@
 		"torn": event3[:len(event3)-5], "torn in its number": event3[:2], "no number": "id: x\ndata: piece 3\n\n", "a twin": event2,
 	} {
 		t.Run(name, func(t *testing.T) {
-			tf := newFleet(t, route(catalog.Stream, 1), newStandIn(t, "a", parts(nil, event1+event2+rest)))
+			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(nil, event1+event2+rest)))
 			if _, body, err := tf.ask(t); err == nil || pieces(body) != "1 2" {
 				t.Fatalf("got %q, %v", pieces(body), err)
 			}
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			next := make(chan struct{})
 			rest := strings.TrimPrefix(event2, strings.TrimPrefix(strings.TrimPrefix(follows, event1), "\n"))
-			tf := newFleet(t, route(catalog.Stream, 1), newStandIn(t, "a", parts(next, event1+follows, rest)))
+			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(next, event1+follows, rest)))
 			defer close(next) // after a failure; the stand-in waits no more
 			resp, err := tf.begin(t)
 			if err != nil {
@@ -159,7 +159,7 @@
 // TestStreamBeforeItsFirstEvent breaks a stream off before anything was passed on:
 // one that may not be resumed is answered 502.
 func TestStreamBeforeItsFirstEvent(t *testing.T) {
-	tf := newFleet(t, route(catalog.Stream, 1), newStandIn(t, "a", events(5, 1, false)))
+	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 1, false)))
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v, %v", resp, err)
 	}
@@ -172,7 +172,7 @@
 		r.Header.Del("After")
 		return events(5, 0, false)(c, r)
 	}
-	tf := newFleet(t, route(catalog.Stream, 2), newStandIn(t, "a", events(5, 4, false)), newStandIn(t, "b", fromStart))
+	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 4, false)), newFakeReplica(t, "b", fromStart))
 	for range 10 {
 		if _, body, err := tf.ask(t); err != nil || pieces(body) != "1 2 3 4 5" {
 			t.Fatalf("got %q, %v", pieces(body), err)
@@ -187,7 +187,7 @@
 		time.Sleep(3 * time.Second)
 		return false
 	}
-	tf := newFleet(t, route(catalog.Stream, 2), newStandIn(t, "a", silent), newStandIn(t, "b", events(5, 0, false)))
+	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", silent), newFakeReplica(t, "b", events(5, 0, false)))
 	for range 4 {
 		began := time.Now()
 		if _, body, err := tf.ask(t); err != nil || pieces(body) != "1 2 3 4 5" || time.Since(began) > 1500*time.Millisecond {
@@ -198,7 +198,7 @@
 
 // TestCallerResumes passes a caller's own wish to go on behind an event.
 func TestCallerResumes(t *testing.T) {
-	tf := newFleet(t, route(catalog.Stream, 2), newStandIn(t, "a", events(5, 0, false)))
+	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 0, false)))
 	if _, body, err := tf.ask(t, "After", "3"); err != nil || pieces(body) != "4 5" {
 		t.Fatalf("got %q, %v", pieces(body), err)
 	}
@@ -209,14 +209,14 @@
 // for the whole (soak, seed 1796242706000003003).
 func TestFailureInPlaceOfTheRest(t *testing.T) {
 	for _, code := range []int{http.StatusInternalServerError, http.StatusNotFound, http.StatusNoContent} {
-		first := newStandIn(t, "a", func(c net.Conn, r *http.Request) bool {
+		first := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("After") != "" {
 				return status(code, signed)(c, r)
 			}
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nContent-Length: 1000\r\n\r\nid: 1\ndata: x\n\n")
 			return false
 		})
-		second := newStandIn(t, "b", func(c net.Conn, r *http.Request) bool {
+		second := newFakeReplica(t, "b", func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("After") != "" {
 				return status(code, signed)(c, r)
 			}
--- a/internal/forward/woke.go
+++ b/internal/forward/suspend.go
@@ -8,29 +8,29 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// underWay are the calls that are being served, with the end of each. Safe for concurrent
+// activeCalls are the calls that are being served, with the end of each. Safe for concurrent
 // use; the zero value is empty.
-type underWay struct {
+type activeCalls struct {
 	mu   sync.Mutex
 	next uint64
-	all  map[uint64]callEnd
+	all  map[uint64]activeCall
 }
 
-type callEnd struct {
-	at     time.Time
-	cancel context.CancelFunc
+type activeCall struct {
+	deadline time.Time
+	cancel   context.CancelFunc
 }
 
 // add notes a call; the function that it returns takes it out.
-func (u *underWay) add(ends time.Time, cancel context.CancelFunc) (remove func()) {
+func (u *activeCalls) add(ends time.Time, cancel context.CancelFunc) (remove func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.all == nil {
-		u.all = map[uint64]callEnd{}
+		u.all = map[uint64]activeCall{}
 	}
 	u.next++
 	id := u.next
-	u.all[id] = callEnd{ends, cancel}
+	u.all[id] = activeCall{ends, cancel}
 	return func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -38,13 +38,13 @@
 	}
 }
 
-// endOverdue cancels the calls whose time is over, and returns how many they were.
-func (u *underWay) endOverdue() int {
+// cancelOverdue cancels the calls whose time is over, and returns how many they were.
+func (u *activeCalls) cancelOverdue() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
 	for _, c := range u.all {
-		if clock.Until(c.at) <= 0 {
+		if clock.Until(c.deadline) <= 0 {
 			c.cancel()
 			n++
 		}
@@ -57,5 +57,5 @@
 // many calls were ended.
 func (f *Forwarder) AfterSuspension() int {
 	f.Upstream.DropIdle()
-	return f.calls.endOverdue()
+	return f.calls.cancelOverdue()
 }
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -31,7 +31,7 @@
 }
 
 // keyedFleet is a fleet whose route wants a key, with a proof that is new.
-func keyedFleet(t *testing.T, s *standIn) *testFleet {
+func keyedFleet(t *testing.T, s *fakeReplica) *testFleet {
 	t.Helper()
 	r := route(catalog.Once, 1)
 	r.Public, r.Timeout = false, time.Minute
@@ -51,7 +51,7 @@
 		sends     int
 	}{{200 * time.Millisecond, 1}, {2 * time.Second, 0}, {20 * time.Second, 0}} {
 		t.Run(c.suspended.String(), func(t *testing.T) {
-			s := newStandIn(t, "a", ok("fine"))
+			s := newFakeReplica(t, "a", ok("fine"))
 			tf := keyedFleet(t, s)
 			tf.f.Dialect = suspendingDialect{suspend: func() { clock.Skip(c.suspended) }}
 			defer clock.Skip(-c.suspended)
@@ -78,7 +78,7 @@
 func TestSuspendedBeyondDeadline(t *testing.T) {
 	const suspended = 20 * time.Second
 	t.Run("before the send", func(t *testing.T) {
-		s := newStandIn(t, "a", ok("fine"))
+		s := newFakeReplica(t, "a", ok("fine"))
 		tf := newFleet(t, route(catalog.Once, 1), s)
 		tf.f.Dialect = suspendingDialect{suspend: func() { clock.Skip(suspended) }}
 		defer clock.Skip(-suspended)
@@ -89,7 +89,7 @@
 	})
 	t.Run("while a replica works", func(t *testing.T) {
 		working := make(chan struct{})
-		s := newStandIn(t, "a", func(c net.Conn, _ *http.Request) bool {
+		s := newFakeReplica(t, "a", func(c net.Conn, _ *http.Request) bool {
 			close(working)
 			_, _ = io.Copy(io.Discard, c) // until the VM hangs up
 			return false
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -32,8 +32,8 @@
 	return w.within - now.Sub(w.named), has != "2"
 }
 
-// weighted lists replicas with their weights.
-func (tf *testFleet) weighted(weights map[*standIn]ids.WeightsVersion) {
+// setWeights lists replicas with their weights.
+func (tf *testFleet) setWeights(weights map[*fakeReplica]ids.WeightsVersion) {
 	var records []platform.Record
 	for s, w := range weights {
 		records = append(records, platform.Record{ID: string(s.id), Role: platform.RoleService, Service: "svc", Addr: s.addr, Incarnation: 1, Weights: w})
@@ -76,13 +76,13 @@
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
 				send := &try{
-					r:   &run{f: &Forwarder{Weights: namedSoon{twoVersions{named: sent.Add(c.named), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
+					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{named: sent.Add(c.named), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
 				}
 				send.watchWeights()
 				if c.begun > 0 {
-					time.AfterFunc(c.begun, send.endWatch)
+					time.AfterFunc(c.begun, send.stopWeightsWatch)
 				}
 				var at time.Duration
 				stop := context.AfterFunc(ctx, func() { at = max(time.Since(sent), 1) })
@@ -95,7 +95,7 @@
 				if withdrawn := send.r.f.Stats.Withdrawn.Load(); (withdrawn == 1) != (c.want > 0) {
 					t.Errorf("%d were counted", withdrawn)
 				}
-				send.endWatch()
+				send.stopWeightsWatch()
 			})
 		})
 	}
@@ -108,16 +108,16 @@
 func TestOldWeightsAreLeftInTime(t *testing.T) {
 	const within = 400 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
-	fresh := newStandIn(t, "new", func(c net.Conn, r *http.Request) bool {
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
+	fresh := newFakeReplica(t, "new", func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: x\n\n")
 		return false
 	})
 	tf := newFleet(t, promptRoute(), old, fresh)
 	named := time.Now()
 	tf.f.Weights = twoVersions{named: named, within: within}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
-	time.AfterFunc(within/2, func() { tf.weighted(map[*standIn]ids.WeightsVersion{old: "1", fresh: "2"}) })
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
+	time.AfterFunc(within/2, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || body == "" {
 		t.Errorf("got %v, body %q, %v", resp, body, err)
@@ -136,7 +136,7 @@
 // on to its end.
 func TestBegunOnOldWeights(t *testing.T) {
 	const within = 150 * time.Millisecond
-	old := newStandIn(t, "old", func(c net.Conn, r *http.Request) bool {
+	old := newFakeReplica(t, "old", func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: x\n\n")
 		time.Sleep(2 * within)
 		_, _ = io.WriteString(c, "id: 2\ndata: y\n\n")
@@ -146,15 +146,15 @@
 	r.MaxPause = time.Second
 	tf := newFleet(t, r, old)
 	tf.f.Weights = twoVersions{named: time.Now(), within: within}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "data: y") || tf.f.Stats.Withdrawn.Load() != 0 {
 		t.Errorf("got %v, body %q, %v, %d withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
 	}
 }
 
-// hang holds a call until it is withdrawn, and tells when.
-func hang(left chan<- time.Time) func(net.Conn, *http.Request) bool {
+// holdUntilClosed holds a call until it is withdrawn, and tells when.
+func holdUntilClosed(left chan<- time.Time) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
 		left <- time.Now()
@@ -167,15 +167,15 @@
 func TestOnceOnOldWeights(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
-	fresh := newStandIn(t, "new", ok("x"))
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
+	fresh := newFakeReplica(t, "new", ok("x"))
 	r := promptRoute()
 	r.Attempts, r.Resumable = 1, false
 	tf := newFleet(t, r, old, fresh)
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	named := time.Now()
-	time.AfterFunc(50*time.Millisecond, func() { tf.weighted(map[*standIn]ids.WeightsVersion{old: "1", fresh: "2"}) })
-	tf.f.Weights = laterNamed{twoVersions{named: named, within: within}}
+	time.AfterFunc(50*time.Millisecond, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
+	tf.f.Weights = unseenVersion{twoVersions{named: named, within: within}}
 	resp, _, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(fresh.requests()) != 0 || tf.f.Stats.Withdrawn.Load() != 1 {
 		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
@@ -185,18 +185,18 @@
 	}
 }
 
-// laterNamed are weights whose newest version decisions do not know of yet: it is named
+// unseenVersion are weights whose newest version decisions do not know of yet: it is named
 // while calls wait.
-type laterNamed struct{ twoVersions }
+type unseenVersion struct{ twoVersions }
 
-func (laterNamed) Wanted(ids.Model, time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
+func (unseenVersion) Wanted(ids.Model, time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
 	return "1", time.Hour, nil
 }
 
-// namedSoon are weights whose version 2 is not named before its time.
-type namedSoon struct{ twoVersions }
+// futureVersion are weights whose version 2 is not named before its time.
+type futureVersion struct{ twoVersions }
 
-func (w namedSoon) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
+func (w futureVersion) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
 	if now.Before(w.named) {
 		return 0, false
 	}
@@ -208,17 +208,17 @@
 func TestNamedWhileACallWaits(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
 	r := promptRoute()
 	r.Timeout = 5 * time.Second
 	tf := newFleet(t, r, old)
 	named := time.Now().Add(200 * time.Millisecond)
-	tf.f.Weights = namedSoon{twoVersions{named: named, within: within}}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.f.Weights = futureVersion{twoVersions{named: named, within: within}}
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	if resp, _, err := tf.ask(t, "Model", "m"); err != nil || resp.StatusCode == http.StatusOK {
 		t.Errorf("got %v, %v", resp, err)
 	}
-	if late := (<-left).Sub(named) - within; late < 0 || late > weightsCheck+loadSlack {
+	if late := (<-left).Sub(named) - within; late < 0 || late > weightsCheckInterval+loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
 	}
 }
@@ -252,7 +252,7 @@
 				if withdrawn := ctx.Err() != nil; withdrawn != c.want {
 					t.Errorf("withdrawn: %v, want %v", withdrawn, c.want)
 				}
-				send.endWatch()
+				send.stopWeightsWatch()
 			})
 		})
 	}
@@ -261,9 +261,9 @@
 // TestBegunIsNotWithdrawn ends the watch of a send with its first event, and with its end,
 // though its time is already up: an event that was read is passed on and not cut off.
 func TestBegunIsNotWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(*try){"begun": (*try).endWatch, "begun in the moment": func(send *try) {
-		send.endWatch()
-		send.weightsAged() // its timer had fired
+	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun in the moment": func(send *try) {
+		send.stopWeightsWatch()
+		send.recheckWeights() // its timer had fired
 	}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -298,10 +298,10 @@
 		want  int
 	}{"may run again": {resumable, 1}, "may run once": {once, 0}, "shows no beginning": {plain, 0}} {
 		t.Run(name, func(t *testing.T) {
-			old := newStandIn(t, "old", events(2, 0, false))
+			old := newFakeReplica(t, "old", events(2, 0, false))
 			tf := newFleet(t, c.route, old)
 			tf.f.Weights = twoVersions{named: time.Now(), within: 1800 * time.Millisecond}
-			tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+			tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 			if _, _, err := tf.ask(t, "Model", "m"); err != nil {
 				t.Fatal(err)
 			}
@@ -315,12 +315,12 @@
 // TestWithdrawalBlamesNobody withdraws calls from a replica again and again: that says
 // nothing against it, but each may have run.
 func TestWithdrawalBlamesNobody(t *testing.T) {
-	old := newStandIn(t, "old", ok("x"))
+	old := newFakeReplica(t, "old", ok("x"))
 	r := promptRoute()
 	tf := newFleet(t, r, old)
 	call := &run{f: tf.f, route: &r}
 	for range 5 {
-		call.learn(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
+		call.recordOutcome(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
 	}
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
 		t.Errorf("the replica counts as %+v", status)
@@ -341,7 +341,7 @@
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
 		}
-		send.stall = newStallTimer(send.silent)
+		send.stall = newStallTimer(send.onStall)
 		send.watchWeights()
 		send.end()
 		time.Sleep(time.Minute)
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -11,12 +11,12 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// wholeBytes is the longest answer that is read whole before any of it is passed
+// bufferBytes is the longest answer that is read whole before any of it is passed
 // on, in bytes. A failure within it can still be mended by another attempt.
-const wholeBytes = 512 << 10
+const bufferBytes = 512 << 10
 
-// whole passes on an answer that is no stream of events.
-func (t *try) whole(a *upstream.Answer) *outcome.Error {
+// relayBuffered passes on an answer that is no stream of events.
+func (t *try) relayBuffered(a *upstream.Answer) *outcome.Error {
 	limit, release := t.r.bufferFor(a.Length())
 	defer release()
 	var buf bytes.Buffer
@@ -25,17 +25,17 @@
 	}
 	n, err := io.CopyN(&buf, a.Body, limit)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return t.broken(err)
+		return t.brokenAnswer(err)
 	}
 	t.stall.stop()
-	t.started()
+	t.firstOutput()
 	r := t.r
-	r.progress.event(clock.Now())
+	r.progress.observe(clock.Now())
 	length := unknownLength
 	if n < limit && r.req.Method != http.MethodHead {
 		length = buf.Len()
 	}
-	r.passHead(a, length)
+	r.writeHead(a, length)
 	if n < limit {
 		// The target is done, however long the caller takes to read.
 		a.Close()
@@ -48,29 +48,29 @@
 	if n < limit {
 		return nil
 	}
-	return t.rest(a)
+	return t.relayRest(a)
 }
 
-// rest passes on what lies beyond wholeBytes, as it comes.
-func (t *try) rest(a *upstream.Answer) *outcome.Error {
-	piece := make([]byte, pieceBytes)
+// relayRest passes on what lies beyond wholeBytes, as it comes.
+func (t *try) relayRest(a *upstream.Answer) *outcome.Error {
+	chunk := make([]byte, chunkBytes)
 	for {
-		n, err := a.Body.Read(piece)
-		if werr := t.write(piece[:n]); werr != nil {
+		n, err := a.Body.Read(chunk)
+		if werr := t.write(chunk[:n]); werr != nil {
 			return t.callerGone(werr)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return t.broken(err)
+			return t.brokenAnswer(err)
 		}
 	}
 }
 
-// broken types an answer that ended before it was whole.
-func (t *try) broken(err error) *outcome.Error {
-	return t.typed(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's answer broke off"))
+// brokenAnswer types an answer that ended before it was whole.
+func (t *try) brokenAnswer(err error) *outcome.Error {
+	return t.classify(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's answer broke off"))
 }
 
 func (t *try) callerGone(err error) *outcome.Error {
--- a/internal/forward/withdraw.go
+++ b/internal/forward/withdraw.go
@@ -20,12 +20,12 @@
 type weightsWatch struct {
 	mu    sync.Mutex
 	timer *time.Timer // nil: the send needs no watch
-	over  bool        // it has begun, has ended or was withdrawn
+	done  bool        // it has begun, has ended or was withdrawn
 }
 
-// weightsCheck is how often a call that waits looks how long its replica's weights may
+// weightsCheckInterval is how often a call that waits looks how long its replica's weights may
 // still be used: newer ones may be named, and peers may know that they were named earlier.
-const weightsCheck = time.Second
+const weightsCheckInterval = time.Second
 
 // watchWeights withdraws the call from the replica when it has not begun there and the
 // replica's weights become too old. Versions that are named while it waits count, too.
@@ -34,42 +34,42 @@
 	if t.r.call.Prompt == nil || !t.r.route.Prompts || t.r.route.Kind != streamKind {
 		return
 	}
-	t.age.mu.Lock()
-	defer t.age.mu.Unlock()
-	t.age.timer = time.AfterFunc(min(t.weightsLeft(), weightsCheck), t.weightsAged)
+	t.weights.mu.Lock()
+	defer t.weights.mu.Unlock()
+	t.weights.timer = time.AfterFunc(min(t.weightsLeft(), weightsCheckInterval), t.recheckWeights)
 }
 
 // weightsLeft is how long the replica's weights are sure to be usable.
 func (t *try) weightsLeft() time.Duration {
 	left, behind := t.r.f.Weights.Left(t.r.call.Prompt.Model, t.c.target.Weights, clock.Now())
 	if !behind {
-		return weightsCheck
+		return weightsCheckInterval
 	}
 	return max(left, 0)
 }
 
-// weightsAged is called when the replica's weights may have become too old.
-func (t *try) weightsAged() {
-	t.age.mu.Lock()
-	defer t.age.mu.Unlock()
-	if t.age.over {
+// recheckWeights is called when the replica's weights may have become too old.
+func (t *try) recheckWeights() {
+	t.weights.mu.Lock()
+	defer t.weights.mu.Unlock()
+	if t.weights.done {
 		return
 	}
 	if left := t.weightsLeft(); left > 0 {
-		t.age.timer.Reset(min(left, weightsCheck))
+		t.weights.timer.Reset(min(left, weightsCheckInterval))
 		return
 	}
-	t.age.over = true
+	t.weights.done = true
 	t.r.f.Stats.Withdrawn.Add(1)
 	t.cancel(errOldWeights)
 }
 
-// endWatch ends watchWeights: the call has begun, or is over.
-func (t *try) endWatch() {
-	t.age.mu.Lock()
-	defer t.age.mu.Unlock()
-	t.age.over = true
-	if t.age.timer != nil {
-		t.age.timer.Stop()
+// stopWeightsWatch ends watchWeights: the call has begun, or is over.
+func (t *try) stopWeightsWatch() {
+	t.weights.mu.Lock()
+	defer t.weights.mu.Unlock()
+	t.weights.done = true
+	if t.weights.timer != nil {
+		t.weights.timer.Stop()
 	}
 }
