--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -159,7 +159,7 @@
 	return Metrics{
 		Requests: s.Requests.Load(), Refused: s.Refused.Load(), Shed: s.Shed.Load(), Failed: s.Failed.Load(), Broken: s.Broken.Load(),
 		InFlight: f.InFlight(), Attempts: s.Attempts.Load(), Retries: s.Retries.Load(), BudgetEmpty: s.BudgetEmpty.Load(), Withdrawn: s.Withdrawn.Load(),
-		Unread: s.Unread.Load(), AnswerBytes: f.AnswerBytes(),
+		Unread: s.Unread.Load(), AnswerBytes: f.ResponseBytes(),
 		Events: s.Events.Load(), Fetches: s.Fetches.Load(), Saves: s.Saves.Load(),
 		Dials: f.Upstream.Dials.Load(), Reuses: f.Upstream.Reuses.Load(), Strays: f.Upstream.Strays.Load(),
 		ProofAgeMs: d.Catalog.ProofAge(clock.Now()).Milliseconds(), Latency: &f.Latency, Prediction: &f.Prediction, Rollout: d.rolloutMetrics(),
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -232,9 +232,9 @@
 		AddRendezvousTargets: d.Replicas.Visit,
 		ObserveWeights:       func(id ids.Target, w ids.WeightsVersion) { d.Replicas.SetWeights(id, w, "answer") },
 		Tuning: forward.Tuning{
-			MaxBodyMemory:   int64(float64(edge.MemoryMB<<20) * bodyShare),
-			MaxInFlight:     int64(s.MaxInFlight),
-			MaxAnswerMemory: edge.AnswerMB << 20, MaxAnswerMemoryPerWorkspace: int64(float64(edge.AnswerMB<<20) * answersOfOne),
+			MaxBodyMemory:     int64(float64(edge.MemoryMB<<20) * bodyShare),
+			MaxInFlight:       int64(s.MaxInFlight),
+			MaxResponseMemory: edge.AnswerMB << 20, MaxResponseMemoryPerWorkspace: int64(float64(edge.AnswerMB<<20) * answersOfOne),
 			ReaderTimeout: edge.ReaderTimeout.D(),
 		},
 	}
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -124,7 +124,7 @@
 	if r.workspace != nil {
 		ws = r.workspace.Name
 	}
-	if bytes <= chunkBytes || !r.f.answers.reserve(ws, held, tu.MaxAnswerMemory, tu.MaxAnswerMemoryPerWorkspace) {
+	if bytes <= chunkBytes || !r.f.answers.reserve(ws, held, tu.MaxResponseMemory, tu.MaxResponseMemoryPerWorkspace) {
 		return min(bytes, chunkBytes), func() {}
 	}
 	return bytes, func() { r.f.answers.release(ws, held) }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -157,17 +157,17 @@
 	MaxBodyMemory int64
 	// MaxInFlight bounds calls in flight.
 	MaxInFlight int64
-	// MaxAnswerMemory bounds the answers that are read whole before they are passed on, in bytes,
-	// and MaxAnswerMemoryPerWorkspace those of one workspace. Zero: none is.
-	MaxAnswerMemory, MaxAnswerMemoryPerWorkspace int64
+	// MaxResponseMemory bounds the answers that are read whole before they are passed on, in bytes,
+	// and MaxResponseMemoryPerWorkspace those of one workspace. Zero: none is.
+	MaxResponseMemory, MaxResponseMemoryPerWorkspace int64
 	// ReaderTimeout is how long a caller may leave a piece of its answer unread. Zero: for good.
 	ReaderTimeout time.Duration
 }
 
 var _ http.Handler = (*Forwarder)(nil)
 
-// AnswerBytes returns how much the answers hold that are read whole, in bytes.
-func (f *Forwarder) AnswerBytes() int64 { return f.answers.InUse() }
+// ResponseBytes returns how much the answers hold that are read whole, in bytes.
+func (f *Forwarder) ResponseBytes() int64 { return f.answers.InUse() }
 
 // InFlight returns how many calls are being served.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
