--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -15,40 +15,40 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// WantedWeights tells which weights of a model operators want.
+// WantedWeights reports which weights of a model operators want.
 type WantedWeights interface {
-	// Wanted returns the newest version, for how long it has been named, and how much
-	// longer older ones may be used. Empty: none was named.
+	// Wanted returns the newest version, the time since operators named it, and how much
+	// longer older versions may be used. The version is empty if none was named.
 	Wanted(m ids.Model, now time.Time) (newest ids.WeightsVersion, since time.Duration, old []routing.WeightsBound)
-	// Left tells whether weights are older than the newest, and how much longer they
-	// may be used; negative when they no longer may.
+	// Left reports whether weights are older than the newest version, and how much longer
+	// they may be used. The time is negative once they may no longer be used.
 	Left(m ids.Model, has ids.WeightsVersion, now time.Time) (left time.Duration, behind bool)
 }
 
-// choice is a decided replica and what goes along with the call.
+// choice is the replica that a decision picked, with the data that is sent along with the call.
 type choice struct {
 	target         routing.Target
-	wait           time.Duration  // predicted until the first event
-	queue          time.Duration  // of that, until the replica turns to the call
-	rate           float32        // tokens/s at which the replica is taken to work
-	age            time.Duration  // of what was known of the replica's load
-	levels         []prefix.Level // shared parts
+	wait           time.Duration  // predicted time until the first event
+	queue          time.Duration  // part of wait before the replica starts on the call
+	rate           float32        // estimated speed of the replica, in tokens/s
+	age            time.Duration  // of the load report that the prediction used
+	levels         []prefix.Level // shared parts of the prompt
 	work           int32          // tokens that the replica is expected to compute
 	salt           string
-	home           string // address of the replica that computes shared parts which nobody is known to hold; empty: the target
+	rendezvous     string // address of the rendezvous target, which computes shared parts that no replica is known to hold; empty: the target itself
 	fetch          string
 	save           string
-	pass           *canary.Pass // to the target's version; nil: versions are not told apart
-	representative bool         // how long the answer takes shows how fast the target is
+	pass           *canary.Pass // to the target's version; nil: software versions are not distinguished
+	representative bool         // the response's latency shows the speed of the target
 }
 
-// noTargetRetryAfter is when a caller should come back when no replica can serve: about
-// the time in which a replica's return is noticed.
+// noTargetRetryAfter is the Retry-After when no replica can serve: about the time in which
+// this VM notices that a replica is back.
 const noTargetRetryAfter = 200 * time.Millisecond
 
-// newWeightsGrace is how long after weights were named nothing is preferred for having
-// them: operators give that time, and the first engines that have them would get
-// everybody's requests at once.
+// newWeightsGrace is the time after new weights are named during which engines that have them
+// are not preferred. Operators allow that time, and without it the first engines with the new
+// weights would get the requests of all VMs at once.
 const newWeightsGrace = time.Second
 
 // decide picks a replica of the call's service.
@@ -58,9 +58,9 @@
 	var parts []kvcache.Part
 	p := r.call.Prompt
 	if p != nil && r.route.Prompts {
-		wall := r.catalog.Wall(r.workspace)
+		isolationKey := r.catalog.Wall(r.workspace)
 		parts = kvcache.Shared(p.Parts)
-		req.Levels = kvcache.Levels(wall, p.Model, parts)
+		req.Levels = kvcache.Levels(isolationKey, p.Model, parts)
 		req.Tokens = p.Tokens
 		req.FetchRate = f.KV.FetchRate
 		req.Pending = f.KV.computingTarget(req.Levels)
@@ -83,10 +83,10 @@
 		age: f.Fleet.LoadAge(snap, d.Index), pass: pass, representative: isRepresentative(snap, d.Index, &sc.Inputs[d.Index]), levels: req.Levels, work: max(req.Tokens-d.Cached, 0),
 	}
 	if len(req.Levels) > 0 || p != nil && r.route.Prompts {
-		wall := r.catalog.Wall(r.workspace)
-		c.salt = kvcache.Salt(c.target.Weights, wall)
-		c.home = homeOf(&c, snap, sc.Routing.Home())
-		f.KV.plan(&c, &req, snap, sc, r.kvStore(req.Levels), wall, p.Model, parts)
+		isolationKey := r.catalog.Wall(r.workspace)
+		c.salt = kvcache.Salt(c.target.Weights, isolationKey)
+		c.rendezvous = rendezvousAddr(&c, snap, sc.Routing.Home())
+		f.KV.plan(&c, &req, snap, sc, r.kvStore(req.Levels), isolationKey, p.Model, parts)
 	}
 	r.logDecision(snap, &d, sc, &c)
 	refusal := r.shed(&c)
@@ -97,11 +97,12 @@
 	return c, refusal
 }
 
-// rendezvousTargets is how many replicas come first for a prefix: a second one for when the first is gone.
+// rendezvousTargets is the number of rendezvous targets of a prefix that a VM keeps track of.
+// The second one stands in when the first is gone.
 const rendezvousTargets = 2
 
-// addRendezvousTargets lets the decision know where all VMs compute the prompt's shared levels, though these
-// replicas may be none of this VM's.
+// addRendezvousTargets makes the rendezvous targets of the prompt's shared levels known to the
+// decision, although they may lie outside this VM's subset of replicas.
 func (r *run) addRendezvousTargets(levels []prefix.Level) {
 	if r.f.AddRendezvousTargets != nil && len(levels) > 0 {
 		r.f.AddRendezvousTargets(r.service, routing.HomeKey(levels), rendezvousTargets)
@@ -110,20 +111,20 @@
 
 func seconds(s float32) time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// homeOf returns the address of the home, unless that is the choice itself or has
-// other weights.
-func homeOf(c *choice, snap *fleet.Snapshot, home int) string {
-	if home < 0 || home >= len(snap.View.Targets) {
+// rendezvousAddr returns the address of the rendezvous target with index home. It is empty if that
+// replica is the choice itself or has other weights.
+func rendezvousAddr(c *choice, snap *fleet.Snapshot, index int) string {
+	if index < 0 || index >= len(snap.View.Targets) {
 		return ""
 	}
-	t := &snap.View.Targets[home]
+	t := &snap.View.Targets[index]
 	if t.ID == c.target.ID || t.Weights != c.target.Weights {
 		return ""
 	}
 	return t.Addr
 }
 
-// kvStore returns the store for a prompt; nil: none.
+// kvStore returns the KV store for a prompt, or nil if there is none.
 func (r *run) kvStore(levels []prefix.Level) *catalog.KVStore {
 	if len(levels) == 0 {
 		return nil
@@ -138,10 +139,11 @@
 		Float32("cost_s", d.Cost).Int32("cached", d.Cached).Int32("best_cached", d.BestCached).
 		Int64("predicted_ms", c.wait.Milliseconds()).Float32("rate", c.rate).Float32("queue_tokens", in.QueueTokens).Int32("in_flight", in.InFlight).Float32("fail_rate", in.FailRate).
 		Int64("view_age_ms", snap.Age(clock.Now()).Milliseconds()).Int("eligible", sc.Routing.Filtered[routing.Passed]).
-		Str("levels", levelText(c.levels)).Str("home", c.home).Str("fetch", c.fetch).Str("save", c.save).Uint64("catalog", r.catalog.Version).Send()
+		Str("levels", levelText(c.levels)).Str("home", c.rendezvous).Str("fetch", c.fetch).Str("save", c.save).Uint64("catalog", r.catalog.Version).Send()
 }
 
-// levelText names the shared levels of a prompt in logs, as id:tokens up to its end.
+// levelText formats the shared levels of a prompt for logs, as id:tokens, where tokens is the
+// position at which the level ends.
 func levelText(levels []prefix.Level) string {
 	b := make([]byte, 0, levelTextBytes*len(levels))
 	for i, l := range levels {
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -12,15 +12,15 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// chunkBytes is how much of an answer is written at a time. A caller that takes a piece in less
-// than Tuning.ReaderTimeout goes on getting its answer, however slowly.
+// chunkBytes is the size of one write of a response. A caller that reads each chunk within
+// Tuning.ReaderTimeout keeps receiving its response, however slowly it reads.
 const chunkBytes = 16 << 10
 
-// errUnread is a caller that leaves its answer unread.
-var errUnread = errors.New("the caller leaves its answer unread")
+// errUnread is the cause when a caller does not read its response.
+var errUnread = errors.New("the caller did not read its response within the reader timeout")
 
-// write passes a part of the answer on. While the caller does not read, the target's silence is
-// not its own.
+// write sends a part of the response to the caller. The stall timer is paused meanwhile: a target
+// may stop sending because the caller does not read.
 func (t *try) write(p []byte) error {
 	return t.timeWrite(func() error {
 		for len(p) > 0 {
@@ -35,7 +35,7 @@
 	})
 }
 
-// flush sees to it that what was written is on its way.
+// flush sends buffered data to the caller.
 func (t *try) flush() error {
 	return t.timeWrite(func() error {
 		t.r.extendWriteDeadline()
@@ -43,6 +43,7 @@
 	})
 }
 
+// timeWrite calls f with the stall timer paused and adds its duration to t.unread.
 func (t *try) timeWrite(f func() error) error {
 	t.stall.pause()
 	began := clock.Now()
@@ -55,32 +56,32 @@
 	return err
 }
 
-// extendWriteDeadline gives the caller its time to read the next piece.
+// extendWriteDeadline gives the caller ReaderTimeout to read the next chunk.
 func (r *run) extendWriteDeadline() {
 	if d := r.f.Tuning.ReaderTimeout; d > 0 {
-		_ = http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(d)) // a writer without deadlines is no connection
+		_ = http.NewResponseController(r.w).SetWriteDeadline(time.Now().Add(d)) // fails only for writers that are not connections
 	}
 }
 
-// maxUnreadBlamed is for how long a caller may have left an answer unread before the end of it is no
-// longer held against the target: targets cut off answers that stay unread.
+// maxUnreadBlamed is the longest time that a caller may leave a response unread for a broken
+// stream still to count against the target. Targets cut off responses that stay unread.
 const maxUnreadBlamed = 500 * time.Millisecond
 
-// brokeOffUnread tells whether an answer broke off that the caller had not read.
+// brokeOffUnread reports whether the response broke off after the caller had left it unread for too long.
 func (t *try) brokeOffUnread(err *outcome.Error) bool {
 	return err.Code == outcome.CodeStreamBroken && t.unread > maxUnreadBlamed
 }
 
-// answerMemory bounds what answers that are read whole hold in memory, over all calls and for
-// each workspace. It holds a number for each workspace that has some. Safe for concurrent use.
-type answerMemory struct {
+// responseMemory bounds the memory of buffered responses, in total and for each workspace. It keeps
+// an entry only for workspaces that have memory reserved. Safe for concurrent use.
+type responseMemory struct {
 	mu          sync.Mutex
 	inUse       int64
 	byWorkspace map[ids.Workspace]int64
 }
 
-// reserve sets memory aside for one answer; false: there is not enough.
-func (m *answerMemory) reserve(ws ids.Workspace, bytes, limit, workspaceLimit int64) bool {
+// reserve sets memory aside for one response and reports whether both limits allow it.
+func (m *responseMemory) reserve(ws ids.Workspace, bytes, limit, workspaceLimit int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.inUse+bytes > limit || m.byWorkspace[ws]+bytes > workspaceLimit {
@@ -94,7 +95,7 @@
 	return true
 }
 
-func (m *answerMemory) release(ws ids.Workspace, bytes int64) {
+func (m *responseMemory) release(ws ids.Workspace, bytes int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inUse -= bytes
@@ -103,29 +104,29 @@
 	}
 }
 
-// InUse returns how much answers hold, in bytes.
-func (m *answerMemory) InUse() int64 {
+// InUse returns the memory reserved for responses, in bytes.
+func (m *responseMemory) InUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inUse
 }
 
-// bufferFor is how much of an answer is read before any of it is passed on, in bytes, and a
-// function that gives the memory for it back. Without memory left it is one piece: the answer is
-// passed on as it comes, and a failure within it can't be mended any more.
+// bufferFor returns how many bytes of a response to read before passing any of it on, and a
+// function that releases the memory. If no memory is left, this is one chunk: the response is then
+// passed on as it arrives, and another attempt can no longer replace a response that breaks off.
 func (r *run) bufferFor(length int64) (bytes int64, release func()) {
 	bytes = int64(bufferBytes)
-	held := 2 * bytes // a buffer that grows doubles
+	held := 2 * bytes // a growing buffer doubles its size
 	if length >= 0 {
-		bytes = min(length+1, bytes) // one more than there is, to find the end
+		bytes = min(length+1, bytes) // one byte more than the length, so that the read reaches the end
 		held = bytes
 	}
 	tu, ws := &r.f.Tuning, ids.Workspace("")
 	if r.workspace != nil {
 		ws = r.workspace.Name
 	}
-	if bytes <= chunkBytes || !r.f.answers.reserve(ws, held, tu.MaxResponseMemory, tu.MaxResponseMemoryPerWorkspace) {
+	if bytes <= chunkBytes || !r.f.responses.reserve(ws, held, tu.MaxResponseMemory, tu.MaxResponseMemoryPerWorkspace) {
 		return min(bytes, chunkBytes), func() {}
 	}
-	return bytes, func() { r.f.answers.release(ws, held) }
+	return bytes, func() { r.f.responses.release(ws, held) }
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,29 +1,28 @@
-// Package forward is the request path for opaque calls: their bodies pass through
-// unchanged, and what has to be known of them stands in their headers.
+// Package forward implements the request path for opaque calls: it passes bodies through
+// unchanged and takes all metadata of a call from its headers.
 //
-// # Promises
+// # Guarantees
 //
 //   - A call that may not be repeated is sent again only after an attempt that
 //     provably did not run (outcome.NotRun).
-//   - A refusal that says "not run" is given only if no attempt of the call may
-//     have run.
-//   - An answer reaches the caller only if it is the call's own and whole; a stream
-//     that breaks ends with a cut connection, never as if complete.
-//   - Events of a stream go out in order, each whole and once, also when another
-//     replica goes on behind the last one.
-//   - A call with an API key is sent only while this VM can prove that its
-//     catalog was the newest a short while ago, also if the VM was suspended since.
-//   - Workspaces keep to their allowances over all VMs together (package allowance).
-//   - A request under which replicas crash again and again is kept from further
-//     ones, whichever VM it comes to (package quarantine).
+//   - A refusal says "not run" only if no attempt of the call may have run.
+//   - A response reaches the caller only if it belongs to the call and is complete. A
+//     stream that breaks ends with a cut connection, so it never looks complete.
+//   - Events of a stream are delivered in order, each complete and once, also when
+//     another replica resumes the stream after the last one.
+//   - A call with an API key is sent only while this VM can prove that its catalog was
+//     the newest one within KeyTTL. This holds across suspensions of the VM.
+//   - Workspaces keep to their allowances summed over all VMs (package allowance).
+//   - A request that repeatedly crashes replicas is kept from further replicas,
+//     whichever VM receives it (package quarantine).
 //
 // # Stages
 //
-// admit (handler.go) reads the call, the catalog and the key; decide.go picks a
-// replica and what KV cache it should fetch; run.go sends, judges the outcome and
-// tries again where that is allowed; whole.go and stream.go pass answers on.
+// admit (handler.go) reads the call, the catalog and the key. decide.go picks a replica
+// and where it fetches KV cache from. run.go sends the call, classifies the outcome and
+// retries where that is allowed. whole.go and stream.go pass responses on.
 //
-// How callers and replicas name things in their headers is a Dialect's matter.
+// A Dialect defines the header names that callers and replicas use.
 package forward
 
 import (
@@ -44,52 +43,52 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// Call is what a caller says of its request.
+// Call is the metadata that a caller gives for its request.
 type Call struct {
 	ID        ids.Request
 	Key       string        // API key; empty: none
-	Deadline  time.Duration // how long the caller waits, from the call's arrival; zero: not said
-	Tokens    int64         // of its prompt and at most of its answer; zero: not said
-	Prompt    *Prompt       // nil: none described
-	LastEvent string        // the caller has a stream up to this event
+	Deadline  time.Duration // how long the caller waits, from the call's arrival; zero: not given
+	Tokens    int64         // prompt tokens plus the maximum of response tokens; zero: not given
+	Prompt    *Prompt       // nil: no prompt described
+	LastEvent string        // resume the stream after this event; empty: from the start
 }
 
-// Prompt describes a prompt without showing it.
+// Prompt describes a prompt without its text.
 type Prompt struct {
 	Model  ids.Model
-	Tokens int32 // of the prompt
+	Tokens int32 // of the whole prompt
 	Parts  []kvcache.Part
 }
 
-// Send is what goes along with one attempt, beside the caller's own headers.
+// Send is the metadata of one attempt, sent in addition to the caller's own headers.
 type Send struct {
 	Call      *Call
 	Replica   ids.Target
 	Workspace ids.Workspace // empty: the route is public
-	Remaining time.Duration // until nobody waits any more
-	Priority  int           // 0 to 9, 0 is first
-	LastEvent string        // go on behind this event; empty: from the start
+	Remaining time.Duration // until the call's deadline
+	Priority  int           // 0 to 9; 0 is the most urgent
+	LastEvent string        // resume after this event; empty: from the start
 	Weights   ids.WeightsVersion
 	Salt      string // empty: none
 	Fetch     string // ip:port to fetch KV cache from; empty: none
 	Save      string // ip:port to save KV cache to; empty: none
 }
 
-// Reply is what the head of an answer says of itself.
+// Reply is the metadata in the head of a response.
 type Reply struct {
-	Request  ids.Request        // the request that it answers; empty: it does not say
-	Signed   bool               // it bears the replica's signature
+	Request  ids.Request        // the request that it answers; empty: not given
+	Signed   bool               // it carries the replica's signature
 	NotRun   bool               // the replica did not run the request
-	Mismatch bool               // the replica has other weights, or another identity, than asked for
-	Replica  ids.Target         // who answered; empty: it does not say
-	Weights  ids.WeightsVersion // the weights that it has; empty: it does not say
-	Signals  membership.Signals // what the replica asks for
+	Mismatch bool               // the replica has other weights, or another identity, than requested
+	Replica  ids.Target         // the replica that answered; empty: not given
+	Weights  ids.WeightsVersion // the weights that the replica has; empty: not given
+	Signals  membership.Signals // rests, limits and leaving that the replica announces
 }
 
-// Dialect translates between headers and this package's types. It decides nothing.
+// Dialect translates between headers and this package's types. It makes no decisions.
 type Dialect interface {
 	ReadCall(h http.Header) (Call, error)
-	// WriteSend removes from h what only the router may say, and adds s.
+	// WriteSend removes from h the headers that only the router may set, and adds s.
 	WriteSend(h http.Header, s *Send)
 	ReadReply(status int, h http.Header) Reply
 }
@@ -97,15 +96,16 @@
 // Stats are counters of the request path.
 type Stats struct {
 	Requests, Refused, Shed, Failed, Broken, Attempts, Retries, BudgetEmpty atomic.Int64
-	// Withdrawn are sends that were ended since the replica had not begun them when its
-	// weights became too old.
+	// Withdrawn counts sends that were cancelled because the replica had not begun them when
+	// its weights became too old.
 	Withdrawn atomic.Int64
-	// Unread are calls that were cut off since their callers did not read.
+	// Unread counts calls that were cut off because their callers did not read.
 	Unread                 atomic.Int64
 	Fetches, Saves, Events atomic.Int64
 }
 
-// Forwarder serves opaque calls. Its fields are set before it serves.
+// Forwarder serves opaque calls. Set its exported fields before it serves; the atomic ones may
+// change at any time. Safe for concurrent use.
 type Forwarder struct {
 	VM       ids.VM
 	Domain   ids.FailureDomain
@@ -117,38 +117,40 @@
 	KV       *Planner
 	Weights  WantedWeights
 	Log      *eventlog.Log
-	// Allowances bounds what workspaces use over all VMs. Nil: nothing does.
+	// Allowances bounds the use of workspaces summed over all VMs. Nil: no bounds.
 	Allowances *allowance.Limiter
-	// Guard keeps requests that crash replicas from further ones. Nil: none are.
+	// Guard keeps requests that crash replicas from further replicas. Nil: no request is
+	// kept back.
 	Guard *quarantine.Guard
-	// AddRendezvousTargets sees to it that decisions know the replicas that come first for a key. Nil: they
-	// know all.
+	// AddRendezvousTargets makes the first n rendezvous targets of a key known to decisions.
+	// Nil: decisions know all replicas.
 	AddRendezvousTargets func(service string, key uint64, n int)
-	// Software decides to which versions of a service's software calls go. Nil: to all.
+	// Software selects the versions of a service's software that calls may go to. Nil: all.
 	Software *canary.Gate
-	// ObserveWeights is told what weights a replica says it has.
+	// ObserveWeights records the weights that a replica reports in a response.
 	ObserveWeights func(id ids.Target, w ids.WeightsVersion)
 	Tuning         Tuning
-	// KeyTTL is how old the proof of the catalog may be when a call with an API key is
-	// sent, a time.Duration. Zero: any age.
+	// KeyTTL is the maximum age of the proof that the catalog is the newest when a call with
+	// an API key is sent, as a time.Duration. Zero: any age.
 	KeyTTL  atomic.Int64
 	Stats   Stats
 	Latency Histogram
-	// Prediction tells by how much predicted times to the first event were wrong.
+	// Prediction counts the errors of predicted times to the first event.
 	Prediction PredictionErrors
-	// Late tells whether and why answers were late, and Refusals why there were none.
+	// Late counts responses by whether and why they were late, and Refusals counts refusals and
+	// failures by cause.
 	Late     LateCounts
 	Refusals RefusalCounts
 
-	// Draining is set when the VM shuts down: answers then ask callers to come
-	// back on another connection.
+	// Draining is set when the VM shuts down: responses then ask callers to use another
+	// connection.
 	Draining atomic.Bool
 
 	usual     usualWork
 	calls     activeCalls
 	inFlight  atomic.Int64
 	bodyBytes atomic.Int64
-	answers   answerMemory
+	responses responseMemory
 }
 
 // Tuning holds the bounds of the request path. Settings fill it.
@@ -157,17 +159,18 @@
 	MaxBodyMemory int64
 	// MaxInFlight bounds calls in flight.
 	MaxInFlight int64
-	// MaxResponseMemory bounds the answers that are read whole before they are passed on, in bytes,
-	// and MaxResponseMemoryPerWorkspace those of one workspace. Zero: none is.
+	// MaxResponseMemory bounds the memory of responses that are buffered before they are passed on,
+	// in bytes, and MaxResponseMemoryPerWorkspace that of one workspace. Zero: responses are not
+	// buffered beyond one chunk.
 	MaxResponseMemory, MaxResponseMemoryPerWorkspace int64
-	// ReaderTimeout is how long a caller may leave a piece of its answer unread. Zero: for good.
+	// ReaderTimeout is how long a caller may leave a chunk of its response unread. Zero: no limit.
 	ReaderTimeout time.Duration
 }
 
 var _ http.Handler = (*Forwarder)(nil)
 
-// ResponseBytes returns how much the answers hold that are read whole, in bytes.
-func (f *Forwarder) ResponseBytes() int64 { return f.answers.InUse() }
+// ResponseBytes returns the memory reserved for buffered responses, in bytes.
+func (f *Forwarder) ResponseBytes() int64 { return f.responses.InUse() }
 
-// InFlight returns how many calls are being served.
+// InFlight returns the number of calls being served.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -21,7 +21,7 @@
 	w        http.ResponseWriter
 	req      *http.Request
 	received time.Time
-	ends     time.Time // nobody waits for an answer after this
+	ends     time.Time // the call's deadline
 
 	call      Call
 	catalog   *catalog.Catalog
@@ -31,31 +31,31 @@
 	body      []byte
 
 	tried    []ids.Target
-	sends    int  // sends so far, whatever became of them
+	sends    int  // sends so far, with any outcome
 	attempts int  // sends that may have run
-	mayRan   bool // an attempt ended in another way than not-run
-	begun    bool // something of the answer was passed on
-	status   int  // the status that was passed on
+	mayRan   bool // an attempt ended with another outcome than not-run
+	begun    bool // a part of the response was passed on
+	status   int  // of the response that was passed on
 	stream   streamState
 	progress progress
-	proofAge time.Duration // of the catalog, when the call was judged by it
+	proofAge time.Duration // of the catalog, when it was applied to the call
 	guard    quarantine.Call
 	charge   charge
 }
 
-// vmRetryAfter is when a caller should come back to a VM that lacks something it
-// needs; other VMs may have it.
+// vmRetryAfter is the Retry-After of a VM that lacks something it needs to serve the call.
+// Other VMs may have it.
 const vmRetryAfter = 100 * time.Millisecond
 
 // ServeHTTP implements http.Handler.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r := &run{f: f, w: w, req: req, received: clock.Now()}
 	f.Stats.Requests.Add(1)
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) // that of the call before
-	defer r.extendWriteDeadline()                                   // what is still buffered is written after this
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) // clears the deadline of the previous call on the connection
+	defer r.extendWriteDeadline()                                   // the server writes buffered data after the handler returns
 	defer f.inFlight.Add(-1)
 	if f.inFlight.Add(1) > f.Tuning.MaxInFlight {
-		r.refuse(outcome.New(outcome.NotRun, outcome.CodeOverloaded, "admit", "", "this VM is full").After(vmRetryAfter))
+		r.refuse(outcome.New(outcome.NotRun, outcome.CodeOverloaded, "admit", "", "this VM is at its limit of requests in flight").After(vmRetryAfter))
 		return
 	}
 	release, refusal := r.admit()
@@ -71,8 +71,8 @@
 	r.serve(ctx)
 }
 
-// admit reads the call and decides whether it may be sent at all. release must be
-// called when the call ends.
+// admit reads the call and decides whether it may be sent at all. The caller must call
+// release when the call ends, also after a refusal.
 func (r *run) admit() (release func(), refusal *outcome.Error) {
 	release = func() {}
 	call, err := r.f.Dialect.ReadCall(r.req.Header)
@@ -87,26 +87,26 @@
 	if refusal != nil {
 		return release, refusal
 	}
-	// The configuration is taken after the body, which a slow caller may send for
-	// longer than a new version needs to come into force.
+	// Read the configuration after the body: a slow caller may take longer to send its body
+	// than a new version takes to come into force.
 	r.catalog = r.f.Catalog.Get()
 	return release, r.authorize()
 }
 
 // authorize finds the route and the workspace.
 func (r *run) authorize() *outcome.Error {
-	sure := r.catalogProven()
+	proven := r.catalogProven()
 	r.proofAge = r.f.Catalog.ProofAge(clock.Now())
 	r.route = r.catalog.Match(r.req.Host, r.req.URL.EscapedPath())
 	if r.route == nil {
-		return r.ifProven(sure, outcome.New(outcome.NotRun, outcome.CodeUnknownService, "route", "", "there is nothing at this host and path"))
+		return r.ifProven(proven, outcome.New(outcome.NotRun, outcome.CodeUnknownService, "route", "", "no route matches this host and path"))
 	}
 	if r.catalog.Keyed() && !r.route.Public {
 		r.workspace = r.catalog.WorkspaceOf(r.call.Key)
 		if r.workspace == nil {
-			return r.ifProven(sure, outcome.New(outcome.NotRun, outcome.CodeInvalidKey, "authenticate", "", "the API key is missing or wrong"))
+			return r.ifProven(proven, outcome.New(outcome.NotRun, outcome.CodeInvalidKey, "authenticate", "", "the API key is missing or wrong"))
 		}
-		if !sure {
+		if !proven {
 			return r.unprovenCatalog()
 		}
 	}
@@ -115,19 +115,19 @@
 	return r.chargeAllowance()
 }
 
-// weightStride spreads consecutive calls over a route's weights.
+// weightStride spreads consecutive calls over the services of a route in proportion to their weights.
 const weightStride = 0x9E3779B1
 
-// catalogProven tells whether the catalog was proven to be the newest a short while ago.
+// catalogProven reports whether the catalog was proven to be the newest within KeyTTL.
 func (r *run) catalogProven() bool {
 	ttl := time.Duration(r.f.KeyTTL.Load())
 	return ttl == 0 || r.f.Catalog.ProofAge(clock.Now()) < ttl
 }
 
-// ifProven returns a refusal that rests on the catalog, or, when that may be old,
-// one that says so: a new key or route may not have reached this VM.
-func (r *run) ifProven(sure bool, refusal *outcome.Error) *outcome.Error {
-	if sure {
+// ifProven returns a refusal that is based on the catalog. If the catalog may be outdated, it
+// returns a refusal that says so: a new key or route may not have reached this VM yet.
+func (r *run) ifProven(proven bool, refusal *outcome.Error) *outcome.Error {
+	if proven {
 		return refusal
 	}
 	return r.unprovenCatalog()
@@ -138,13 +138,13 @@
 		"this VM can't prove that its configuration is the newest").After(vmRetryAfter)
 }
 
-// recheckAdmission refuses a send whose call has no time left, or whose key can't be proven any more.
-// Both were in order when the call was admitted; it may have waited since, and the VM may
-// have stood still.
+// recheckAdmission refuses a send if the call's deadline has passed or the proof of its key has
+// expired. Both held when the call was admitted, but the call may have waited since, and the VM
+// may have been suspended.
 func (r *run) recheckAdmission() *outcome.Error {
 	switch {
 	case clock.Until(r.ends) <= 0:
-		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's time is over")
+		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's deadline has passed")
 	case r.workspace != nil && !r.catalogProven():
 		e := r.unprovenCatalog()
 		return outcome.Wrap(errNoLongerAllowed, e.Outcome, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// recheckSend refuses a send that is not allowed any more. Connecting may take a second, and the VM
-// may have stood still since the replica was chosen; it may have asked for a rest meanwhile.
+// recheckSend refuses a send that is no longer allowed. Since the decision, connecting may have
+// taken a second or the VM may have been suspended, and the replica may have asked for a rest.
 func (t *try) recheckSend() *outcome.Error {
 	if refusal := t.r.recheckAdmission(); refusal != nil {
 		return refusal
@@ -162,19 +162,19 @@
 		return refusal
 	}
 	if !t.r.superseded(t.c) && t.r.f.Fleet.Members.Declines(t.c.target.ID, clock.Now()) {
-		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica rests or leaves since it was chosen")
+		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica has asked for a rest or is leaving since it was chosen")
 	}
 	return nil
 }
 
-// errNoLongerAllowed is the cause of a refusal for what has run out; it says nothing about the
-// replica that was chosen.
-var errNoLongerAllowed = errors.New("what allowed the call has run out since it was admitted")
+// errNoLongerAllowed is the cause of a refusal right before the first byte is sent. It does not
+// count against the chosen replica.
+var errNoLongerAllowed = errors.New("a condition for sending the call has ceased to hold since it was admitted")
 
-// defaultWait bounds a call whose caller and route don't.
+// defaultWait is the maximum duration of a call; callers and routes may set a shorter one.
 const defaultWait = time.Minute
 
-// end returns until when the call is worth working on.
+// end returns the call's deadline.
 func (r *run) end() time.Time {
 	wait := defaultWait
 	if r.call.Deadline > 0 {
@@ -186,7 +186,7 @@
 	return r.received.Add(wait)
 }
 
-// readBody reads the whole body, within the memory that all bodies share.
+// readBody reads the whole body, within the memory that the bodies of all calls share.
 func (r *run) readBody(limit int64) (release func(), refusal *outcome.Error) {
 	held := int64(0)
 	release = func() { r.f.bodyBytes.Add(-held) }
@@ -202,13 +202,13 @@
 	}
 	held = want
 	if r.f.bodyBytes.Add(want) > r.f.Tuning.MaxBodyMemory {
-		return release, outcome.New(outcome.NotRun, outcome.CodeOverloaded, "read", "caller", "the bodies of other calls fill this VM's memory").After(vmRetryAfter)
+		return release, outcome.New(outcome.NotRun, outcome.CodeOverloaded, "read", "caller", "the bodies of other calls use up this VM's memory for bodies").After(vmRetryAfter)
 	}
 	if limit <= 0 {
 		limit = r.f.Tuning.MaxBodyMemory
 	}
 	ctl := http.NewResponseController(r.w)
-	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout)) // a connection without deadlines is read without one
+	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout)) // a connection that has no deadlines is read without one
 	body, err := readAll(http.MaxBytesReader(r.w, r.req.Body, limit), r.req.ContentLength)
 	_ = ctl.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -225,8 +225,8 @@
 const (
 	// unknownBodyBytes is the memory reserved for a body of unknown length, in bytes.
 	unknownBodyBytes = 256 << 10
-	// bodyTimeout bounds reading a body, so that a caller that trickles holds no
-	// memory for long.
+	// bodyTimeout bounds the time to read a body, so that a slow caller does not hold memory
+	// for long.
 	bodyTimeout = 30 * time.Second
 )
 
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -12,15 +12,14 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// hopHeaders concern one connection only and are not passed on (RFC 9110, 7.6.1).
-// The body's length is stated anew on each side.
+// hopHeaders are hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1). Each
+// side sets its own Content-Length.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// removeHopHeaders removes the headers of one connection, those that it names itself
-// included.
+// removeHopHeaders removes hop-by-hop headers, including those that the Connection header lists.
 func removeHopHeaders(h http.Header) {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -32,10 +31,10 @@
 	}
 }
 
-// lowestPriority is the least urgent rank that replicas know.
+// lowestPriority is the least urgent priority that replicas accept.
 const lowestPriority = 9
 
-// priority is the call's rank: its workspace's, or else its route's.
+// priority returns the priority of the workspace, or that of the route if the workspace has none.
 func priority(route *catalog.Route, ws *catalog.Workspace) int {
 	p := route.Priority
 	if ws != nil && ws.Priority != nil {
@@ -44,7 +43,7 @@
 	return min(max(p, 0), lowestPriority)
 }
 
-// request renders the call as it goes to the replica.
+// request builds the request to the replica.
 func (t *try) request() *upstream.Request {
 	r := t.r
 	h := maps.Clone(r.req.Header)
@@ -59,13 +58,13 @@
 	}
 	r.f.Dialect.WriteSend(h, &s)
 	return &upstream.Request{
-		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Mine: r.isOwnAnswer, Before: t.recheckSend,
+		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Mine: r.isOwnResponse, Before: t.recheckSend,
 	}
 }
 
-// isOwnAnswer tells whether an answer belongs to the call. A refusal may come without
-// naming the request; a success must name it.
-func (r *run) isOwnAnswer(status int, h http.Header) bool {
+// isOwnResponse reports whether a response belongs to the call. A success must name the request; a
+// refusal may omit it.
+func (r *run) isOwnResponse(status int, h http.Header) bool {
 	reply := r.f.Dialect.ReadReply(status, h)
 	if reply.Request == "" {
 		return status >= http.StatusMultipleChoices
@@ -73,8 +72,8 @@
 	return reply.Request == r.call.ID
 }
 
-// writeHead passes an answer's head on. length is that of its body; negative: not
-// known.
+// writeHead sends the head of a response to the caller. length is the body's length in bytes;
+// negative means unknown.
 func (r *run) writeHead(a *upstream.Answer, length int) {
 	r.begun, r.status = true, a.Status
 	out := r.w.Header()
@@ -82,7 +81,7 @@
 	removeHopHeaders(in)
 	maps.Copy(out, in)
 	if _, ok := out["Content-Type"]; !ok {
-		out["Content-Type"] = nil // none is to be guessed
+		out["Content-Type"] = nil // nil keeps net/http from guessing one
 	}
 	if _, ok := out["Date"]; !ok {
 		out["Date"] = nil
--- a/internal/forward/histogram.go
+++ b/internal/forward/histogram.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
-// Histogram counts latencies in steps of a factor of two. Safe for concurrent use.
+// Histogram counts latencies in buckets whose limits grow by a factor of two. Safe for
+// concurrent use.
 type Histogram struct {
 	counts [histogramBuckets]atomic.Int64
 }
 
-// histogramBuckets covers 1 ms to 33 s; the last step takes all above.
+// histogramBuckets is the number of buckets. Their limits range from 1 ms to 16 s; the last
+// bucket has no limit.
 const histogramBuckets = 16
 
 // Observe counts one latency.
@@ -26,7 +28,7 @@
 
 // bucket is one bucket of a histogram as operators see it.
 type bucket struct {
-	UpToMs int64 `json:"up_to_ms"` // zero: all above
+	UpToMs int64 `json:"up_to_ms"` // zero: no limit
 	Count  int64 `json:"count"`
 }
 
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -16,30 +16,30 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// Planner decides from where a replica fetches what it lacks of a prompt, and what
-// is saved to the store beside the engines.
+// Planner decides where a replica fetches the missing KV cache of a prompt from, and which
+// prompts it saves to the KV store. Safe for concurrent use.
 type Planner struct {
 	Cache *cacheview.Index
-	// FetchRate is how fast engines take KV cache over from each other, in tokens/s.
+	// FetchRate is the speed at which engines fetch KV cache from each other, in tokens/s.
 	FetchRate float32
 
 	mu      sync.Mutex
-	pending map[prefix.ID]*pending // by the deepest shared level
-	saves   map[prefix.ID]time.Time
-	down    map[string]time.Time // stores that don't answer, by address, and until when they are left alone
+	pending map[prefix.ID]*pending  // by the deepest shared level
+	saves   map[prefix.ID]time.Time // requested saves, with the time of the request
+	down    map[string]time.Time    // unresponsive stores, by address, with the end of their backoff
 }
 
-// pending is a prefix that a replica computes for this VM's requests.
+// pending is a prefix that a replica is computing for this VM's requests.
 type pending struct {
-	target ids.Target // of the first of them
+	target ids.Target // of the first send
 	sends  int
 }
 
-// storeBackoff is how long a store is left alone after a VM told that it does not answer. A
+// storeBackoff is how long a store is not used after a VM reported that it does not respond. A
 // replica that asks a dead store loses some hundred milliseconds.
 const storeBackoff = 3 * time.Second
 
-// StoreDown records that a store does not answer, or does again.
+// StoreDown records that the store at addr does not respond, or that it responds again.
 func (p *Planner) StoreDown(addr string, down bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,37 +53,37 @@
 	p.down[addr] = now.Add(storeBackoff)
 }
 
-// usable tells whether a store may be asked.
+// usable reports whether the store at addr is not in its backoff.
 func (p *Planner) usable(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !clock.Now().Before(p.down[addr])
 }
 
-// saveTimeout is how long a save that this VM asked for may take until the store's feed
-// tells of it. One that was not told of by then is asked for again: a store whose link
-// is full drops saves.
+// saveTimeout is how long after this VM requested a save the store's event feed may take to
+// report it. After that the VM requests the save again: a store whose link is saturated drops
+// saves.
 const saveTimeout = 2 * time.Second
 
-// storeGeneration stands for a store's life: its parts outlive weights versions, which
-// stand in the ids instead.
+// storeGeneration is the generation of all stores. Parts in a store outlive weights versions, so
+// their ids contain the version instead.
 var storeGeneration = cacheview.LifeOf(1, "")
 
-// StoreTarget names a store in the cache view.
+// StoreTarget returns the id under which the cache view lists the store at addr.
 func StoreTarget(addr string) ids.Target { return ids.Target("kv-store " + addr) }
 
-// StoreLevel is the id of one part at a store.
+// StoreLevel returns the id of one part of a prompt in a store.
 func StoreLevel(salt string, m ids.Model, part string) prefix.ID {
 	return kvcache.LevelID("store/"+salt, m, part)
 }
 
 // plan fills in c.fetch, c.save and c.work.
-func (p *Planner) plan(c *choice, req *routing.Request, snap *fleet.Snapshot, sc *fleet.Scratch, store *catalog.KVStore, wall string, m ids.Model, parts []kvcache.Part) {
+func (p *Planner) plan(c *choice, req *routing.Request, snap *fleet.Snapshot, sc *fleet.Scratch, store *catalog.KVStore, isolationKey string, m ids.Model, parts []kvcache.Part) {
 	if len(req.Levels) == 0 {
 		return
 	}
 	prompt := verdict.Prompt{Tokens: req.Tokens, Shared: req.Levels[len(req.Levels)-1].Tokens}
-	at := verdict.Places{Held: p.cachedTokens(c, snap, sc), Home: c.home}
+	at := verdict.Places{Held: p.cachedTokens(c, snap, sc), Home: c.rendezvous}
 	at.Holder.Addr, at.Holder.Tokens = p.holder(c, snap, sc)
 	if store != nil {
 		at.Store = verdict.Source{Addr: store.Addr, Tokens: p.storedTokens(store, c.salt, m, parts)}
@@ -95,8 +95,8 @@
 	}
 }
 
-// maySave tells whether to ask for a save: not while one that this VM asked for may
-// still be under way.
+// maySave reports whether to request a save. It does not while an earlier save that this VM
+// requested may still be in progress.
 func (p *Planner) maySave(salt string, m ids.Model, parts []kvcache.Part) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,7 +104,7 @@
 	return clock.Since(last) > saveTimeout
 }
 
-// recordSave notes that a save was asked for. The lock is held.
+// recordSave records that a save was requested. The caller holds p.mu.
 func (p *Planner) recordSave(salt string, m ids.Model, parts []kvcache.Part) {
 	now := clock.Now()
 	if p.saves == nil {
@@ -116,11 +116,11 @@
 	p.saves[StoreLevel(salt, m, parts[len(parts)-1].ID)] = now
 }
 
-// maxPendingSaves is how many saves are remembered before old ones are swept out: two
-// seconds' worth of a busy VM.
+// maxPendingSaves is the number of recorded saves above which expired ones are deleted: about
+// the number that a busy VM requests within saveTimeout (2 s).
 const maxPendingSaves = 256
 
-// cachedTokens is how much of the prompt the choice is believed to hold.
+// cachedTokens returns the estimated number of the prompt's tokens that the choice has cached.
 func (p *Planner) cachedTokens(c *choice, snap *fleet.Snapshot, sc *fleet.Scratch) int32 {
 	for i := range snap.View.Targets {
 		if snap.View.Targets[i].ID == c.target.ID {
@@ -130,25 +130,25 @@
 	return 0
 }
 
-// holder finds the replica that holds most of the prompt under the choice's
-// weights; of equals, one in the choice's failure domain.
+// holder returns the replica that has most of the prompt cached under the choice's weights, and
+// how many tokens. Ties go to a replica in the choice's failure domain.
 func (p *Planner) holder(c *choice, snap *fleet.Snapshot, sc *fleet.Scratch) (addr string, tokens int32) {
-	near := false
+	foundSameDomain := false
 	for i := range snap.View.Targets {
 		t, in := &snap.View.Targets[i], &sc.Inputs[i]
 		if t.ID == c.target.ID || t.Service != c.target.Service || t.Weights != c.target.Weights ||
 			in.State < routing.Joining || in.BreakerOpen {
 			continue
 		}
-		here := t.FailureDomain == c.target.FailureDomain
-		if in.Cached > tokens || in.Cached == tokens && here && !near {
-			addr, tokens, near = t.Addr, in.Cached, here
+		sameDomain := t.FailureDomain == c.target.FailureDomain
+		if in.Cached > tokens || in.Cached == tokens && sameDomain && !foundSameDomain {
+			addr, tokens, foundSameDomain = t.Addr, in.Cached, sameDomain
 		}
 	}
 	return addr, tokens
 }
 
-// storedTokens is how much of the prompt the store is believed to hold.
+// storedTokens returns the estimated number of the prompt's tokens that the store holds.
 func (p *Planner) storedTokens(store *catalog.KVStore, salt string, m ids.Model, parts []kvcache.Part) int32 {
 	target := StoreTarget(store.Addr)
 	end := int32(0)
@@ -161,8 +161,8 @@
 	return end
 }
 
-// sendStarted records what a send leaves behind: the replica computes the shared parts, and
-// saves them to the store if it was told to.
+// sendStarted records the effects of a send: the replica computes the shared parts, and saves
+// them to the store if the send requested that.
 func (p *Planner) sendStarted(c *choice, m ids.Model, parts []kvcache.Part) {
 	if len(c.levels) == 0 {
 		return
@@ -184,7 +184,7 @@
 	w.sends++
 }
 
-// sendEnded records that a send no longer computes the shared parts: the replica holds
+// sendEnded records that a send no longer computes the shared parts: either the replica holds
 // them now, or the send has failed.
 func (p *Planner) sendEnded(c *choice, held bool) {
 	if len(c.levels) == 0 {
@@ -203,7 +203,7 @@
 	}
 }
 
-// computingTarget returns the replica that computes a prompt's shared parts now.
+// computingTarget returns the replica that is computing a prompt's shared parts, or an empty id.
 func (p *Planner) computingTarget(levels []prefix.Level) ids.Target {
 	if len(levels) == 0 {
 		return ""
@@ -216,8 +216,8 @@
 	return ""
 }
 
-// StoreGeneration returns the life to which beliefs about a store are bound, after it has been
-// given to the index.
+// StoreGeneration sets the generation of a store in the index, so that the index accepts entries
+// for it, and returns that generation.
 func StoreGeneration(cache *cacheview.Index, store ids.Target) cacheview.Life {
 	cache.SetLife(store, 1, "")
 	return storeGeneration
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -28,7 +28,7 @@
 			c.target = t
 		}
 	}
-	c.home = homeOf(&c, snap, home)
+	c.rendezvous = rendezvousAddr(&c, snap, home)
 	p.plan(&c, &req, snap, sc, &catalog.KVStore{Addr: storeAddr}, "shared", "m", parts)
 	p.sendStarted(&c, "m", parts)
 	return c
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -11,17 +11,17 @@
 	"github.com/threadwall/threadwall/internal/tally"
 )
 
-// LateCause is why an answer came later than its route's aims.
+// LateCause is the cause of a response that missed its route's objectives.
 type LateCause uint8
 
-// The causes. An answer has one: the first of these that holds.
+// A late response counts under the first of these causes that applies.
 const (
 	OnTime         LateCause = iota
-	LateRetry                // an earlier attempt had failed
-	LateBeforeSend           // over half of the objective had passed before it was sent
-	LateWork                 // what the target was expected to compute took over half of the objective
-	LateQueue                // it waited at its target, beyond that
-	LatePause                // its first event was on time, a later one was not
+	LateRetry                // an earlier attempt failed
+	LateBeforeSend           // over half of the objective passed before the call was sent
+	LateWork                 // the target's expected computing time exceeds half of the objective
+	LateQueue                // any other wait at the target
+	LatePause                // the first event was on time, a later one was not
 	lateCauseCount
 )
 
@@ -30,10 +30,11 @@
 // String returns the cause's name in metrics and logs.
 func (c LateCause) String() string { return lateNames[c] }
 
-// LateCounts counts answers by whether and why they were late. Safe for concurrent use.
+// LateCounts counts responses by the cause of their lateness, on-time ones included. Safe for
+// concurrent use.
 type LateCounts struct{ counts [lateCauseCount]atomic.Int64 }
 
-// Counts returns what was counted so far, by cause.
+// Counts returns the counts by the name of the cause.
 func (l *LateCounts) Counts() map[string]int64 {
 	out := map[string]int64{}
 	for c := range lateCauseCount {
@@ -52,16 +53,16 @@
 	}
 }
 
-// progress is when the parts of an answer came.
+// progress holds the times at which the parts of a response arrived.
 type progress struct {
-	sent  time.Time     // the attempt that answered
-	work  time.Duration // what its target was expected to compute
-	first time.Time     // the first event, or the answer
+	sent  time.Time     // of the attempt that answered
+	work  time.Duration // expected computing time at its target
+	first time.Time     // the first event, or the whole response
 	last  time.Time     // the last event so far
-	pause time.Duration // the longest between two events
+	pause time.Duration // the longest time between two events
 }
 
-// observe notes that an observe, or the whole answer, was passed on.
+// observe records that an event, or the whole response, was passed on.
 func (p *progress) observe(now time.Time) {
 	if p.first.IsZero() {
 		p.first = now
@@ -71,22 +72,22 @@
 	p.last = now
 }
 
-// lateCause judges an answer that was passed on whole.
+// lateCause classifies a response that was passed on completely.
 func (r *run) lateCause() LateCause {
-	aim, p := r.route.Objective, &r.progress
+	objective, p := r.route.Objective, &r.progress
 	switch {
-	case aim <= 0 || p.first.IsZero():
+	case objective <= 0 || p.first.IsZero():
 		return OnTime
-	case p.first.Sub(r.received) <= aim:
+	case p.first.Sub(r.received) <= objective:
 		if r.route.Kind == streamKind && r.route.MaxPause > 0 && p.pause > r.route.MaxPause {
 			return LatePause
 		}
 		return OnTime
 	case r.sends > 1:
 		return LateRetry
-	case p.sent.Sub(r.received) > aim/2:
+	case p.sent.Sub(r.received) > objective/2:
 		return LateBeforeSend
-	case p.work > aim/2:
+	case p.work > objective/2:
 		return LateWork
 	default:
 		return LateQueue
@@ -97,5 +98,5 @@
 // use.
 type RefusalCounts struct{ tally.Counts }
 
-// add counts one; codes and steps are constants, so they are few.
+// add counts one failure. Codes and steps are constants, so the number of keys is bounded.
 func (c *RefusalCounts) add(e *outcome.Error) { c.Add(string(e.Code) + "/" + e.Step) }
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -10,26 +10,26 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// Prediction error. A decision predicts the time until the first event of its target.
-// How far the measured time lies from that tells how much the prediction can carry, for
-// each route, and by the age of what was known of the target's load.
+// A decision predicts the time until the first event of its target. The ratio of measured to
+// predicted time shows how reliable predictions are, for each route and by the age of the
+// target's load report.
 
 const (
-	// ratioBuckets is the number of steps of a RatioHistogram; the last takes all above.
+	// ratioBuckets is the number of buckets of a RatioHistogram; the last one has no limit.
 	ratioBuckets = 16
-	// ratioFactor is the factor from step to step.
+	// ratioFactor is the factor between the limits of adjacent buckets.
 	ratioFactor = math.Sqrt2
-	// firstRatioLimit is where the first step ends, as measured/predicted. With the factor
-	// and the number of steps above the last step begins at 32.
+	// firstRatioLimit is the limit of the first bucket, as measured/predicted. With
+	// ratioFactor and ratioBuckets the last bucket starts at 32.
 	firstRatioLimit = 0.25
-	// maxErrorRoutes bounds the routes with a histogram of their own.
+	// maxErrorRoutes bounds the number of routes with a histogram of their own.
 	maxErrorRoutes = 32
-	// otherRoutes is the name under which further routes are counted together.
+	// otherRoutes is the name under which all further routes are counted.
 	otherRoutes = "(other)"
-	// ageBuckets is the number of steps by the age of the load; the last takes all above.
+	// ageBuckets is the number of buckets by the age of the load; the last one has no limit.
 	ageBuckets = 6
-	// firstAgeLimit is where the first step of ages ends. Engines and peers tell loads a few
-	// times a second; each step is twice as long as the one before.
+	// firstAgeLimit is the limit of the first age bucket; each further limit is twice the
+	// previous one. Engines and peers report loads a few times a second.
 	firstAgeLimit = 100 * time.Millisecond
 )
 
@@ -38,16 +38,16 @@
 	counts [ratioBuckets]atomic.Int64
 }
 
-// ratioBucket is one step of a RatioHistogram as operators see it.
+// ratioBucket is one bucket of a RatioHistogram as operators see it.
 type ratioBucket struct {
-	UpTo  float64 `json:"up_to"` // zero: all above
+	UpTo  float64 `json:"up_to"` // zero: no limit
 	Count int64   `json:"count"`
 }
 
 // Observe counts one ratio.
 func (h *RatioHistogram) Observe(ratio float64) { h.counts[ratioBucketOf(ratio)].Add(1) }
 
-// ratioBucketOf returns the step that a ratio belongs to.
+// ratioBucketOf returns the index of the bucket for a ratio.
 func ratioBucketOf(ratio float64) int {
 	step, limit := 0, firstRatioLimit
 	for step < ratioBuckets-1 && ratio > limit {
@@ -71,24 +71,25 @@
 	return json.Marshal(out)
 }
 
-// PredictionErrors counts by how much predicted times to the first event were wrong.
-// Safe for concurrent use.
+// PredictionErrors counts the ratios of measured to predicted times to the first event, by route
+// and by the age of the load. Safe for concurrent use.
 type PredictionErrors struct {
 	mu     sync.Mutex
 	routes map[string]*RatioHistogram
 	ages   [ageBuckets]RatioHistogram
 }
 
-// Observe takes one send in: its route, the age of what was known of the target's load
-// when it was decided, and the times until the first event.
+// Observe records one send: its route, the age of the target's load report at the decision, and
+// the predicted and measured times until the first event.
 func (p *PredictionErrors) Observe(route string, age, predicted, measured time.Duration) {
 	ratio := errorRatio(predicted, measured)
 	p.route(route).Observe(ratio)
 	p.ages[ageBucketOf(age)].Observe(ratio)
 }
 
-// errorRatio is measured/predicted. To the prediction belongs what a first event takes
-// beside queue and prompt, which decisions leave out since it is the same everywhere.
+// errorRatio returns measured/predicted. It adds FirstTokenFloor, the time of a first event
+// besides queue and prompt, to the prediction: decisions omit it because it is the same for all
+// targets.
 func errorRatio(predicted, measured time.Duration) float64 {
 	return float64(measured) / float64(max(predicted, 0)+loadview.FirstTokenFloor)
 }
@@ -102,7 +103,7 @@
 	return step
 }
 
-// route returns the histogram of a route, or that of all further routes.
+// route returns the histogram of a route, or the shared one once maxErrorRoutes is reached.
 func (p *PredictionErrors) route(name string) *RatioHistogram {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,9 +121,9 @@
 	return h
 }
 
-// ageErrors are the errors of one step of ages as operators see them.
+// ageErrors are the errors of one age bucket as operators see them.
 type ageErrors struct {
-	UpToMs int64           `json:"up_to_ms"` // zero: all above
+	UpToMs int64           `json:"up_to_ms"` // zero: no limit
 	Ratios *RatioHistogram `json:"ratios"`
 }
 
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// startGuard begins to watch over the call's sends.
+// startGuard registers the call with the quarantine guard.
 func (r *run) startGuard() {
 	request := quarantine.Request{Method: r.req.Method, Host: r.req.Host, URI: r.req.RequestURI, Body: r.body}
 	if r.workspace != nil {
@@ -20,8 +20,8 @@
 	r.guard = r.f.Guard.Call(r.call.ID, request)
 }
 
-// checkForCrash starts a check whether the replica of a failed attempt has ended with it. One
-// that had to leave ends by itself.
+// checkForCrash starts a check whether the replica of a failed attempt crashed under it. A
+// replica that was leaving is skipped, since it ends anyway.
 func (r *run) checkForCrash(ctx context.Context, t *try, err *outcome.Error) {
 	if err.Outcome != outcome.Unknown || !upstream.HungUp(err) || ctx.Err() != nil || endedLocally(err) {
 		return
@@ -35,12 +35,13 @@
 	}, restarted)
 }
 
-// endedLocally tells whether this VM ended the attempt itself.
+// endedLocally reports whether this VM ended the attempt itself.
 func endedLocally(err *outcome.Error) bool {
 	return errors.Is(err, errCallerGone) || errors.Is(err, errStalled) || errors.Is(err, errOldWeights)
 }
 
-// logFingerprint names the request in the log of an attempt that may have run; empty for others.
+// logFingerprint returns the request's fingerprint for the log of a failed attempt. If the
+// attempt did not run, only a fingerprint that was already computed is returned, else none.
 func (r *run) logFingerprint(err *outcome.Error) string {
 	if err.Outcome == outcome.NotRun {
 		return r.guard.Printed()
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -9,8 +9,8 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// statusOf returns the status for a call that failed. 503 and 429 promise that the
-// call did not run and will not; 502 and 504 promise nothing.
+// statusOf returns the HTTP status for a call that failed. 503 and 429 guarantee that the call
+// did not run and will not; 502 and 504 guarantee nothing.
 func statusOf(e *outcome.Error) int {
 	if e.Outcome != outcome.NotRun {
 		if e.Code == outcome.CodeDeadline {
@@ -24,7 +24,7 @@
 	case outcome.CodeUnknownService:
 		return http.StatusNotFound
 	case outcome.CodeBadRequest, outcome.CodeQuarantined:
-		// To come again changes nothing, and 503 would invite to it.
+		// A retry would fail in the same way, and 503 would invite one.
 		return http.StatusBadRequest
 	case outcome.CodeTooLarge:
 		return http.StatusRequestEntityTooLarge
@@ -35,7 +35,7 @@
 	}
 }
 
-// refuse writes the answer of a call that failed before anything was passed on.
+// refuse writes the response of a call that failed before any part of a response was passed on.
 func (r *run) refuse(e *outcome.Error) {
 	status := statusOf(e)
 	if e.Outcome == outcome.NotRun {
@@ -55,7 +55,8 @@
 	r.logEnd(status, e)
 }
 
-// minRetryAfter keeps a caller from coming back within the same trouble.
+// minRetryAfter is the shortest Retry-After, so that a caller does not return while the fault
+// still lasts.
 const minRetryAfter = 20 * time.Millisecond
 
 // closeIfDraining asks the caller to use another connection next time.
@@ -65,7 +66,7 @@
 	}
 }
 
-// logEnd writes the line that ends a call.
+// logEnd logs the end of a call and records its latency.
 func (r *run) logEnd(status int, e *outcome.Error) {
 	took := clock.Since(r.received)
 	r.f.Latency.Observe(took)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,17 +15,17 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// Causes of an attempt that this VM ended itself.
+// Causes with which this VM cancels an attempt itself.
 var (
-	errCallerGone = errors.New("the caller is gone")
-	errStalled    = errors.New("the replica is silent for too long")
-	errOldWeights = errors.New("the replica's weights are too old to begin on")
+	errCallerGone = errors.New("the caller has closed the connection")
+	errStalled    = errors.New("the replica has sent nothing within the time-out")
+	errOldWeights = errors.New("the replica's weights have become too old to start the call on")
 )
 
-// maxSends bounds the sends of one call, those that did not run included.
+// maxSends bounds the sends of one call, including those that did not run.
 const maxSends = 4
 
-// minAttemptTime is the time below which another attempt can't succeed.
+// minAttemptTime is the remaining time below which another attempt can't succeed.
 const minAttemptTime = 15 * time.Millisecond
 
 // serve runs attempts until the call is answered.
@@ -50,16 +50,17 @@
 	}
 }
 
-// abandon ends a call whose caller has gone.
+// abandon ends a call whose caller has closed the connection.
 func (r *run) abandon(err *outcome.Error) {
 	r.logEnd(statusClientClosedRequest, err)
 	panic(http.ErrAbortHandler)
 }
 
-// statusClientClosedRequest is the customary status in logs for a caller that has left.
+// statusClientClosedRequest is the usual status in logs for a caller that has closed the
+// connection; net/http defines no name for it.
 const statusClientClosedRequest = 499
 
-// fail ends a call that no attempt could answer.
+// fail ends a call that failed in all its attempts.
 func (r *run) fail(ctx context.Context, err *outcome.Error) {
 	e := r.finalError(ctx, err)
 	if !r.begun {
@@ -69,10 +70,10 @@
 	r.f.Stats.Broken.Add(1)
 	r.f.Refusals.add(e)
 	r.logEnd(r.status, e)
-	panic(http.ErrAbortHandler) // the caller must not take the answer for whole
+	panic(http.ErrAbortHandler) // cuts the connection, so that the caller does not take the response for complete
 }
 
-// finalError types the end of a call that failed.
+// finalError returns the error of a failed call, given that of its last attempt.
 func (r *run) finalError(ctx context.Context, err *outcome.Error) *outcome.Error {
 	e := err
 	if e.Outcome == outcome.NotRun && r.mayRan {
@@ -80,7 +81,7 @@
 		e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || clock.Until(r.ends) <= 0 {
-		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the call's time is over")
+		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the call's deadline has passed")
 	}
 	if e.Outcome == outcome.NotRun && e.RetryAfter == 0 && e.Code != outcome.CodeQuarantined {
 		e.RetryAfter = noTargetRetryAfter
@@ -88,7 +89,8 @@
 	return e
 }
 
-// mayRetry decides whether another send follows a failed one.
+// mayRetry reports whether the call may be sent again after a failed send. It takes the retry
+// out of the service's retry budget.
 func (r *run) mayRetry(ctx context.Context, err *outcome.Error) bool {
 	switch {
 	case ctx.Err() != nil, clock.Until(r.ends) < minAttemptTime, r.sends >= maxSends:
@@ -100,7 +102,7 @@
 	case r.begun && !r.route.Resumable:
 		return false
 	case r.guard.Refusal(false) != nil:
-		return false // this attempt's crash may have been the last that it took
+		return false // the crash of this attempt may have quarantined the request
 	case !nothingSent(err) && !r.f.Budgets.Of(r.service).Withdraw():
 		r.f.Stats.BudgetEmpty.Add(1)
 		r.f.Log.Request("no-retry", string(r.call.ID)).Str("service", r.service).Str("reason", "the retry budget is used up").Send()
@@ -110,20 +112,19 @@
 	return true
 }
 
-// repeatable tells whether the call may run once more after an attempt that may
-// have run.
+// repeatable reports whether the call may run again after an attempt that may have run.
 func (r *run) repeatable() bool { return r.route.Repeatable() && r.attempts < r.route.Attempts }
 
-// stepDial is the step at which nothing has reached a replica.
+// stepDial is the step of failed connects, before anything has reached the replica.
 const stepDial = "dial"
 
-// nothingSent tells whether an attempt ended before anything of it reached the replica: it
-// counts neither as a repeat nor against the replica's limit.
+// nothingSent reports whether an attempt ended before any byte reached the replica. Such an
+// attempt counts neither as a retry nor against the replica's rate limit.
 func nothingSent(err *outcome.Error) bool {
 	return err.Step == stepDial || errors.Is(err, errNoLongerAllowed)
 }
 
-// attempt is one try: decide, send, judge, pass the answer on.
+// attempt picks a replica, sends the call there and passes the response on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
 	if refusal := r.guard.Refusal(r.sends == 0); refusal != nil {
 		return refusal
@@ -133,12 +134,12 @@
 		return refusal
 	}
 	defer c.pass.End()
-	if refusal := r.guard.Sending(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
+	if refusal := r.guard.Sending(r.sends == 0); refusal != nil { // after decide, so that a trial is not used up when no replica can take the call
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
 	}
 	r.sends++
-	r.attempts++ // taken back when it turns out not to have run
+	r.attempts++ // recordOutcome reverts this if the attempt did not run
 	r.tried = append(r.tried, c.target.ID)
 	r.f.Stats.Attempts.Add(1)
 	work := r.f.Fleet.Load.Sent(c.target.ID, c.work, clock.Now())
@@ -164,10 +165,10 @@
 	stall     *stallTimer
 	weights   weightsWatch
 	sent      time.Time
-	answering bool          // the replica's first event, or its answer, has come
-	kvSent    bool          // the planner counts this send among those that compute
-	framed    bool          // the answer says where it ends
-	unread    time.Duration // for which the caller kept the answer waiting
+	answering bool          // the replica's first event, or its response, has arrived
+	kvSent    bool          // the planner counts this send as computing shared parts
+	framed    bool          // the response marks its own end
+	unread    time.Duration // total time that writes to the caller took
 }
 
 func (r *run) try(ctx context.Context, c *choice, work *loadview.Work) *try {
@@ -185,7 +186,7 @@
 	t.cancel(nil)
 }
 
-// run sends the call and passes its answer on.
+// run sends the call and passes the response on.
 func (t *try) run() *outcome.Error {
 	r := t.r
 	if r.call.Prompt != nil && r.route.Prompts {
@@ -210,8 +211,8 @@
 		return e
 	}
 	if r.begun && a.Status != http.StatusOK {
-		// The caller has a part of a stream; nothing but its rest can follow.
-		return t.brokenAnswer(&Refusal{Status: a.Status})
+		// The caller already has a part of a stream, so only the rest of it may follow.
+		return t.brokenResponse(&Refusal{Status: a.Status})
 	}
 	if r.route.Kind == streamKind && a.Status < http.StatusMultipleChoices {
 		return t.relayStream(a)
@@ -219,8 +220,8 @@
 	return t.relayBuffered(a)
 }
 
-// firstOutput notes the replica's first event, or its answer: a sign of life, and a measure
-// of how long it took against what was predicted.
+// firstOutput records the replica's first event, or its response. It shows that the replica is
+// live, and its delay is compared with the predicted one.
 func (t *try) firstOutput() {
 	if t.answering {
 		return
@@ -239,7 +240,8 @@
 	}
 }
 
-// endComputing notes that the replica is done with the prompt's shared parts, once.
+// endComputing records, once, that the replica no longer computes the prompt's shared parts.
+// held reports whether the replica holds them now.
 func (t *try) endComputing(held bool) {
 	if t.kvSent {
 		t.kvSent = false
@@ -256,42 +258,43 @@
 	}
 }
 
-// classify returns an attempt's error, with what this VM itself ended it for.
+// classify returns an attempt's error as an outcome.Error. If this VM cancelled the attempt, the
+// error names the cause.
 func (t *try) classify(err error) *outcome.Error {
 	e := outcome.Of(err)
 	switch {
 	case t.r.req.Context().Err() != nil:
-		return outcome.Wrap(errors.Join(errCallerGone, err), e.Outcome, outcome.CodeStreamBroken, e.Step, e.Peer, "the caller is gone")
+		return outcome.Wrap(errors.Join(errCallerGone, err), e.Outcome, outcome.CodeStreamBroken, e.Step, e.Peer, "the caller has closed the connection")
 	case errors.Is(context.Cause(t.ctx), errStalled):
-		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica was silent for too long")
+		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica sent nothing within the time-out")
 	case errors.Is(context.Cause(t.ctx), errOldWeights):
-		return outcome.Wrap(errors.Join(errOldWeights, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "withdrawn: the replica's weights are too old to begin on")
+		return outcome.Wrap(errors.Join(errOldWeights, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "withdrawn: the replica's weights have become too old to start the call on")
 	}
 	return e
 }
 
-// checkHead looks at an answer's head.
+// checkHead returns an error if the head of a response shows a refusal or a failure.
 func (t *try) checkHead(a *upstream.Answer, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
 	case reply.Mismatch:
 		return outcome.Wrap(&Refusal{Mismatch: true, Replica: reply.Replica}, outcome.NotRun, outcome.CodeUpstream, "refused", peer,
-			"the replica is another one, or has other weights, than expected")
+			"the replica has another identity or other weights than requested")
 	case reply.NotRun:
 		return outcome.Wrap(&Refusal{Status: a.Status, Replica: reply.Replica}, outcome.NotRun, outcome.CodeOverloaded, "refused", peer,
-			"the replica did not take the call").After(noTargetRetryAfter)
+			"the replica refused the call").After(noTargetRetryAfter)
 	case a.Status < http.StatusMultipleChoices && !reply.Signed:
-		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the answer lacks the replica's signature")
+		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the response lacks the replica's signature")
 	case a.Status >= http.StatusInternalServerError && t.r.repeatable():
-		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica failed")
+		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica failed the call")
 	case impliesNotRun(a.Status):
-		// The replica does not say that the call did not run, so neither may we.
-		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica refused without saying that the call did not run")
+		// The replica does not state that the call did not run, so this VM may not state it either.
+		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica refused the call without stating that it did not run")
 	}
 	return nil
 }
 
-// impliesNotRun tells whether a status means to callers that the call did not run.
+// impliesNotRun reports whether a status tells callers that the call did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -300,7 +303,8 @@
 	return false
 }
 
-// Refusal is a replica's answer that is no answer to the call.
+// Refusal is the cause of an attempt that the replica refused or failed. Callers of this package
+// find it with errors.As.
 type Refusal struct {
 	Status   int
 	Mismatch bool
@@ -310,12 +314,12 @@
 // Error implements error.
 func (e *Refusal) Error() string {
 	if e.Mismatch {
-		return "misfit, answered by " + string(e.Replica)
+		return "identity or weights mismatch, answered by " + string(e.Replica)
 	}
 	return "status " + http.StatusText(e.Status)
 }
 
-// recordOutcome feeds the end of an attempt back into what is believed of the replica.
+// recordOutcome updates the state of the call and of the replica after an attempt.
 func (r *run) recordOutcome(ctx context.Context, t *try, err *outcome.Error) {
 	now, c := clock.Now(), t.c
 	members := r.f.Fleet.Members
@@ -326,7 +330,7 @@
 		switch {
 		case r.superseded(c):
 		case r.status >= http.StatusInternalServerError:
-			// A target that fails calls which nobody may repeat would otherwise look idle and well.
+			// A target that fails calls without retries would otherwise look idle and healthy.
 			members.FailedCall(c.target.ID, now)
 		default:
 			members.Succeeded(c.target.ID)
@@ -350,13 +354,13 @@
 	isRefusal := errors.As(err, &refusal)
 	switch {
 	case errors.Is(err, errCallerGone), ctx.Err() != nil && !errors.Is(err, errStalled):
-		return // says nothing about the replica
+		return // does not count against the replica
 	case errors.Is(err, errNoLongerAllowed):
-		// Nor does this: nothing was sent.
+		// Nothing was sent, so this does not count against the replica.
 	case errors.Is(err, errOldWeights):
-		// Nor does this, but that it is late; its queue is known as it is.
+		// The call waited in the replica's queue, which this VM knows already; no failure is counted.
 	case t.brokeOffUnread(err):
-		// Nor does this: the caller did not read.
+		// The caller did not read, so this does not count against the replica.
 	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
 		members.Leaves(c.target.ID, c.target.Incarnation)
 		r.f.Upstream.Drop(c.target.ID)
@@ -375,12 +379,12 @@
 		Str("step", err.Step).Str("fingerprint", r.logFingerprint(err)).Str("error", err.Error()).Send()
 }
 
-// superseded tells whether the replica of an attempt has started again since it was
-// chosen: how the attempt went says nothing about its present incarnation.
+// superseded reports whether the replica of an attempt has restarted since it was chosen. The
+// outcome of the attempt says nothing about the present incarnation then.
 func (r *run) superseded(c *choice) bool {
 	return r.f.Fleet.Members.Incarnation(c.target.ID) > c.target.Incarnation
 }
 
-// busyPause is how long a replica that refused gets no work from this VM: an order
-// under way takes about a second, a full queue less.
+// busyPause is how long this VM sends nothing to a replica that refused a call. An order in
+// progress keeps a replica busy for about a second, a full queue for less.
 const busyPause = 250 * time.Millisecond
--- a/internal/forward/shed.go
+++ b/internal/forward/shed.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// stepShed is the step of such a refusal.
+// stepShed is the step of a refusal of a call that would be late.
 const stepShed = "shed"
 
 // shed refuses a call that would be late (package verdict), or returns nil.
@@ -26,24 +26,24 @@
 	}
 	r.f.Stats.Shed.Add(1)
 	return outcome.New(outcome.NotRun, outcome.CodeOverloaded, stepShed, string(c.target.ID),
-		"the engines are too busy to answer in time: "+refusal.Predicted.String()+" even at the best one").After(refusal.ComeBack)
+		"no engine can answer in time: predicted "+refusal.Predicted.String()+" until the first event at the best one").After(refusal.ComeBack)
 }
 
-// usualWork keeps what prompts of a route usually make an engine do, by the route's
-// name, in tokens computed. Safe for concurrent use.
+// usualWork keeps a moving average of the tokens that an engine computes for a prompt, by route
+// name. Safe for concurrent use.
 type usualWork struct {
 	mu     sync.Mutex
 	tokens map[string]float64
 }
 
 const (
-	// usualGain is the weight of one call.
+	// usualGain is the weight of one call in the moving average.
 	usualGain = 0.05
-	// maxUsualRoutes bounds the routes that are remembered; beyond, all are forgotten.
+	// maxUsualRoutes is the number of routes at which all averages are dropped.
 	maxUsualRoutes = 4096
 )
 
-// observe takes one call in and returns the usual work.
+// observe records the tokens of one call and returns the average of its route.
 func (u *usualWork) observe(route string, own float64) float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -1,10 +1,10 @@
 package forward
 
-// recordSignals takes in what the replica says of itself, whatever the answer is worth.
+// recordSignals applies what the replica announces in a response, whatever the response's status.
 func (t *try) recordSignals(reply *Reply) {
 	id, inc := t.c.target.ID, t.c.target.Incarnation
 	if t.r.superseded(t.c) || reply.Replica != "" && reply.Replica != id {
-		return // it speaks of another incarnation
+		return // the response is from another incarnation or replica
 	}
 	if !t.r.f.Fleet.Signaled(id, inc, reply.Signals, t.sent).Any() {
 		return
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -14,12 +14,12 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// maxVersionRetries bounds how often a call is decided on anew since the version that it was to go to
-// has been taken out of service meanwhile.
+// maxVersionRetries bounds the decisions for one send. A decision is repeated if the version of
+// its target has been taken out of service in the meantime.
 const maxVersionRetries = 4
 
-// choose picks a target among those that run a version which is in service. The pass, if there
-// is one, must be ended.
+// choose picks a target among those that run a software version which is in service. The caller
+// must end the pass if it is not nil.
 func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Pass) {
 	f := r.f
 	if f.Software == nil {
@@ -29,10 +29,10 @@
 	var snap *fleet.Snapshot
 	d := routing.Decision{Index: -1}
 	for range maxVersionRetries {
-		seen := f.Fleet.Snapshot()
-		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.Draw{First: r.sends == 0, Seed: req.Seed})
+		snapshot := f.Fleet.Snapshot()
+		choices := f.Software.Choices(r.service, &snapshot.View, snapshot.State, canary.Draw{First: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
-			choices[i].MostHash = maxHash(r.service, seen, &choices[i])
+			choices[i].MostHash = maxHash(r.service, snapshot, &choices[i])
 			req.Software = &choices[i]
 			if snap, d = f.Fleet.Decide(req, r.tried, sc); d.Index >= 0 {
 				break
@@ -51,8 +51,8 @@
 	return snap, d, nil
 }
 
-// maxHash bounds the hashes of a version's targets where only a part of them gets calls; VMs
-// that see the same targets agree on them. Zero: all do.
+// maxHash returns the largest hash of a version's targets that may get calls, where only a
+// fraction of them may. VMs that see the same targets select the same ones. Zero: no bound.
 func maxHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
 	if c.Part <= 0 || c.Part >= 1 {
 		return 0
@@ -71,7 +71,8 @@
 	return 0
 }
 
-// checkVersion refuses a send to a version that was taken out of service since the target was chosen.
+// checkVersion refuses a send to a software version that was taken out of service since the
+// target was chosen.
 func (t *try) checkVersion() *outcome.Error {
 	if !t.r.f.Software.Retires(t.r.service, t.c.target.Software) {
 		return nil
@@ -79,11 +80,11 @@
 	return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
 }
 
-// expectedFloor is added to the time that an answer is expected to take, so that short
-// expectations are no measure by themselves.
+// expectedFloor is added to the expected response time, so that short expected times do not give
+// large ratios.
 const expectedFloor = 50 * time.Millisecond
 
-// reportToGate tells the gate how an attempt ended, if its target answered it.
+// reportToGate reports the result of an attempt to the canary gate if the target answered it.
 func (t *try) reportToGate(err *outcome.Error) {
 	var refusal *Refusal
 	a := canary.Answer{}
@@ -95,17 +96,17 @@
 	case errors.As(err, &refusal) && err.Outcome != outcome.NotRun && refusal.Status >= http.StatusInternalServerError:
 		a.Failed = true
 	default:
-		return // it did not answer, or did not run the call: that says nothing about its software
+		return // the target did not answer or did not run the call, which says nothing about its software
 	}
 	if !a.Failed && t.c.representative {
-		a.Took = t.answerTime()
+		a.Took = t.responseTime()
 	}
 	t.c.pass.Ended(t.r.route.Name, t.c.target.ID, a)
 }
 
-// answerTime is how long the target answerTime, where that depends on the prompt as a multiple of what was
-// expected.
-func (t *try) answerTime() time.Duration {
+// responseTime returns how long the target took. For a prompt, whose time depends on its length,
+// it scales the time until the first event by expectedFloor over the expected time.
+func (t *try) responseTime() time.Duration {
 	took := clock.Since(t.sent)
 	if t.r.call.Prompt == nil || !t.r.route.Prompts {
 		return took
@@ -116,8 +117,8 @@
 	return time.Duration(float64(took) / float64(t.c.wait+expectedFloor) * float64(expectedFloor))
 }
 
-// isRepresentative tells whether a target's answers show how fast it is: it is not full, and has not just
-// started.
+// isRepresentative reports whether the latency of a target's response shows the target's speed. It
+// does not if all slots are in use or the target has just started.
 func isRepresentative(snap *fleet.Snapshot, index int, in *routing.Input) bool {
 	full := in.Slots > 0 && in.InFlight >= in.Slots
 	return !full && !snap.Status(index).Record.WarmAt.After(clock.Now())
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -10,35 +10,35 @@
 
 const streamKind = catalog.Stream
 
-// Silence of a replica that is too long, as multiples of the route's aims. It ends
-// an attempt only where another one may follow; a silent replica that can't be
-// replaced is waited for.
+// Time-outs for a replica that sends nothing, as multiples of the route's objectives. A time-out
+// ends an attempt only if another attempt may follow; otherwise the call keeps waiting for the
+// replica.
 const (
-	// firstEventFactor times the objective: an answer that comes so late is worth
-	// little more than one that another replica gives from the start.
+	// firstEventFactor times the objective is the wait for the first event: a response that
+	// takes longer is worth little more than one that another replica gives from the start.
 	firstEventFactor = 1.5
-	// pauseFactor times the longest pause that is on time.
+	// pauseFactor times the route's longest allowed pause is the wait for the next event.
 	pauseFactor = 2
-	// minFirstEventTimeout bounds the wait from below, for routes with short objectives.
+	// minFirstEventTimeout is the shortest wait for the first event, for routes with short objectives.
 	minFirstEventTimeout = 150 * time.Millisecond
-	// defaultObjective stands for a route's where it has none.
+	// defaultObjective is the objective of routes that set none.
 	defaultObjective = 2 * time.Second
-	// defaultPause stands for a route's longest pause where it has none.
+	// defaultPause is the longest pause of routes that set none.
 	defaultPause = 2 * time.Second
 )
 
-// firstEventTimeout is how long the replica may be silent before its first event, or its
-// answer. What it has to do before is waited for besides: under load all replicas
-// are late, and to leave one for the next would only make work.
+// firstEventTimeout returns how long to wait for the replica's first event, or its response. It
+// includes the predicted wait: under load all replicas are late, and moving a call to another one
+// would only add work.
 func (t *try) firstEventTimeout() time.Duration {
-	aim := t.r.route.Objective
-	if aim <= 0 {
-		aim = defaultObjective
+	objective := t.r.route.Objective
+	if objective <= 0 {
+		objective = defaultObjective
 	}
-	return max(time.Duration(float64(aim+t.c.wait)*firstEventFactor), minFirstEventTimeout)
+	return max(time.Duration(float64(objective+t.c.wait)*firstEventFactor), minFirstEventTimeout)
 }
 
-// pauseTimeout is how long the replica may be silent between two events.
+// pauseTimeout returns how long to wait for the replica's next event.
 func (t *try) pauseTimeout() time.Duration {
 	pause := t.r.route.MaxPause
 	if pause <= 0 {
@@ -47,8 +47,8 @@
 	return pause * pauseFactor
 }
 
-// onStall is called when the replica has been onStall for too long. Other calls avoid
-// it then; this call leaves it only if it may go on elsewhere.
+// onStall runs when the replica has sent nothing within the time-out. Other calls then avoid the
+// replica, but this call is cancelled there only if it may be sent to another one.
 func (t *try) onStall() {
 	if !t.r.superseded(t.c) {
 		t.r.f.Fleet.Members.Silent(t.c.target.ID, t.sent, clock.Now())
@@ -59,7 +59,8 @@
 	}
 }
 
-// stallTimer calls a function when it is not fed in time. Safe for concurrent use.
+// stallTimer calls a function once, unless it is restarted or stopped in time. Safe for concurrent
+// use.
 type stallTimer struct {
 	mu   sync.Mutex
 	fire func()
@@ -69,7 +70,7 @@
 
 func newStallTimer(fire func()) *stallTimer { return &stallTimer{fire: fire} }
 
-// start begins, or begins anew, to wait for d.
+// start starts or restarts the timer with duration d.
 func (s *stallTimer) start(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// pause stops waiting until it is started anew.
+// pause stops the timer until the next start.
 func (s *stallTimer) pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,17 +11,17 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// unknownLength is that of a body which is passed on as it comes.
+// unknownLength is the length of a body that is passed on as it arrives.
 const unknownLength = -1
 
-// streamState is how far a call's stream has come, over all its attempts.
+// streamState is the progress of a call's stream over all its attempts.
 type streamState struct {
-	last     uint64 // number of the last event passed on
-	numbered bool   // there is one
+	last     uint64 // id of the last event passed on
+	numbered bool   // an event with an id was passed on
 }
 
-// resumeFrom returns the event behind which an attempt goes on: the last one that
-// was passed on, or the one that the caller names.
+// resumeFrom returns the id of the event after which an attempt resumes the stream: the last event
+// passed on, or the one that the caller names.
 func (s *streamState) resumeFrom(c *Call) string {
 	if s.numbered {
 		return strconv.FormatUint(s.last, 10)
@@ -29,12 +29,12 @@
 	return c.LastEvent
 }
 
-// relayStream passes the events of a stream on as they come. No event that was passed on is
-// kept back while the next is waited for, nor lost when the stream breaks.
+// relayStream passes the events of a stream on as they arrive. It flushes buffered events before it
+// waits for the next one and when the stream breaks, so none is delayed or lost.
 func (t *try) relayStream(a *upstream.Answer) *outcome.Error {
 	r := t.r
 	in := relay.NewRawReader(a.Body)
-	unflushed := false // an event was passed on and not flushed
+	unflushed := false // an event was written and not flushed
 	for {
 		if unflushed && !in.Buffered() {
 			if err := t.flush(); err != nil {
@@ -49,9 +49,9 @@
 		}
 		if err != nil {
 			if unflushed {
-				_ = t.flush() // a caller that is gone is found out by what follows
+				_ = t.flush() // the error is ignored: the attempt fails either way
 			}
-			return t.brokenAnswer(err)
+			return t.brokenResponse(err)
 		}
 		t.firstOutput()
 		t.endComputing(true)
@@ -65,14 +65,13 @@
 	}
 }
 
-// duplicate tells whether an event was duplicate on before, by an earlier attempt or as
-// its own twin.
+// duplicate reports whether an event was passed on before, by an earlier attempt or by this one.
 func (s *streamState) duplicate(ev *relay.RawEvent) bool {
 	return ev.Numbered && s.numbered && ev.ID <= s.last
 }
 
-// writeEvent writes one event. The head goes out with the first: the headers of the
-// replica that began the stream stay, whichever goes on with it.
+// writeEvent writes one event, preceded by the head if it is the first. Thus the caller gets the
+// headers of the replica that began the stream, even if another one resumes it.
 func (t *try) writeEvent(a *upstream.Answer, ev *relay.RawEvent) error {
 	r := t.r
 	if !r.begun {
@@ -86,7 +85,7 @@
 	return t.write(ev.Raw)
 }
 
-// complete ends a stream whose answer is whole.
+// complete ends a stream that has arrived completely.
 func (t *try) complete(a *upstream.Answer) *outcome.Error {
 	r := t.r
 	t.stall.stop()
--- a/internal/forward/suspend.go
+++ b/internal/forward/suspend.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// activeCalls are the calls that are being served, with the end of each. Safe for concurrent
+// activeCalls holds the calls that are being served, with their deadlines. Safe for concurrent
 // use; the zero value is empty.
 type activeCalls struct {
 	mu   sync.Mutex
@@ -21,7 +21,7 @@
 	cancel   context.CancelFunc
 }
 
-// add notes a call; the function that it returns takes it out.
+// add adds a call and returns a function that removes it.
 func (u *activeCalls) add(ends time.Time, cancel context.CancelFunc) (remove func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// cancelOverdue cancels the calls whose time is over, and returns how many they were.
+// cancelOverdue cancels the calls whose deadline has passed and returns their number.
 func (u *activeCalls) cancelOverdue() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -52,9 +52,9 @@
 	return n
 }
 
-// AfterSuspension ends what a suspension of the VM has outlived: calls whose time is over though their
-// timers have not fired, and idle connections, whose other ends may be gone. It returns how
-// many calls were ended.
+// AfterSuspension cleans up after a suspension of the VM. It cancels calls whose deadline has passed
+// although their timers have not fired, closes idle connections, whose peers may be gone, and
+// returns the number of cancelled calls. Safe for concurrent use.
 func (f *Forwarder) AfterSuspension() int {
 	f.Upstream.DropIdle()
 	return f.calls.cancelOverdue()
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -11,21 +11,21 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// bufferBytes is the longest answer that is read whole before any of it is passed
-// on, in bytes. A failure within it can still be mended by another attempt.
+// bufferBytes is the largest response that is read completely before any of it is passed on, in
+// bytes. If it breaks off, another attempt can still replace it.
 const bufferBytes = 512 << 10
 
-// relayBuffered passes on an answer that is no stream of events.
+// relayBuffered passes on a response that is not an event stream.
 func (t *try) relayBuffered(a *upstream.Answer) *outcome.Error {
 	limit, release := t.r.bufferFor(a.Length())
 	defer release()
 	var buf bytes.Buffer
 	if a.Length() >= 0 {
-		buf.Grow(int(limit) + bytes.MinRead) // it would double its room otherwise
+		buf.Grow(int(limit) + bytes.MinRead) // avoids doubling the buffer
 	}
 	n, err := io.CopyN(&buf, a.Body, limit)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return t.brokenAnswer(err)
+		return t.brokenResponse(err)
 	}
 	t.stall.stop()
 	t.firstOutput()
@@ -37,7 +37,7 @@
 	}
 	r.writeHead(a, length)
 	if n < limit {
-		// The target is done, however long the caller takes to read.
+		// The target has finished; don't hold its slot while the caller reads.
 		a.Close()
 		t.work.End()
 		t.c.pass.End()
@@ -51,7 +51,7 @@
 	return t.relayRest(a)
 }
 
-// relayRest passes on what lies beyond wholeBytes, as it comes.
+// relayRest passes on the part of a response beyond the buffer, as it arrives.
 func (t *try) relayRest(a *upstream.Answer) *outcome.Error {
 	chunk := make([]byte, chunkBytes)
 	for {
@@ -63,16 +63,16 @@
 			return nil
 		}
 		if err != nil {
-			return t.brokenAnswer(err)
+			return t.brokenResponse(err)
 		}
 	}
 }
 
-// brokenAnswer types an answer that ended before it was whole.
-func (t *try) brokenAnswer(err error) *outcome.Error {
-	return t.classify(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's answer broke off"))
+// brokenResponse returns the error of a response that ended before it was complete.
+func (t *try) brokenResponse(err error) *outcome.Error {
+	return t.classify(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's response broke off"))
 }
 
 func (t *try) callerGone(err error) *outcome.Error {
-	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller is gone")
+	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller has closed the connection")
 }
--- a/internal/forward/withdraw.go
+++ b/internal/forward/withdraw.go
@@ -7,15 +7,15 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// Withdrawal from old weights. A request must begin while its replica's weights may
-// still be used, but it begins when the replica's queue lets it, which nobody can know
-// for sure. So one that has not begun when the time is up is withdrawn, and goes to a
-// replica with newer weights, if it may run again; if it may not, it fails, since nobody
-// can tell whether it has begun. An engine that takes an order turns away what waits
-// there, and says that it did not run; this covers engines whose orders are late. Calls
-// that may not be repeated are kept off old engines earlier (routing.WeightsFilter).
+// A request must begin while its replica's weights may still be used, but the VM can't know for
+// certain when it leaves the replica's queue. The VM therefore withdraws a request that has not
+// begun when the time is up. If the request may run again, it goes to a replica with newer
+// weights; otherwise it fails, since it may have begun unnoticed. An engine that executes an
+// order refuses the requests in its queue as not run, so withdrawal covers engines whose orders
+// are late. Calls that may not be repeated avoid engines with old weights earlier
+// (routing.WeightsFilter).
 
-// weightsWatch ends a send that has not begun when its replica's weights become too old.
+// weightsWatch cancels a send that has not begun when its replica's weights become too old.
 // Safe for concurrent use.
 type weightsWatch struct {
 	mu    sync.Mutex
@@ -23,13 +23,14 @@
 	done  bool        // it has begun, has ended or was withdrawn
 }
 
-// weightsCheckInterval is how often a call that waits looks how long its replica's weights may
-// still be used: newer ones may be named, and peers may know that they were named earlier.
+// weightsCheckInterval is the longest interval between checks of how long the replica's weights
+// may still be used while a call waits. Newer weights may be named meanwhile, or a peer may report
+// that they were named earlier.
 const weightsCheckInterval = time.Second
 
-// watchWeights withdraws the call from the replica when it has not begun there and the
-// replica's weights become too old. Versions that are named while it waits count, too.
-// Only streams show when they begin; others are bounded by when they are sent.
+// watchWeights withdraws the call if it has not begun at the replica when the replica's weights
+// become too old, also due to versions that are named while it waits. Only streams show when they
+// begin; for other calls the decision bounds the time of sending.
 func (t *try) watchWeights() {
 	if t.r.call.Prompt == nil || !t.r.route.Prompts || t.r.route.Kind != streamKind {
 		return
@@ -39,7 +40,7 @@
 	t.weights.timer = time.AfterFunc(min(t.weightsLeft(), weightsCheckInterval), t.recheckWeights)
 }
 
-// weightsLeft is how long the replica's weights are sure to be usable.
+// weightsLeft returns a time for which the replica's weights are certain to be usable.
 func (t *try) weightsLeft() time.Duration {
 	left, behind := t.r.f.Weights.Left(t.r.call.Prompt.Model, t.c.target.Weights, clock.Now())
 	if !behind {
@@ -48,7 +49,7 @@
 	return max(left, 0)
 }
 
-// recheckWeights is called when the replica's weights may have become too old.
+// recheckWeights runs when the replica's weights may have become too old.
 func (t *try) recheckWeights() {
 	t.weights.mu.Lock()
 	defer t.weights.mu.Unlock()
@@ -64,7 +65,7 @@
 	t.cancel(errOldWeights)
 }
 
-// stopWeightsWatch ends watchWeights: the call has begun, or is over.
+// stopWeightsWatch stops the watch, because the call has begun or ended.
 func (t *try) stopWeightsWatch() {
 	t.weights.mu.Lock()
 	defer t.weights.mu.Unlock()
