--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -111,8 +111,8 @@
 
 func seconds(s float32) time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// rendezvousAddr returns the address of the rendezvous target with index home. It is empty if that
-// replica is the choice itself or has other weights.
+// rendezvousAddr returns the address of the rendezvous target at index in the view. It is empty if
+// that replica is the choice itself or has other weights.
 func rendezvousAddr(c *choice, snap *fleet.Snapshot, index int) string {
 	if index < 0 || index >= len(snap.View.Targets) {
 		return ""
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -67,7 +67,8 @@
 // stream still to count against the target. Targets cut off responses that stay unread.
 const maxUnreadBlamed = 500 * time.Millisecond
 
-// brokeOffUnread reports whether the response broke off after the caller had left it unread for too long.
+// brokeOffUnread reports whether the response broke off after the caller had left it unread for too
+// long.
 func (t *try) brokeOffUnread(err *outcome.Error) bool {
 	return err.Code == outcome.CodeStreamBroken && t.unread > maxUnreadBlamed
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -11,7 +11,7 @@
 	"github.com/threadwall/threadwall/internal/catalog"
 )
 
-func TestAnswerComesBackUnchanged(t *testing.T) {
+func TestResponsePassedUnchanged(t *testing.T) {
 	s := newFakeReplica(t, "a", ok("the answer"))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	resp, body, err := tf.ask(t, "Salt", "forged", "Workspace", "forged", "X-Mine", "kept")
@@ -20,16 +20,16 @@
 	}
 	got := s.requests()[0]
 	if got.Method != http.MethodPost || got.RequestURI != "/x?q=1" || got.Host != "h.example" {
-		t.Fatalf("the replica got %s %s at %s", got.Method, got.RequestURI, got.Host)
+		t.Fatalf("the replica received %s %s with host %s", got.Method, got.RequestURI, got.Host)
 	}
 	if got.Header.Get("Salt") != "" || got.Header.Get("Workspace") != "" || got.Header.Get("X-Mine") != "kept" {
-		t.Fatalf("the replica got the headers %v", got.Header)
+		t.Fatalf("the replica received the headers %v", got.Header)
 	}
 }
 
-// TestAtMostOnce checks, for each way in which a send can end, what becomes of a
-// call that may not be repeated: it goes to a second replica only if the first did
-// not run it, and it is called "not run" only if none did.
+// TestAtMostOnce checks, for each way in which a send can end, how a call that may not be repeated
+// is handled: it goes to a second replica only if the first did not run it, and it is reported as
+// "not run" only if no replica ran it.
 func TestAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -39,16 +39,16 @@
 	}{
 		{"refused as not run", status(http.StatusServiceUnavailable, notRun), http.StatusOK, 1},
 		{"another incarnation", status(http.StatusMisdirectedRequest, "By: x\r\n"), http.StatusOK, 1},
-		{"answer lost", hangUp, http.StatusBadGateway, 0},
+		{"response lost", hangUp, http.StatusBadGateway, 0},
 		{"failed", status(http.StatusInternalServerError, signed), http.StatusInternalServerError, 0},
 		{"no signature", status(http.StatusOK), http.StatusBadGateway, 0},
-		{"busy without saying that it did not run", status(http.StatusServiceUnavailable), http.StatusBadGateway, 0},
-		{"too many without saying that it did not run", status(http.StatusTooManyRequests), http.StatusBadGateway, 0},
-		{"another call's answer", func(c net.Conn, _ *http.Request) bool {
+		{"503 without a not-run header", status(http.StatusServiceUnavailable), http.StatusBadGateway, 0},
+		{"429 without a not-run header", status(http.StatusTooManyRequests), http.StatusBadGateway, 0},
+		{"response to another call", func(c net.Conn, _ *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nno")
 			return false
 		}, http.StatusBadGateway, 0},
-		{"cut short", func(c net.Conn, r *http.Request) bool {
+		{"truncated", func(c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 			return false
 		}, http.StatusBadGateway, 0},
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestRefusalSaysWhenToComeBack checks that a call which has not run is refused at
-// once, truly, and with advice.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+// TestRefusalHasRetryAfter checks that a call which has not run is refused at once, with the right
+// status and a Retry-After.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	s := newFakeReplica(t, "a", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	began := time.Now()
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestNoPromiseAfterAnUnknownAttempt lets one replica lose the answer of a call
-// that may be repeated, and the other refuse it: the end is unknown, not "not run".
-func TestNoPromiseAfterAnUnknownAttempt(t *testing.T) {
+// TestNotRunNotClaimedAfterUnknownAttempt lets one replica lose the response of a call that may be
+// repeated, and the other refuse the call: the outcome is unknown, not "not run".
+func TestNotRunNotClaimedAfterUnknownAttempt(t *testing.T) {
 	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
@@ -111,16 +111,16 @@
 			t.Fatal(err)
 		}
 		if len(a.requests()) > 0 && resp.StatusCode != http.StatusBadGateway {
-			t.Fatalf("got %d after an attempt whose answer was lost, want 502", resp.StatusCode)
+			t.Fatalf("got %d after an attempt whose response was lost, want 502", resp.StatusCode)
 		}
 		if len(a.requests()) > 0 {
 			return
 		}
 	}
-	t.Fatal("the replica that loses answers was never picked")
+	t.Fatal("the replica that loses responses was never picked")
 }
 
-func TestIdempotentGoesOnElsewhere(t *testing.T) {
+func TestIdempotentCallRetriedElsewhere(t *testing.T) {
 	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", ok("fine"))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestSilentReplicaIsLeft lets one replica hang: a call that may be repeated is
-// answered by the other, soon after its objective.
-func TestSilentReplicaIsLeft(t *testing.T) {
+// TestStalledReplicaIsAbandoned lets one replica hang: the other answers a call that may be
+// repeated, soon after its objective.
+func TestStalledReplicaIsAbandoned(t *testing.T) {
 	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, newFakeReplica(t, "b", ok("fine")))
 	for range 5 {
@@ -144,7 +144,8 @@
 	}
 }
 
-// TestRouteTimeout ends a call at its route's timeout though its caller would wait.
+// TestRouteTimeout checks that a call ends at its route's timeout even if its caller would wait
+// longer.
 func TestRouteTimeout(t *testing.T) {
 	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
 	r := route(catalog.Once, 1)
@@ -156,13 +157,13 @@
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	if took := time.Since(began); took < 250*time.Millisecond || took > 800*time.Millisecond {
-		t.Fatalf("the answer took %v", took)
+		t.Fatalf("the response took %v", took)
 	}
 }
 
-// TestCallerLeavesReplicaStops checks that a replica learns within half a second
-// that the caller has gone, also while its answer is waited for.
-func TestCallerLeavesReplicaStops(t *testing.T) {
+// TestCallerDisconnectCancelsReplica checks that within half a second after the caller disconnects
+// the VM closes its connection to the replica, also while it still waits for the response.
+func TestCallerDisconnectCancelsReplica(t *testing.T) {
 	closed := make(chan struct{})
 	a := newFakeReplica(t, "a", func(c net.Conn, _ *http.Request) bool {
 		var b [1]byte
@@ -181,13 +182,13 @@
 	select {
 	case <-closed:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the replica still works for a caller that has gone")
+		t.Fatal("the connection to the replica is still open after the caller has disconnected")
 	}
 }
 
-// TestKeys checks the workspace that goes along, and what a VM answers that can't
-// prove that its configuration is the newest.
-func TestKeys(t *testing.T) {
+// TestKeyAuthorization checks the workspace that is sent along with a call, and the status from a
+// VM that can't prove that its configuration is the newest.
+func TestKeyAuthorization(t *testing.T) {
 	s := newFakeReplica(t, "a", ok("fine"))
 	r := route(catalog.Once, 1)
 	r.Public = false
@@ -199,14 +200,14 @@
 	}))
 	for _, c := range []struct {
 		key    string
-		proven time.Duration // ago
+		proven time.Duration // age of the catalog's proof
 		status int
 	}{
 		{"k1", 0, http.StatusOK},
 		{"wrong", 0, http.StatusUnauthorized},
 		{"", 0, http.StatusUnauthorized},
 		{"k1", 2 * time.Second, http.StatusServiceUnavailable},
-		{"wrong", 2 * time.Second, http.StatusServiceUnavailable}, // it may be a new key
+		{"wrong", 2 * time.Second, http.StatusServiceUnavailable}, // it may be a new key that this VM does not know yet
 	} {
 		fresh := &catalog.Current{}
 		fresh.Adopt(tf.f.Catalog.Get())
@@ -218,12 +219,12 @@
 		}
 	}
 	if got := s.requests(); len(got) != 1 || got[0].Header.Get("Workspace") != "w1" || got[0].Header.Get("Key") != "" {
-		t.Fatalf("the replica got %d requests, the first with %v", len(got), got[0].Header)
+		t.Fatalf("the replica received %d requests, the first with %v", len(got), got[0].Header)
 	}
 }
 
-// TestNoConfiguration: a VM that knows no configuration can't know that a route or
-// a key does not exist.
+// TestNoConfiguration checks that a VM without a configuration does not refuse a route or a key as
+// unknown.
 func TestNoConfiguration(t *testing.T) {
 	tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("fine")))
 	tf.f.Catalog = &catalog.Current{}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -115,7 +115,8 @@
 	return r.chargeAllowance()
 }
 
-// weightStride spreads consecutive calls over the services of a route in proportion to their weights.
+// weightStride spreads consecutive calls over the services of a route in proportion to their
+// weights.
 const weightStride = 0x9E3779B1
 
 // catalogProven reports whether the catalog was proven to be the newest within KeyTTL.
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -26,7 +26,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// plainDialect is a dialect of short names for tests.
+// plainDialect is a Dialect with short header names.
 type plainDialect struct{}
 
 func (plainDialect) ReadCall(h http.Header) (Call, error) {
@@ -58,7 +58,7 @@
 }
 
 func (plainDialect) ReadReply(status int, h http.Header) Reply {
-	rest, _ := time.ParseDuration(h.Get("Rest")) // none where it is not said
+	rest, _ := time.ParseDuration(h.Get("Rest")) // zero if the header is missing
 	return Reply{
 		Signals: membership.Signals{Rest: rest, Leaving: h.Get("Leaving") != ""},
 		Request: ids.Request(h.Get("Id")), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
@@ -66,14 +66,14 @@
 	}
 }
 
-// fakeReplica is a replica that answers by a script.
+// fakeReplica is a replica whose responses are scripted.
 type fakeReplica struct {
 	id   ids.Target
 	addr string
-	// respond is called for each request; it returns false to close the connection. It is
-	// set before the first.
+	// respond is called for each request; it returns false to close the connection. Set it
+	// before the first request.
 	respond  func(c net.Conn, r *http.Request) bool
-	stop     func() // ends the listener
+	stop     func() // closes the listener
 	mu       sync.Mutex
 	received []*http.Request
 }
@@ -84,7 +84,8 @@
 	return append([]*http.Request(nil), s.received...)
 }
 
-// newFakeReplica serves answer on each connection; it returns false to close it.
+// newFakeReplica starts a replica that calls respond for each request. respond returns false to
+// close the connection.
 func newFakeReplica(t *testing.T, id ids.Target, answer func(c net.Conn, r *http.Request) bool) *fakeReplica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -123,7 +124,7 @@
 	}
 }
 
-// ok answers with a signed success.
+// ok responds with a signed success.
 func ok(body string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Id"), len(body), body)
@@ -138,7 +139,7 @@
 	}
 }
 
-// respondHead answers with the head of an answer that begins so and has no body.
+// respondHead responds with a head that starts with the given text and has no body.
 func respondHead(head string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "%sId: %s\r\nContent-Length: 0\r\n\r\n", head, r.Header.Get("Id"))
@@ -161,7 +162,7 @@
 	return 0, false
 }
 
-// testFleet is a forwarder with its replicas and a server before it.
+// testFleet is a forwarder behind a test server, with its replicas.
 type testFleet struct {
 	f   *Forwarder
 	url string
@@ -200,7 +201,7 @@
 
 var callNumber atomic.Int64
 
-// ask makes one call and returns its answer; an error is that of the connection.
+// ask makes one call and returns its response with the body. An error is one of the connection.
 func (tf *testFleet) ask(t *testing.T, headers ...string) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := tf.begin(t, headers...)
@@ -212,7 +213,7 @@
 	return resp, string(body), err
 }
 
-// begin makes one call and returns its answer as soon as its head is here.
+// begin makes one call and returns its response as soon as the head has arrived.
 func (tf *testFleet) begin(t *testing.T, headers ...string) (*http.Response, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, tf.url+"/x?q=1", strings.NewReader("hello"))
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -14,8 +14,8 @@
 
 const storeAddr = "10.0.0.9:1"
 
-// newPlan asks a fresh plan for a prompt of one shared part, for the given choice.
-func newPlan(p *Planner, choiceID string, home int) choice {
+// newPlan plans a prompt of one shared part for the given choice.
+func newPlan(p *Planner, choiceID string, rendezvousIndex int) choice {
 	parts := []kvcache.Part{{ID: "p1", Tokens: 800}}
 	req := routing.Request{Levels: kvcache.Levels("shared", "m", parts), Tokens: 1000}
 	snap := &fleet.Snapshot{View: routing.View{Targets: []routing.Target{
@@ -28,28 +28,29 @@
 			c.target = t
 		}
 	}
-	c.rendezvous = rendezvousAddr(&c, snap, home)
+	c.rendezvous = rendezvousAddr(&c, snap, rendezvousIndex)
 	p.plan(&c, &req, snap, sc, &catalog.KVStore{Addr: storeAddr}, "shared", "m", parts)
 	p.sendStarted(&c, "m", parts)
 	return c
 }
 
-// TestUnheldPrefixIsAskedOfItsHome checks where a replica looks for a prefix that
-// nobody is known to hold: away from home at its home, at home in the store.
-func TestUnheldPrefixIsAskedOfItsHome(t *testing.T) {
+// TestUncachedPrefixFetchedFromRendezvousTarget checks where a replica fetches a prefix that no
+// replica is known to hold: the rendezvous target itself from the store, any other replica from the
+// rendezvous target.
+func TestUncachedPrefixFetchedFromRendezvousTarget(t *testing.T) {
 	p := &Planner{Cache: cacheview.New(1024, nil)}
 	if c := newPlan(p, "b", 0); c.fetch != "10.0.0.1:1" {
-		t.Fatalf("away from home it is fetched from %q, want from home", c.fetch)
+		t.Fatalf("another replica fetches from %q, want from the rendezvous target", c.fetch)
 	}
 	if c := newPlan(p, "a", 0); c.fetch != storeAddr {
-		t.Fatalf("at home it is fetched from %q, want from the store", c.fetch)
+		t.Fatalf("the rendezvous target fetches from %q, want from the store", c.fetch)
 	}
 }
 
-// TestStoresShareThePrefixes checks that prefixes are spread over the stores of kept KV
-// cache, and that those of a store which does not answer go to the others meanwhile. Of
-// three stores only the first was used (solano grown).
-func TestStoresShareThePrefixes(t *testing.T) {
+// TestPrefixesSpreadOverStores checks that prefixes are spread over the KV stores, and that those
+// of an unresponsive store go to the others until it is back. It guards against a fault in which
+// only the first of three stores was used (run "solano grown").
+func TestPrefixesSpreadOverStores(t *testing.T) {
 	c := catalog.New(catalog.Declaration{Services: []catalog.Service{
 		{Name: "kv1", KVStore: &catalog.KVStore{Addr: "s1"}},
 		{Name: "kv2", KVStore: &catalog.KVStore{Addr: "s2"}},
@@ -73,7 +74,7 @@
 	r := &run{f: &Forwarder{KV: p}, catalog: c}
 	for id := range prefix.ID(300) {
 		if kv := r.kvStore([]prefix.Level{{ID: id}}); kv.Addr == "s2" {
-			t.Fatalf("a call with the prefix %d is told of the store that is down", id)
+			t.Fatalf("a call with the prefix %d uses the store that is down", id)
 		}
 	}
 	p.StoreDown("s2", false, time.Now())
@@ -81,27 +82,27 @@
 		t.Fatalf("after s2 is back the stores get %v", n)
 	}
 	if catalog.New(catalog.Declaration{}).KVStoreOf(1, p.usable) != nil {
-		t.Fatal("there is a store where none was declared")
+		t.Fatal("a store is returned although none is declared")
 	}
 }
 
-// TestSaveIsNoProof checks that a save which was asked for is not taken for done: the
-// store's feed tells. It is not asked for again at once either.
-func TestSaveIsNoProof(t *testing.T) {
+// TestRequestedSaveNotAssumedDone checks that a requested save does not count as done before the
+// store's feed reports it, and that the VM does not request it again at once.
+func TestRequestedSaveNotAssumedDone(t *testing.T) {
 	p := &Planner{Cache: cacheview.New(1024, nil)}
 	if c := newPlan(p, "a", 0); c.save != storeAddr {
 		t.Fatalf("the first call saves to %q", c.save)
 	}
 	c := newPlan(p, "a", 0)
 	if c.save != "" {
-		t.Fatal("the save was asked for twice within its time")
+		t.Fatal("the save was requested twice within its time-out")
 	}
 	if c.work != 1000 {
-		t.Fatalf("%d tokens are to be computed, want all: the store has told of none", c.work)
+		t.Fatalf("%d tokens are to be computed, want all: the store has reported none", c.work)
 	}
 	store := StoreTarget(storeAddr)
 	p.Cache.Holds(store, StoreGeneration(p.Cache, store), []prefix.Level{{ID: StoreLevel("1/shared", "m", "p1")}})
 	if c := newPlan(p, "a", 0); c.work != 200 || c.save != "" {
-		t.Fatalf("%d tokens are to be computed, saved to %q, after the store told of the part", c.work, c.save)
+		t.Fatalf("%d tokens are to be computed, saved to %q, after the store reported the part", c.work, c.save)
 	}
 }
--- a/internal/forward/main_test.go
+++ b/internal/forward/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// TestMain has the tests in virtual time govern the clock of trust, too.
+// TestMain lets tests in virtual time also control package clock.
 func TestMain(m *testing.M) {
 	clock.Virtual()
 	os.Exit(m.Run())
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -12,7 +12,7 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// predictionReport is what operators see of PredictionErrors.
+// predictionReport is the JSON form of PredictionErrors.
 type predictionReport struct {
 	Routes map[string][]ratioBucket `json:"routes"`
 	Ages   []struct {
@@ -54,17 +54,17 @@
 		t.Fatalf("counted %d of a, %d of b", total(a), total(b))
 	}
 	if last := a[len(a)-1]; last.Count != 1 || last.UpTo != 0 {
-		t.Errorf("a first event a hundred times later than predicted is in %v", a)
+		t.Errorf("a first event a hundred times later than predicted is counted in %v", a)
 	}
 	if exact := a[4]; exact.Count != 1 || exact.UpTo != 1 {
-		t.Errorf("a first event almost as predicted is in %v", a)
+		t.Errorf("a first event almost as predicted is counted in %v", a)
 	}
 	if b[0].Count != 1 {
-		t.Errorf("a first event ten times earlier than predicted is in %v", b)
+		t.Errorf("a first event ten times earlier than predicted is counted in %v", b)
 	}
 	for i, want := range []int64{1, 1, 0, 0, 0, 1} {
 		if got := total(s.Ages[i].Ratios); got != want {
-			t.Errorf("%d of loads up to %d ms old, want %d", got, s.Ages[i].UpToMs, want)
+			t.Errorf("%d counts for loads up to %d ms old, want %d", got, s.Ages[i].UpToMs, want)
 		}
 	}
 }
@@ -76,12 +76,12 @@
 	}
 	s := decodeErrors(t, &p)
 	if len(s.Routes) != maxErrorRoutes+1 || total(s.Routes[otherRoutes]) != 2*maxErrorRoutes {
-		t.Fatalf("%d routes, %d calls of others", len(s.Routes), total(s.Routes[otherRoutes]))
+		t.Fatalf("%d routes, %d calls of the other routes", len(s.Routes), total(s.Routes[otherRoutes]))
 	}
 }
 
-// TestPredictionErrorIsCounted checks that a served prompt counts once, in the step that
-// its target's delay leads to.
+// TestPredictionErrorIsCounted checks that a served prompt counts once, in the bucket that matches
+// its target's delay.
 func TestPredictionErrorIsCounted(t *testing.T) {
 	answer := ok("fine")
 	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
@@ -107,7 +107,7 @@
 	}
 	for _, step := range steps[:5] {
 		if step.Count != 0 {
-			t.Errorf("a late first event counts as early: %v", steps)
+			t.Errorf("a late first event is counted as early: %v", steps)
 		}
 	}
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// watchCrashes has the fleet remember which requests replicas crashed under.
+// watchCrashes makes the fleet record which requests replicas crashed under.
 func (tf *testFleet) watchCrashes() *quarantine.Ledger {
 	ledger := quarantine.NewLedger(nil, nil)
 	tf.f.Guard = &quarantine.Guard{Watch: &quarantine.Watch{
@@ -32,10 +32,10 @@
 // hello is the request that ask sends.
 var hello = quarantine.Request{Method: http.MethodPost, Host: "h.example", URI: "/x?q=1", Body: []byte("hello")}
 
-// maxCrashes bounds the crashes of quarantineHello; they are a second apart.
+// maxCrashes bounds the crashes of quarantineHello, which are a second apart.
 const maxCrashes = 5
 
-// quarantineHello makes replicas crash under the request that ask sends.
+// quarantineHello records crashes of replicas under the request that ask sends.
 func quarantineHello(l *quarantine.Ledger, crashes int) {
 	for i := range crashes {
 		at := time.Now().Add(time.Duration(i-maxCrashes) * time.Second)
@@ -43,7 +43,8 @@
 	}
 }
 
-// waitForSuspects waits until a number of requests is remembered, or d is over.
+// waitForSuspects waits until the ledger holds the given number of requests, at most for d, and
+// returns the number.
 func waitForSuspects(l *quarantine.Ledger, want int, d time.Duration) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -54,9 +55,10 @@
 	return n
 }
 
-// TestQuarantinedIsRefusedForGood asks for what crashes replicas: it is refused at once, as
-// not run, with no invitation to come back; a request that differs in a byte is served.
-func TestQuarantinedIsRefusedForGood(t *testing.T) {
+// TestQuarantinedRequestRefusedWithoutRetryAfter sends a request that crashes replicas: it is
+// refused at once, as not run and without Retry-After. A request that differs in one byte is
+// served.
+func TestQuarantinedRequestRefusedWithoutRetryAfter(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Once, catalog.Idempotent, catalog.Stream} {
 		t.Run(kind.String(), func(t *testing.T) {
 			s := newFakeReplica(t, "a", ok("data: fine\n\n"))
@@ -67,10 +69,10 @@
 				t.Fatalf("got %v, %v", resp, err)
 			}
 			if !strings.Contains(body, "3 replicas crashed") || !strings.Contains(body, "(not-run)") {
-				t.Errorf("the caller is told %q", body)
+				t.Errorf("the caller gets %q", body)
 			}
 			if n := len(s.requests()); n != 0 {
-				t.Errorf("it was sent %d times", n)
+				t.Errorf("the call was sent %d times", n)
 			}
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, tf.url+"/x?q=1", strings.NewReader("hellp"))
 			if err != nil {
@@ -87,13 +89,13 @@
 	}
 }
 
-// TestNoFurtherReplica crashes the replica that runs a call which others crashed under
-// before: it is not tried again, and fails as unknown, since it has run.
-func TestNoFurtherReplica(t *testing.T) {
+// TestNoRetryAfterQuarantine crashes the replica that runs a call which other replicas crashed
+// under before: the call is not retried, and fails as unknown, since it has run.
+func TestNoRetryAfterQuarantine(t *testing.T) {
 	var tf *testFleet
 	var ledger *quarantine.Ledger
 	crash := func(net.Conn, *http.Request) bool {
-		quarantineHello(ledger, 3) // a peer tells of it meanwhile
+		quarantineHello(ledger, 3) // a peer reports it in the meantime
 		return false
 	}
 	first, second := newFakeReplica(t, "a", crash), newFakeReplica(t, "b", crash)
@@ -104,13 +106,13 @@
 		t.Fatalf("got %v, %q, %v", resp, body, err)
 	}
 	if n := len(first.requests()) + len(second.requests()); n != 1 {
-		t.Errorf("it was sent %d times", n)
+		t.Errorf("the call was sent %d times", n)
 	}
 }
 
-// TestBlame lets a replica fail a call in many ways, and asks whether it is held against the
-// request: only the end of the replica is.
-func TestBlame(t *testing.T) {
+// TestCrashDetection lets a replica fail a call in many ways, and checks that only the end of the
+// replica counts against the request.
+func TestCrashDetection(t *testing.T) {
 	var tf *testFleet
 	part := func(c net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
@@ -120,42 +122,42 @@
 		answer func(s *fakeReplica) func(net.Conn, *http.Request) bool
 		blamed int
 	}{
-		{"it ends", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
 		}, 1},
-		{"it ends after a part of its answer", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"stops after a part of its response", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); s.stop(); return false }
 		}, 1},
-		{"its connection ends first, and it soon after", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"closes the connection and stops soon after", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				time.AfterFunc(30*time.Millisecond, s.stop)
 				return false
 			}
 		}, 1},
-		{"it starts again under its name", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"restarts under its id", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", s.addr, 2)}, time.Now())
 				return false
 			}
 		}, 1},
-		{"it breaks off and goes on", func(*fakeReplica) func(net.Conn, *http.Request) bool {
+		{"breaks the response off and keeps running", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); return false }
 		}, 0},
-		{"it hangs up and goes on", func(*fakeReplica) func(net.Conn, *http.Request) bool { return hangUp }, 0},
-		{"it sends what is no answer, and ends", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"closes the connection and keeps running", func(*fakeReplica) func(net.Conn, *http.Request) bool { return hangUp }, 0},
+		{"sends an invalid response and stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, _ *http.Request) bool {
 				_, _ = fmt.Fprint(c, "garbage\r\n\r\n")
 				s.stop()
 				return false
 			}
 		}, 0},
-		{"it refuses", func(*fakeReplica) func(net.Conn, *http.Request) bool {
+		{"refuses", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusServiceUnavailable, notRun)
 		}, 0},
-		{"it fails", func(*fakeReplica) func(net.Conn, *http.Request) bool {
+		{"fails", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusInternalServerError, signed)
 		}, 0},
-		{"it is leaving", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
+		{"leaves and stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Leaves("a", 1)
 				s.stop()
@@ -178,9 +180,9 @@
 	}
 }
 
-// TestAnswerClears answers a request under which replicas crashed: what was held against it
-// is dropped, unless the answer is the replica's failure.
-func TestAnswerClears(t *testing.T) {
+// TestResponseClearsSuspicion answers a request under which replicas crashed: its crashes are
+// dropped, unless the response reports a failure of the replica.
+func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer  func(net.Conn, *http.Request) bool
 		cleared bool
@@ -208,9 +210,9 @@
 	}
 }
 
-// TestTrialWaitsForAReplica asks for a quarantined request whose trial is due while no replica
-// can take it: the trial is kept for a time when one can, and lifts the quarantine.
-func TestTrialWaitsForAReplica(t *testing.T) {
+// TestTrialKeptUntilReplicaAvailable sends a quarantined request whose trial is due while no
+// replica can take it: the trial is kept until a replica can, and then lifts the quarantine.
+func TestTrialKeptUntilReplicaAvailable(t *testing.T) {
 	const trialDue = 15 * time.Second
 	clock.Skip(trialDue)
 	defer clock.Skip(-trialDue)
@@ -218,7 +220,7 @@
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	ledger := tf.watchCrashes()
 	quarantineHello(ledger, 3)
-	tf.f.Fleet.Members.Platform(nil, clock.Now()) // with what follows it counts as dead
+	tf.f.Fleet.Members.Platform(nil, clock.Now()) // with the next line the replica counts as dead
 	tf.f.Fleet.Members.Busy("a", clock.Now().Add(time.Hour))
 	tf.f.Fleet.Refresh()
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -12,10 +12,10 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestCutByARestart lets a replica start again under its id while it works on a call that
-// may not be repeated: nobody knows whether that ran, so it fails and is not called "not
-// run", and its end says nothing about the new incarnation.
-func TestCutByARestart(t *testing.T) {
+// TestRestartDuringCall restarts a replica under its id while it works on a call that may not be
+// repeated. The call may have run, so it fails and is not reported as "not run", and its failure
+// does not count against the new incarnation.
+func TestRestartDuringCall(t *testing.T) {
 	var tf *testFleet
 	restarted := make(chan struct{})
 	s := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool {
@@ -32,7 +32,7 @@
 	<-restarted
 	st := tf.f.Fleet.Refresh().Status(0)
 	if st.Incarnation != 2 || st.FailRate != 0 || st.BreakerOpen {
-		t.Errorf("the new incarnation bears the failure: %+v", st)
+		t.Errorf("the failure counts against the new incarnation: %+v", st)
 	}
 	if n := len(s.requests()); n != 1 {
 		t.Errorf("the call was sent %d times", n)
@@ -43,9 +43,9 @@
 	return platform.Record{ID: id, Role: platform.RoleService, Service: "svc", Addr: addr, Incarnation: inc}
 }
 
-// TestLeavingEndsWithTheIncarnation takes in, after a replica has started again, that the
-// incarnation before refused a call since another id answered: the new one stays in service.
-func TestLeavingEndsWithTheIncarnation(t *testing.T) {
+// TestLeavingAppliesToOldIncarnationOnly restarts a replica while its old incarnation refuses a
+// call with another identity in the response: the new incarnation stays in service.
+func TestLeavingAppliesToOldIncarnationOnly(t *testing.T) {
 	var tf *testFleet
 	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 		tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -358,7 +358,8 @@
 	case errors.Is(err, errNoLongerAllowed):
 		// Nothing was sent, so this does not count against the replica.
 	case errors.Is(err, errOldWeights):
-		// The call waited in the replica's queue, which this VM knows already; no failure is counted.
+		// The call waited in the replica's queue, which this VM knows already; no failure is
+		// counted.
 	case t.brokeOffUnread(err):
 		// The caller did not read, so this does not count against the replica.
 	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -8,9 +8,10 @@
 	"github.com/threadwall/threadwall/internal/catalog"
 )
 
-// TestLongPromptsAreNotRefusedMoreOften checks that what is refused depends on the
-// engines' queues and the route, and not on the size of the call's own prompt: of the
-// longest tenth of a route's calls 0.35 were served, of all 0.84 (bac grown, scale-1).
+// TestLongPromptsAreNotRefusedMoreOften checks that refusals depend on the engines' queues and the
+// route, not on the size of the call's own prompt. It guards against a fault in which only 0.35 of
+// the longest tenth of a route's calls were served, against 0.84 of all calls (run "bac grown,
+// scale-1").
 func TestLongPromptsAreNotRefusedMoreOften(t *testing.T) {
 	r := &run{f: &Forwarder{}, call: Call{Prompt: &Prompt{}}, route: &catalog.Route{
 		Name: "r", Prompts: true, Objective: time.Second, Priority: 1,
@@ -24,19 +25,19 @@
 		t.Fatalf("a long prompt was refused: %v", e)
 	}
 	if e := r.shed(&choice{rate: 50_000, queue: time.Second, wait: 1010 * time.Millisecond}); e == nil {
-		t.Fatal("a short prompt was let in behind a long queue")
+		t.Fatal("a short prompt was admitted behind a long queue")
 	}
 }
 
-// TestLateCallIsRefusedAtOnce checks that a call which all engines would answer late
-// is refused at once, truly and with a time to come back, and that the most urgent
-// rank is let in longer. Engines that took everything served nobody in time for 14 s
-// after two of nine had failed (scale-1 of both sites).
+// TestLateCallIsRefusedAtOnce checks that a call which all engines would answer late is refused at
+// once, as not run and with a Retry-After, and that calls of the most urgent priority are admitted
+// longer. It guards against a fault in which engines took all calls and served none in time for 14
+// s after two of nine had failed (scale-1 of both sites).
 func TestLateCallIsRefusedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		priority int
-		queued   time.Duration // of work before the call
+		queued   time.Duration // work queued before the call
 		status   int
 	}{
 		{"idle", 1, 0, http.StatusOK},
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -12,15 +12,15 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// TestSignalsCountWhateverTheAnswer heeds a rest that is asked for, and a leaving, on an answer
-// that does not say that the call did not run, on one that fails and on one that serves.
-func TestSignalsCountWhateverTheAnswer(t *testing.T) {
+// TestSignalsApplyToAnyResponse checks that a requested rest and an announced leaving take effect
+// on a response that does not state that the call did not run, on a failure and on a success.
+func TestSignalsApplyToAnyResponse(t *testing.T) {
 	for name, first := range map[string]string{
-		"a refusal that does not say that nothing ran": "HTTP/1.1 503 X\r\nRest: 5s\r\n",
-		"a refusal":           "HTTP/1.1 503 X\r\nNot-Run: yes\r\nRest: 5s\r\n",
-		"a failure":           "HTTP/1.1 500 X\r\nSigned: yes\r\nLeaving: yes\r\n",
-		"a served call":       "HTTP/1.1 200 OK\r\nSigned: yes\r\nLeaving: yes\r\n",
-		"another incarnation": "HTTP/1.1 200 OK\r\nSigned: yes\r\nBy: other\r\nLeaving: yes\r\n",
+		"a refusal without a not-run header": "HTTP/1.1 503 X\r\nRest: 5s\r\n",
+		"a refusal":                          "HTTP/1.1 503 X\r\nNot-Run: yes\r\nRest: 5s\r\n",
+		"a failure":                          "HTTP/1.1 500 X\r\nSigned: yes\r\nLeaving: yes\r\n",
+		"a served call":                      "HTTP/1.1 200 OK\r\nSigned: yes\r\nLeaving: yes\r\n",
+		"another incarnation":                "HTTP/1.1 200 OK\r\nSigned: yes\r\nBy: other\r\nLeaving: yes\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newFakeReplica(t, "a", respondHead(first))
@@ -36,7 +36,7 @@
 			}
 			want := 1
 			if name == "another incarnation" {
-				want = 2 // it speaks of itself
+				want = 2 // the signals are those of the other incarnation
 			}
 			if n := len(a.requests()); n != want {
 				t.Errorf("%d calls were sent, want %d", n, want)
@@ -48,13 +48,14 @@
 	}
 }
 
-// What a replica asks for was looked at when it was chosen. A call whose connection took a second,
-// or whose VM stood still, was sent by what had been known before.
+// The test below guards against a fault in which the VM checked a replica's signals only when it
+// chose the replica. A call was sent on outdated signals if connecting took a second or the VM was
+// suspended.
 
-// TestSignalsAreAskedBeforeTheFirstByte holds a call up between the decision and the send, as a
-// slow connect or a suspended VM does. Meanwhile another answer says that the replica rests, or
+// TestSignalsCheckedBeforeFirstByte holds a call up between the decision and the send, as a slow
+// connect or a suspended VM does. In that time another response says that the replica rests or
 // leaves: nothing is sent, and the call goes to another replica or is refused as not run.
-func TestSignalsAreAskedBeforeTheFirstByte(t *testing.T) {
+func TestSignalsCheckedBeforeFirstByte(t *testing.T) {
 	for name, s := range map[string]membership.Signals{"rest": {Rest: time.Minute}, "leaving": {Leaving: true}} {
 		tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("")))
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute)}
@@ -62,11 +63,11 @@
 		c.target.ID, c.target.Incarnation = "a", 1
 		before := (&try{r: &run{f: r.f, req: r.req, ends: r.ends, route: &tf.f.Catalog.Get().Routes[0]}, c: c}).request().Before
 		if refusal := before(); refusal != nil {
-			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
+			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
 		tf.f.Fleet.Signaled("a", 1, s, time.Now())
 		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
-			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
+			t.Errorf("%s: the call is not refused as not run: %v", name, refusal)
 		}
 	}
 }
--- a/internal/forward/software_test.go
+++ b/internal/forward/software_test.go
@@ -15,12 +15,12 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// A version of a service's software may be taken out of service while a call to it is held up
-// between the decision and the send, by a slow connect or a VM that stood still. Its targets stop
-// without draining then, and a call that may run once would be lost there.
+// A software version may be taken out of service while a call to it is held up between the decision
+// and the send, by a slow connect or a suspended VM. The version's targets then stop without
+// draining, and a call that may run only once would be lost there.
 
 // TestRetiredVersionGetsNoFirstByte holds a call up while its target's version is rolled back, and
-// while all calls are given to another one: nothing is sent, and the call has not run.
+// while all calls move to another version: nothing is sent, and the call has not run.
 func TestRetiredVersionGetsNoFirstByte(t *testing.T) {
 	for name, later := range map[string]canary.Record{
 		"rolled back": {Service: "s", Stable: "v1", Barred: []ids.SoftwareVersion{"v2"}},
@@ -34,11 +34,11 @@
 		c.target.ID, c.target.Incarnation, c.target.Software = "a", 1, "v2"
 		before := (&try{r: r, c: c}).request().Before
 		if refusal := before(); refusal != nil {
-			t.Fatalf("%s: a call is held back without need: %v", name, refusal)
+			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
 		tf.f.Software.Take(later, 2)
 		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
-			t.Errorf("%s: the call is sent all the same: %v", name, refusal)
+			t.Errorf("%s: the call is not refused as not run: %v", name, refusal)
 		}
 	}
 }
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -19,7 +19,8 @@
 	firstEventFactor = 1.5
 	// pauseFactor times the route's longest allowed pause is the wait for the next event.
 	pauseFactor = 2
-	// minFirstEventTimeout is the shortest wait for the first event, for routes with short objectives.
+	// minFirstEventTimeout is the shortest wait for the first event, for routes with short
+	// objectives.
 	minFirstEventTimeout = 150 * time.Millisecond
 	// defaultObjective is the objective of routes that set none.
 	defaultObjective = 2 * time.Second
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -13,8 +13,8 @@
 	"github.com/threadwall/threadwall/internal/catalog"
 )
 
-// events answers with events from the one behind After on, up to last; it breaks
-// off before event breakAt (zero: never), in the middle of it if torn is set.
+// events responds with the events after the one named by After, up to last. It breaks off before
+// event breakAt (zero: never), or in the middle of that event if torn is set.
 func events(last, breakAt int, torn bool) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		after, _ := strconv.Atoi(r.Header.Get("After"))
@@ -36,7 +36,7 @@
 	}
 }
 
-// pieces returns the numbers of the events in a stream.
+// pieces returns the ids of the events in a stream.
 func pieces(body string) string {
 	var out []string
 	for ev := range strings.SplitSeq(body, "\n\n") {
@@ -51,7 +51,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestStreamPassesWhole(t *testing.T) {
+func TestStreamComplete(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 0, false)))
 	resp, body, err := tf.ask(t)
 	if err != nil || resp.Header.Get("Signed") != "yes" || pieces(body) != "1 2 3 4 5" {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestStreamResumes breaks each first stream off, between two events or within
-// one; another replica goes on behind the last whole event. The caller gets each
-// event once and the first replica's headers.
+// TestStreamResumes breaks each first stream off, between two events or within one, and another
+// replica resumes it after the last complete event. The caller gets each event once and the first
+// replica's headers.
 func TestStreamResumes(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		for breakAt := 1; breakAt <= 5; breakAt++ {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestBrokenStreamIsNotComplete breaks a stream off that may not be resumed: its
-// caller sees a cut connection.
+// TestBrokenStreamIsNotComplete breaks off a stream that may not be resumed: its caller sees a cut
+// connection.
 func TestBrokenStreamIsNotComplete(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 3, torn)))
@@ -95,8 +95,8 @@
 	}
 }
 
-// sendChunks answers with each part in one write, as the network may join what a replica
-// wrote, waits for next between two, and then closes the connection.
+// sendChunks responds with each text in one write, as the network may join what a replica wrote. It
+// waits for next between two writes, and then closes the connection.
 func sendChunks(next <-chan struct{}, texts ...string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
 		out := fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -113,11 +113,11 @@
 
 const event1, event2, event3 = "id: 1\ndata: piece 1\n\n", "id: 2\ndata: piece 2\n\n", "id: 3\ndata: piece 3\n\n"
 
-// TestWholeEventsBeforeABreak breaks a stream off right behind whole events, so that
-// these and the break are read at once: the caller gets all of them.
-func TestWholeEventsBeforeABreak(t *testing.T) {
+// TestCompleteEventsBeforeBreakDelivered breaks a stream off right after complete events, so that
+// the VM reads these and the break at once: the caller gets all of them.
+func TestCompleteEventsBeforeBreakDelivered(t *testing.T) {
 	for name, rest := range map[string]string{
-		"torn": event3[:len(event3)-5], "torn in its number": event3[:2], "no number": "id: x\ndata: piece 3\n\n", "a twin": event2,
+		"torn": event3[:len(event3)-5], "torn in its id": event3[:2], "no numeric id": "id: x\ndata: piece 3\n\n", "a duplicate": event2,
 	} {
 		t.Run(name, func(t *testing.T) {
 			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(nil, event1+event2+rest)))
@@ -128,17 +128,17 @@
 	}
 }
 
-// TestEventsAreNotHeldBack lets a replica wait, behind a whole event and what follows
-// it, until the caller has that event.
-func TestEventsAreNotHeldBack(t *testing.T) {
+// TestEventsFlushedImmediately lets a replica wait, after a complete event and what follows it,
+// until the caller has that event.
+func TestEventsFlushedImmediately(t *testing.T) {
 	for name, follows := range map[string]string{
-		"nothing": "", "a part of the next": event2[:9], "its twin": event1, "its twin and a part of the next": event1 + event2[:9], "a blank line": "\n",
+		"nothing": "", "a part of the next": event2[:9], "its duplicate": event1, "its duplicate and a part of the next": event1 + event2[:9], "a blank line": "\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := make(chan struct{})
 			rest := strings.TrimPrefix(event2, strings.TrimPrefix(strings.TrimPrefix(follows, event1), "\n"))
 			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(next, event1+follows, rest)))
-			defer close(next) // after a failure; the stand-in waits no more
+			defer close(next) // lets the replica end after a failure
 			resp, err := tf.begin(t)
 			if err != nil {
 				t.Fatal(err)
@@ -150,24 +150,24 @@
 			}
 			next <- struct{}{}
 			if body, err := io.ReadAll(resp.Body); err == nil || string(body) != event2 {
-				t.Fatalf("then got %q, %v", body, err)
+				t.Fatalf("got %q, %v for the rest", body, err)
 			}
 		})
 	}
 }
 
-// TestStreamBeforeItsFirstEvent breaks a stream off before anything was passed on:
-// one that may not be resumed is answered 502.
-func TestStreamBeforeItsFirstEvent(t *testing.T) {
+// TestStreamBrokenBeforeFirstEvent breaks a stream off before any event was passed on: one that may
+// not be resumed is answered with 502.
+func TestStreamBrokenBeforeFirstEvent(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 1, false)))
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v, %v", resp, err)
 	}
 }
 
-// TestRepeatedEventsAreLeftOut lets the second replica begin from the start though
-// it was asked to go on.
-func TestRepeatedEventsAreLeftOut(t *testing.T) {
+// TestDuplicateEventsDropped lets the second replica send the stream from the start although it was
+// asked to resume it.
+func TestDuplicateEventsDropped(t *testing.T) {
 	fromStart := func(c net.Conn, r *http.Request) bool {
 		r.Header.Del("After")
 		return events(5, 0, false)(c, r)
@@ -180,14 +180,14 @@
 	}
 }
 
-// TestSilentStreamMoves lets a replica fall silent within a stream: another goes on.
-func TestSilentStreamMoves(t *testing.T) {
-	silent := func(c net.Conn, r *http.Request) bool {
+// TestStalledStreamResumesElsewhere stalls a replica within a stream: another replica resumes it.
+func TestStalledStreamResumesElsewhere(t *testing.T) {
+	stalled := func(c net.Conn, r *http.Request) bool {
 		events(5, 3, false)(c, r)
 		time.Sleep(3 * time.Second)
 		return false
 	}
-	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", silent), newFakeReplica(t, "b", events(5, 0, false)))
+	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", stalled), newFakeReplica(t, "b", events(5, 0, false)))
 	for range 4 {
 		began := time.Now()
 		if _, body, err := tf.ask(t); err != nil || pieces(body) != "1 2 3 4 5" || time.Since(began) > 1500*time.Millisecond {
@@ -196,7 +196,7 @@
 	}
 }
 
-// TestCallerResumes passes a caller's own wish to go on behind an event.
+// TestCallerResumes checks that a caller's own request to resume after an event is passed on.
 func TestCallerResumes(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 0, false)))
 	if _, body, err := tf.ask(t, "After", "3"); err != nil || pieces(body) != "4 5" {
@@ -204,10 +204,10 @@
 	}
 }
 
-// TestFailureInPlaceOfTheRest breaks a stream, and the replica that is to go on with it
-// answers with a failure when no attempt is left: the caller must not take the first part
-// for the whole (soak, seed 1796242706000003003).
-func TestFailureInPlaceOfTheRest(t *testing.T) {
+// TestFailureOnResumeCutsStream breaks a stream, and the replica that should resume it responds
+// with a failure when no attempt is left: the caller must not take the first part for the complete
+// stream (found by a soak run, seed 1796242706000003003).
+func TestFailureOnResumeCutsStream(t *testing.T) {
 	for _, code := range []int{http.StatusInternalServerError, http.StatusNotFound, http.StatusNoContent} {
 		first := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 			if r.Header.Get("After") != "" {
@@ -226,7 +226,7 @@
 		tf := newFleet(t, route(catalog.Stream, 2), first, second)
 		resp, body, err := tf.ask(t)
 		if err == nil {
-			t.Errorf("status %d in place of the rest: got %v and %q as if it were whole", code, resp.Status, body)
+			t.Errorf("status %d in place of the rest: got %v and %q as a complete stream", code, resp.Status, body)
 		}
 		if n := len(first.requests()) + len(second.requests()); n != 2 {
 			t.Errorf("%d sends, want 2", n)
--- a/internal/forward/suspend.go
+++ b/internal/forward/suspend.go
@@ -52,9 +52,9 @@
 	return n
 }
 
-// AfterSuspension cleans up after a suspension of the VM. It cancels calls whose deadline has passed
-// although their timers have not fired, closes idle connections, whose peers may be gone, and
-// returns the number of cancelled calls. Safe for concurrent use.
+// AfterSuspension cleans up after a suspension of the VM. It cancels calls whose deadline has
+// passed although their timers have not fired, closes idle connections, whose peers may be gone,
+// and returns the number of cancelled calls. Safe for concurrent use.
 func (f *Forwarder) AfterSuspension() int {
 	f.Upstream.DropIdle()
 	return f.calls.cancelOverdue()
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -11,15 +11,15 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// A VM may be suspended for seconds, and the monotonic clock does not count them. A proof
-// of the configuration that was half a second old before a suspension of twenty seconds
-// counted as half a second old after it, so that a key which had been taken away meanwhile
-// still passed; and it was looked at when a call was admitted, not when it was sent.
-// With time.Now in place of the clock that counts suspensions, the calls below were sent
-// after 2 s and 20 s, under a proof that may be 1 s old.
+// A VM may be suspended for seconds, which the monotonic clock does not count. The tests below
+// guard against a fault in which a proof of the configuration that was 0.5 s old before a
+// suspension of 20 s counted as 0.5 s old after it, so that a key revoked in that time was still
+// accepted. The VM also checked the proof when it admitted a call, not when it sent it. With
+// time.Now instead of the clock that counts suspensions, the calls below are sent after 2 s and 20
+// s, with a proof that may be 1 s old.
 
-// suspendingDialect lets the VM be suspended after a call was admitted and decided, when
-// its headers are written.
+// suspendingDialect suspends the VM when a call's headers are written, after its admission and
+// decision.
 type suspendingDialect struct {
 	plainDialect
 	suspend func()
@@ -30,7 +30,7 @@
 	d.suspend()
 }
 
-// keyedFleet is a fleet whose route wants a key, with a proof that is new.
+// keyedFleet is a fleet whose route requires a key, with a fresh proof of the catalog.
 func keyedFleet(t *testing.T, s *fakeReplica) *testFleet {
 	t.Helper()
 	r := route(catalog.Once, 1)
@@ -44,7 +44,7 @@
 	return tf
 }
 
-// TestSuspendedBeforeSend suspends a VM between the look at a key's proof and the send.
+// TestSuspendedBeforeSend suspends a VM between the check of a key's proof and the send.
 func TestSuspendedBeforeSend(t *testing.T) {
 	for _, c := range []struct {
 		suspended time.Duration
@@ -60,10 +60,10 @@
 				t.Fatal(err)
 			}
 			if n := len(s.requests()); n != c.sends {
-				t.Errorf("the replica got %d calls, want %d", n, c.sends)
+				t.Errorf("the replica received %d calls, want %d", n, c.sends)
 			}
 			if st := tf.f.Fleet.Refresh().Status(0); st.FailRate != 0 {
-				t.Errorf("the replica is blamed: %+v", st)
+				t.Errorf("the refusal counts against the replica: %+v", st)
 			}
 			if c.sends == 0 && (resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "") {
 				t.Errorf("the caller got %d, %q", resp.StatusCode, body)
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestSuspendedBeyondDeadline suspends a VM for longer than a caller waits: before the send
-// nothing is sent any more, and the caller is told that it did not run; while a replica
-// works the call ends soon after waking, though its timer has not fired.
+// TestSuspendedBeyondDeadline suspends a VM for longer than a caller waits. Before the send,
+// nothing is sent any more, and the caller learns that the call did not run. While a replica works,
+// the call ends soon after the suspension, although its timer has not fired.
 func TestSuspendedBeyondDeadline(t *testing.T) {
 	const suspended = 20 * time.Second
 	t.Run("before the send", func(t *testing.T) {
@@ -91,7 +91,7 @@
 		working := make(chan struct{})
 		s := newFakeReplica(t, "a", func(c net.Conn, _ *http.Request) bool {
 			close(working)
-			_, _ = io.Copy(io.Discard, c) // until the VM hangs up
+			_, _ = io.Copy(io.Discard, c) // until the VM closes the connection
 			return false
 		})
 		r := route(catalog.Once, 1)
@@ -101,7 +101,7 @@
 			<-working
 			clock.Skip(suspended)
 			if n := tf.f.AfterSuspension(); n != 1 {
-				t.Errorf("%d calls were ended", n)
+				t.Errorf("%d calls were cancelled, want 1", n)
 			}
 		}()
 		defer clock.Skip(-suspended)
@@ -111,7 +111,7 @@
 			t.Errorf("got %v, %v", resp, err)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("it ended %v after it began", took)
+			t.Errorf("the call ended %v after it began", took)
 		}
 	})
 }
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// twoVersions are weights whose version 2 was named at a moment.
+// twoVersions are weights whose version 2 was named at a given time.
 type twoVersions struct {
 	named  time.Time
 	within time.Duration
@@ -32,7 +32,7 @@
 	return w.within - now.Sub(w.named), has != "2"
 }
 
-// setWeights lists replicas with their weights.
+// setWeights sets the fleet's replicas and their weights.
 func (tf *testFleet) setWeights(weights map[*fakeReplica]ids.WeightsVersion) {
 	var records []platform.Record
 	for s, w := range weights {
@@ -42,20 +42,20 @@
 	tf.f.Fleet.Refresh()
 }
 
-// promptRoute is a route whose prompts wait for long without being given up.
+// promptRoute is a route whose prompts may wait for long before they are given up.
 func promptRoute() catalog.Route {
 	r := route(catalog.Stream, 2)
 	r.Prompts, r.Objective = true, 10*time.Second
 	return r
 }
 
-// loadSlack is what real sockets may add on a machine under load. When exactly a call is
-// withdrawn is TestWithdrawnOnTime's matter.
+// loadSlack is the delay that real sockets may add on a loaded machine. TestWithdrawnOnTime checks
+// the exact time of a withdrawal.
 const loadSlack = time.Second
 
-// TestWithdrawnOnTime checks in virtual time when a send is withdrawn: when its replica's
-// weights become too old, also if the newer version is named while it waits; never once it
-// has begun or ended.
+// TestWithdrawnOnTime checks in virtual time when a send is withdrawn: when its replica's weights
+// become too old, also if the newer version is named while it waits, and never once it has begun or
+// ended.
 func TestWithdrawnOnTime(t *testing.T) {
 	const within = 9 * time.Second
 	for _, c := range []struct {
@@ -68,7 +68,7 @@
 		{"named while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
 		{"too old when sent", -time.Minute, 0, time.Nanosecond},
 		{"begun before", -2 * time.Second, 6999 * time.Millisecond, 0},
-		{"newest all the while", time.Hour, 0, 0},
+		{"newest throughout", time.Hour, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -93,7 +93,7 @@
 					t.Errorf("withdrawn after %v, want %v", at, c.want)
 				}
 				if withdrawn := send.r.f.Stats.Withdrawn.Load(); (withdrawn == 1) != (c.want > 0) {
-					t.Errorf("%d were counted", withdrawn)
+					t.Errorf("%d sends were counted as withdrawn", withdrawn)
 				}
 				send.stopWeightsWatch()
 			})
@@ -101,11 +101,11 @@
 	}
 }
 
-// TestOldWeightsAreLeftInTime lets a call wait at a replica with old weights until
-// these may no longer be used: the call is withdrawn there before the replica begins it,
-// and goes to one that has the new ones. Before, it stayed, and began 10.5 s after the new
-// ones were named (incident inc1).
-func TestOldWeightsAreLeftInTime(t *testing.T) {
+// TestWithdrawnFromOldWeightsInTime lets a call wait at a replica with old weights until these may
+// no longer be used: it is withdrawn before the replica begins it, and goes to a replica with the
+// new weights. It guards against a fault in which the call stayed and began 10.5 s after the new
+// weights were named (incident inc1).
+func TestWithdrawnFromOldWeightsInTime(t *testing.T) {
 	const within = 400 * time.Millisecond
 	left := make(chan time.Time, 1)
 	old := newFakeReplica(t, "old", holdUntilClosed(left))
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestBegunOnOldWeights lets weights become too old while a stream runs on them: it goes
-// on to its end.
-func TestBegunOnOldWeights(t *testing.T) {
+// TestBegunStreamFinishesOnOldWeights lets weights become too old while a stream runs on them: the
+// stream continues to its end.
+func TestBegunStreamFinishesOnOldWeights(t *testing.T) {
 	const within = 150 * time.Millisecond
 	old := newFakeReplica(t, "old", func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: x\n\n")
@@ -153,7 +153,7 @@
 	}
 }
 
-// holdUntilClosed holds a call until it is withdrawn, and tells when.
+// holdUntilClosed holds a call until the VM withdraws it, and sends the time of that.
 func holdUntilClosed(left chan<- time.Time) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestOnceOnOldWeights withdraws a call that may not be repeated: it fails, is not said
-// not to have run, and does not go to another replica.
-func TestOnceOnOldWeights(t *testing.T) {
+// TestOnceCallFailsWhenWithdrawn withdraws a call that may not be repeated: it fails, is not
+// reported as "not run", and does not go to another replica.
+func TestOnceCallFailsWhenWithdrawn(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
 	old := newFakeReplica(t, "old", holdUntilClosed(left))
@@ -185,15 +185,15 @@
 	}
 }
 
-// unseenVersion are weights whose newest version decisions do not know of yet: it is named
-// while calls wait.
+// unseenVersion are weights whose newest version is named while calls wait, so that decisions do
+// not know it.
 type unseenVersion struct{ twoVersions }
 
 func (unseenVersion) Wanted(ids.Model, time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
 	return "1", time.Hour, nil
 }
 
-// futureVersion are weights whose version 2 is not named before its time.
+// futureVersion are weights whose version 2 is named at a future time.
 type futureVersion struct{ twoVersions }
 
 func (w futureVersion) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
@@ -203,9 +203,9 @@
 	return w.twoVersions.Left(m, has, now)
 }
 
-// TestNamedWhileACallWaits names a version while a call waits at a replica that had the
-// newest when the call was sent: it is withdrawn all the same.
-func TestNamedWhileACallWaits(t *testing.T) {
+// TestWeightsNamedWhileCallWaits names a version while a call waits at a replica that had the
+// newest one when the call was sent: the call is withdrawn all the same.
+func TestWeightsNamedWhileCallWaits(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
 	old := newFakeReplica(t, "old", holdUntilClosed(left))
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestOnlyStreamsAreWithdrawn checks that nothing is withdrawn of which nobody sees when
-// it begins, or whose weights don't matter.
+// TestOnlyStreamsAreWithdrawn checks that a call is not withdrawn if the VM can't see when it
+// begins, or if its weights don't matter.
 func TestOnlyStreamsAreWithdrawn(t *testing.T) {
 	plain, noPrompts := promptRoute(), promptRoute()
 	plain.Kind = catalog.Idempotent
@@ -258,12 +258,12 @@
 	}
 }
 
-// TestBegunIsNotWithdrawn ends the watch of a send with its first event, and with its end,
-// though its time is already up: an event that was read is passed on and not cut off.
-func TestBegunIsNotWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun in the moment": func(send *try) {
+// TestBegunCallNotWithdrawn stops the watch of a send with its first event, and once more when its
+// timer has already fired: an event that was read is passed on and not cut off.
+func TestBegunCallNotWithdrawn(t *testing.T) {
+	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun when the timer fires": func(send *try) {
 		send.stopWeightsWatch()
-		send.recheckWeights() // its timer had fired
+		send.recheckWeights() // the timer has fired already
 	}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -280,23 +280,23 @@
 				time.Sleep(time.Minute)
 				synctest.Wait()
 				if ctx.Err() != nil || send.r.f.Stats.Withdrawn.Load() != 0 {
-					t.Error("it was withdrawn")
+					t.Error("the send was withdrawn")
 				}
 			})
 		})
 	}
 }
 
-// TestOnceIsKeptOffOldWeightsEarlier asks of old weights that may be used for less than
-// 2 s yet: only calls that lose nothing when they are withdrawn go there.
-func TestOnceIsKeptOffOldWeightsEarlier(t *testing.T) {
+// TestOnceCallAvoidsExpiringWeights offers old weights that may be used for less than 2 s more:
+// only calls that lose nothing when they are withdrawn go there.
+func TestOnceCallAvoidsExpiringWeights(t *testing.T) {
 	resumable, once, plain := promptRoute(), promptRoute(), promptRoute()
 	once.Attempts, once.Resumable = 1, false
 	plain.Kind, plain.Resumable = catalog.Idempotent, false
 	for name, c := range map[string]struct {
 		route catalog.Route
 		want  int
-	}{"may run again": {resumable, 1}, "may run once": {once, 0}, "shows no beginning": {plain, 0}} {
+	}{"may run again": {resumable, 1}, "may run once": {once, 0}, "start not visible": {plain, 0}} {
 		t.Run(name, func(t *testing.T) {
 			old := newFakeReplica(t, "old", events(2, 0, false))
 			tf := newFleet(t, c.route, old)
@@ -312,9 +312,9 @@
 	}
 }
 
-// TestWithdrawalBlamesNobody withdraws calls from a replica again and again: that says
-// nothing against it, but each may have run.
-func TestWithdrawalBlamesNobody(t *testing.T) {
+// TestWithdrawalNotCountedAgainstReplica withdraws calls from a replica several times: this does
+// not count against the replica, but each call may have run.
+func TestWithdrawalNotCountedAgainstReplica(t *testing.T) {
 	old := newFakeReplica(t, "old", ok("x"))
 	r := promptRoute()
 	tf := newFleet(t, r, old)
@@ -326,13 +326,13 @@
 		t.Errorf("the replica counts as %+v", status)
 	}
 	if !call.mayRan {
-		t.Error("the calls count as not run")
+		t.Error("the calls are recorded as not run")
 	}
 }
 
-// TestEndedIsNotCounted ends a send before its replica's weights become too old: it is not
-// counted among those that were withdrawn.
-func TestEndedIsNotCounted(t *testing.T) {
+// TestEndedSendNotCountedAsWithdrawn ends a send before its replica's weights become too old: the
+// send does not count as withdrawn.
+func TestEndedSendNotCountedAsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
@@ -347,7 +347,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if n := send.r.f.Stats.Withdrawn.Load(); n != 0 {
-			t.Errorf("%d were counted", n)
+			t.Errorf("%d sends were counted as withdrawn", n)
 		}
 	})
 }
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -11,9 +11,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestOlderWhileItWaits lets a peer say, while a call waits, that the version is older than
-// this VM took it for: the call is withdrawn by that.
-func TestOlderWhileItWaits(t *testing.T) {
+// TestPeerReportShortensWait lets a peer report, while a call waits, that the version is older than
+// this VM had recorded: the call is withdrawn by the reported age.
+func TestPeerReportShortensWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &follow.Weights{Decode: func([]byte) (follow.NamedWeights, error) {
@@ -40,7 +40,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if at > 6*time.Second {
-			t.Errorf("withdrawn after %v, the weights were too old after 5 s", at)
+			t.Errorf("withdrawn after %v, but the weights were too old after 5 s", at)
 		}
 	})
 }
