--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -38,7 +38,7 @@
 	rendezvous     string // address of the rendezvous target, which computes shared parts that no replica is known to hold; empty: the target itself
 	fetch          string
 	save           string
-	pass           *canary.Pass // to the target's version; nil: software versions are not distinguished
+	admission      *canary.Pass // to the target's version; nil: software versions are not distinguished
 	representative bool         // the response's latency shows the speed of the target
 }
 
@@ -73,14 +73,14 @@
 	}
 	sc := f.Fleet.Acquire()
 	defer f.Fleet.Release(sc)
-	snap, d, pass := r.choose(&req, sc)
+	snap, d, admission := r.choose(&req, sc)
 	if d.Index < 0 {
 		r.logNoTarget(sc)
 		return choice{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "decide", "", "no replica can take the call now").After(f.Fleet.ComeBack(&req, snap, sc, noTargetRetryAfter))
 	}
 	c := choice{
 		target: snap.View.Targets[d.Index], wait: seconds(d.PredictedTTFT), queue: seconds(d.QueueWait), rate: d.Rate,
-		age: f.Fleet.LoadAge(snap, d.Index), pass: pass, representative: isRepresentative(snap, d.Index, &sc.Inputs[d.Index]), levels: req.Levels, work: max(req.Tokens-d.Cached, 0),
+		age: f.Fleet.LoadAge(snap, d.Index), admission: admission, representative: isRepresentative(snap, d.Index, &sc.Inputs[d.Index]), levels: req.Levels, work: max(req.Tokens-d.Cached, 0),
 	}
 	if len(req.Levels) > 0 || p != nil && r.route.Prompts {
 		isolationKey := r.catalog.Wall(r.workspace)
@@ -92,7 +92,7 @@
 	refusal := r.shed(&c)
 	if refusal != nil {
 		f.Fleet.GiveBack(c.target.ID)
-		c.pass.End()
+		c.admission.End()
 	}
 	return c, refusal
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -86,10 +86,13 @@
 }
 
 // Dialect translates between headers and this package's types. It makes no decisions.
+// Implementations must be safe for concurrent use.
 type Dialect interface {
+	// ReadCall reads the metadata of a call. After an error the call is refused as a bad request.
 	ReadCall(h http.Header) (Call, error)
 	// WriteSend removes from h the headers that only the router may set, and adds s.
 	WriteSend(h http.Header, s *Send)
+	// ReadReply reads the metadata of a response.
 	ReadReply(status int, h http.Header) Reply
 }
 
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -145,10 +145,10 @@
 func (r *run) recheckAdmission() *outcome.Error {
 	switch {
 	case clock.Until(r.ends) <= 0:
-		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's deadline has passed")
+		return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeDeadline, "send", "", "the call's deadline has passed")
 	case r.workspace != nil && !r.catalogProven():
 		e := r.unprovenCatalog()
-		return outcome.Wrap(errNoLongerAllowed, e.Outcome, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
+		return outcome.Wrap(errNotAllowed, e.Outcome, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 	}
 	return nil
 }
@@ -163,14 +163,14 @@
 		return refusal
 	}
 	if !t.r.superseded(t.c) && t.r.f.Fleet.Members.Declines(t.c.target.ID, clock.Now()) {
-		return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica has asked for a rest or is leaving since it was chosen")
+		return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica has asked for a rest or is leaving since it was chosen")
 	}
 	return nil
 }
 
-// errNoLongerAllowed is the cause of a refusal right before the first byte is sent. It does not
+// errNotAllowed is the cause of a refusal right before the first byte is sent. It does not
 // count against the chosen replica.
-var errNoLongerAllowed = errors.New("a condition for sending the call has ceased to hold since it was admitted")
+var errNotAllowed = errors.New("a condition for sending the call has ceased to hold since it was admitted")
 
 // defaultWait is the maximum duration of a call; callers and routes may set a shorter one.
 const defaultWait = time.Minute
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -17,7 +17,7 @@
 
 // Causes with which this VM cancels an attempt itself.
 var (
-	errCallerGone = errors.New("the caller has closed the connection")
+	errCallerGone = errors.New("the caller has disconnected or stopped reading")
 	errStalled    = errors.New("the replica has sent nothing within the time-out")
 	errOldWeights = errors.New("the replica's weights have become too old to start the call on")
 )
@@ -60,7 +60,7 @@
 // connection; net/http defines no name for it.
 const statusClientClosedRequest = 499
 
-// fail ends a call that failed in all its attempts.
+// fail ends a call that failed and is not retried.
 func (r *run) fail(ctx context.Context, err *outcome.Error) {
 	e := r.finalError(ctx, err)
 	if !r.begun {
@@ -120,9 +120,7 @@
 
 // nothingSent reports whether an attempt ended before any byte reached the replica. Such an
 // attempt counts neither as a retry nor against the replica's rate limit.
-func nothingSent(err *outcome.Error) bool {
-	return err.Step == stepDial || errors.Is(err, errNoLongerAllowed)
-}
+func nothingSent(err *outcome.Error) bool { return err.Step == stepDial || errors.Is(err, errNotAllowed) }
 
 // attempt picks a replica, sends the call there and passes the response on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
@@ -133,7 +131,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	defer c.pass.End()
+	defer c.admission.End()
 	if refusal := r.guard.Sending(r.sends == 0); refusal != nil { // after decide, so that a trial is not used up when no replica can take the call
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
@@ -303,8 +301,7 @@
 	return false
 }
 
-// Refusal is the cause of an attempt that the replica refused or failed. Callers of this package
-// find it with errors.As.
+// Refusal is the cause of an attempt that the replica refused or failed.
 type Refusal struct {
 	Status   int
 	Mismatch bool
@@ -355,7 +352,7 @@
 	switch {
 	case errors.Is(err, errCallerGone), ctx.Err() != nil && !errors.Is(err, errStalled):
 		return // does not count against the replica
-	case errors.Is(err, errNoLongerAllowed):
+	case errors.Is(err, errNotAllowed):
 		// Nothing was sent, so this does not count against the replica.
 	case errors.Is(err, errOldWeights):
 		// The call waited in the replica's queue, which this VM knows already; no failure is
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -66,7 +66,7 @@
 			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
 		tf.f.Fleet.Signaled("a", 1, s, time.Now())
-		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
+		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNotAllowed) {
 			t.Errorf("%s: the call is not refused as not run: %v", name, refusal)
 		}
 	}
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -19,7 +19,7 @@
 const maxVersionRetries = 4
 
 // choose picks a target among those that run a software version which is in service. The caller
-// must end the pass if it is not nil.
+// must end the admission if it is not nil.
 func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Pass) {
 	f := r.f
 	if f.Software == nil {
@@ -42,8 +42,8 @@
 			return snap, d, nil
 		}
 		t := &snap.View.Targets[d.Index]
-		if pass, ok := f.Software.Enter(r.service, t.Software); ok {
-			return snap, d, pass
+		if admission, ok := f.Software.Enter(r.service, t.Software); ok {
+			return snap, d, admission
 		}
 		f.Fleet.GiveBack(t.ID)
 	}
@@ -77,7 +77,7 @@
 	if !t.r.f.Software.Retires(t.r.service, t.c.target.Software) {
 		return nil
 	}
-	return outcome.Wrap(errNoLongerAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
+	return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
 }
 
 // expectedFloor is added to the expected response time, so that short expected times do not give
@@ -89,7 +89,7 @@
 	var refusal *Refusal
 	a := canary.Answer{}
 	switch {
-	case t.c.pass == nil:
+	case t.c.admission == nil:
 		return
 	case err == nil:
 		a.Failed = t.r.status >= http.StatusInternalServerError
@@ -101,7 +101,7 @@
 	if !a.Failed && t.c.representative {
 		a.Took = t.responseTime()
 	}
-	t.c.pass.Ended(t.r.route.Name, t.c.target.ID, a)
+	t.c.admission.Ended(t.r.route.Name, t.c.target.ID, a)
 }
 
 // responseTime returns how long the target took. For a prompt, whose time depends on its length,
--- a/internal/forward/software_test.go
+++ b/internal/forward/software_test.go
@@ -37,7 +37,7 @@
 			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
 		tf.f.Software.Take(later, 2)
-		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNoLongerAllowed) {
+		if refusal := before(); refusal == nil || refusal.Outcome != outcome.NotRun || !errors.Is(refusal, errNotAllowed) {
 			t.Errorf("%s: the call is not refused as not run: %v", name, refusal)
 		}
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -49,7 +49,7 @@
 		}
 		if err != nil {
 			if unflushed {
-				_ = t.flush() // the error is ignored: the attempt fails either way
+				_ = t.flush() // classify detects a caller that has disconnected
 			}
 			return t.brokenResponse(err)
 		}
--- a/internal/forward/suspend.go
+++ b/internal/forward/suspend.go
@@ -54,7 +54,7 @@
 
 // AfterSuspension cleans up after a suspension of the VM. It cancels calls whose deadline has
 // passed although their timers have not fired, closes idle connections, whose peers may be gone,
-// and returns the number of cancelled calls. Safe for concurrent use.
+// and returns the number of cancelled calls.
 func (f *Forwarder) AfterSuspension() int {
 	f.Upstream.DropIdle()
 	return f.calls.cancelOverdue()
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -40,7 +40,7 @@
 		// The target has finished; don't hold its slot while the caller reads.
 		a.Close()
 		t.work.End()
-		t.c.pass.End()
+		t.c.admission.End()
 	}
 	if err := t.write(buf.Bytes()); err != nil {
 		return t.callerGone(err)
@@ -74,5 +74,5 @@
 }
 
 func (t *try) callerGone(err error) *outcome.Error {
-	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller has closed the connection")
+	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the response could not be delivered to the caller")
 }
