--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -120,7 +120,9 @@
 
 // nothingSent reports whether an attempt ended before any byte reached the replica. Such an
 // attempt counts neither as a retry nor against the replica's rate limit.
-func nothingSent(err *outcome.Error) bool { return err.Step == stepDial || errors.Is(err, errNotAllowed) }
+func nothingSent(err *outcome.Error) bool {
+	return err.Step == stepDial || errors.Is(err, errNotAllowed)
+}
 
 // attempt picks a replica, sends the call there and passes the response on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
