--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -181,7 +181,7 @@
 }
 
 // TestResponseClearsSuspicion answers a request under which replicas crashed: its crashes are
-// dropped, unless the response reports a failure of the replica.
+// dropped, unless the response reports a failure of the replica or does not mark its own end.
 func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer  func(net.Conn, *http.Request) bool
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -14,9 +14,9 @@
 // A VM may be suspended for seconds, which the monotonic clock does not count. The tests below
 // guard against a fault in which a proof of the configuration that was 0.5 s old before a
 // suspension of 20 s counted as 0.5 s old after it, so that a key revoked in that time was still
-// accepted. The VM also checked the proof when it admitted a call, not when it sent it. With
-// time.Now instead of the clock that counts suspensions, the calls below are sent after 2 s and 20
-// s, with a proof that may be 1 s old.
+// accepted. In addition, the VM checked the proof only when it admitted a call, not when it sent
+// the call. With time.Now instead of the clock that counts suspensions, the calls below are sent
+// after suspensions of 2 s and 20 s, although the proof may be at most 1 s old.
 
 // suspendingDialect suspends the VM when a call's headers are written, after its admission and
 // decision.
