--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -11,8 +11,8 @@
 	"github.com/threadwall/threadwall/internal/catalog"
 )
 
-func TestAnswerComesBackUnchanged(t *testing.T) {
-	s := newStandIn(t, "a", ok("the answer"))
+func TestResponsePassedUnchanged(t *testing.T) {
+	s := newFakeReplica(t, "a", ok("the answer"))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	resp, body, err := tf.ask(t, "Salt", "forged", "Workspace", "forged", "X-Mine", "kept")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "the answer" || resp.Header.Get("Signed") != "yes" {
@@ -20,16 +20,16 @@
 	}
 	got := s.requests()[0]
 	if got.Method != http.MethodPost || got.RequestURI != "/x?q=1" || got.Host != "h.example" {
-		t.Fatalf("the replica got %s %s at %s", got.Method, got.RequestURI, got.Host)
+		t.Fatalf("the replica received %s %s with host %s", got.Method, got.RequestURI, got.Host)
 	}
 	if got.Header.Get("Salt") != "" || got.Header.Get("Workspace") != "" || got.Header.Get("X-Mine") != "kept" {
-		t.Fatalf("the replica got the headers %v", got.Header)
+		t.Fatalf("the replica received the headers %v", got.Header)
 	}
 }
 
-// TestAtMostOnce checks, for each way in which a send can end, what becomes of a
-// call that may not be repeated: it goes to a second replica only if the first did
-// not run it, and it is called "not run" only if none did.
+// TestAtMostOnce checks, for each way in which a send can end, how a call that may not be repeated
+// is handled: it goes to a second replica only if the first did not run it, and it is reported as
+// "not run" only if no replica ran it.
 func TestAtMostOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -39,22 +39,22 @@
 	}{
 		{"refused as not run", status(http.StatusServiceUnavailable, notRun), http.StatusOK, 1},
 		{"another incarnation", status(http.StatusMisdirectedRequest, "By: x\r\n"), http.StatusOK, 1},
-		{"answer lost", hangUp, http.StatusBadGateway, 0},
+		{"response lost", hangUp, http.StatusBadGateway, 0},
 		{"failed", status(http.StatusInternalServerError, signed), http.StatusInternalServerError, 0},
 		{"no signature", status(http.StatusOK), http.StatusBadGateway, 0},
-		{"busy without saying that it did not run", status(http.StatusServiceUnavailable), http.StatusBadGateway, 0},
-		{"too many without saying that it did not run", status(http.StatusTooManyRequests), http.StatusBadGateway, 0},
-		{"another call's answer", func(c net.Conn, _ *http.Request) bool {
+		{"503 without a not-run header", status(http.StatusServiceUnavailable), http.StatusBadGateway, 0},
+		{"429 without a not-run header", status(http.StatusTooManyRequests), http.StatusBadGateway, 0},
+		{"response to another call", func(c net.Conn, _ *http.Request) bool {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nno")
 			return false
 		}, http.StatusBadGateway, 0},
-		{"cut short", func(c net.Conn, r *http.Request) bool {
+		{"truncated", func(c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 			return false
 		}, http.StatusBadGateway, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := newStandIn(t, "a", c.first), newStandIn(t, "b", ok("fine"))
+			first, second := newFakeReplica(t, "a", c.first), newFakeReplica(t, "b", ok("fine"))
 			tf := newFleet(t, route(catalog.Once, 1), first, second)
 			for range 20 { // until the first replica is picked first
 				resp, body, err := tf.ask(t)
@@ -85,10 +85,10 @@
 	}
 }
 
-// TestRefusalSaysWhenToComeBack checks that a call which has not run is refused at
-// once, truly, and with advice.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	s := newStandIn(t, "a", status(http.StatusServiceUnavailable, notRun))
+// TestRefusalHasRetryAfter checks that a call which has not run is refused at once, with the right
+// status and a Retry-After.
+func TestRefusalHasRetryAfter(t *testing.T) {
+	s := newFakeReplica(t, "a", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	began := time.Now()
 	resp, _, err := tf.ask(t)
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestNoPromiseAfterAnUnknownAttempt lets one replica lose the answer of a call
-// that may be repeated, and the other refuse it: the end is unknown, not "not run".
-func TestNoPromiseAfterAnUnknownAttempt(t *testing.T) {
-	a, b := newStandIn(t, "a", hangUp), newStandIn(t, "b", status(http.StatusServiceUnavailable, notRun))
+// TestNotRunNotClaimedAfterUnknownAttempt lets one replica lose the response of a call that may be
+// repeated, and the other refuse the call: the outcome is unknown, not "not run".
+func TestNotRunNotClaimedAfterUnknownAttempt(t *testing.T) {
+	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", status(http.StatusServiceUnavailable, notRun))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
 		resp, _, err := tf.ask(t)
@@ -111,17 +111,17 @@
 			t.Fatal(err)
 		}
 		if len(a.requests()) > 0 && resp.StatusCode != http.StatusBadGateway {
-			t.Fatalf("got %d after an attempt whose answer was lost, want 502", resp.StatusCode)
+			t.Fatalf("got %d after an attempt whose response was lost, want 502", resp.StatusCode)
 		}
 		if len(a.requests()) > 0 {
 			return
 		}
 	}
-	t.Fatal("the replica that loses answers was never picked")
+	t.Fatal("the replica that loses responses was never picked")
 }
 
-func TestIdempotentGoesOnElsewhere(t *testing.T) {
-	a, b := newStandIn(t, "a", hangUp), newStandIn(t, "b", ok("fine"))
+func TestIdempotentCallRetriedElsewhere(t *testing.T) {
+	a, b := newFakeReplica(t, "a", hangUp), newFakeReplica(t, "b", ok("fine"))
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
 		if resp, body, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
@@ -130,11 +130,11 @@
 	}
 }
 
-// TestSilentReplicaIsLeft lets one replica hang: a call that may be repeated is
-// answered by the other, soon after its objective.
-func TestSilentReplicaIsLeft(t *testing.T) {
-	a := newStandIn(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
-	tf := newFleet(t, route(catalog.Idempotent, 2), a, newStandIn(t, "b", ok("fine")))
+// TestStalledReplicaIsAbandoned lets one replica hang: the other answers a call that may be
+// repeated, soon after its objective.
+func TestStalledReplicaIsAbandoned(t *testing.T) {
+	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
+	tf := newFleet(t, route(catalog.Idempotent, 2), a, newFakeReplica(t, "b", ok("fine")))
 	for range 5 {
 		began := time.Now()
 		resp, _, err := tf.ask(t)
@@ -144,9 +144,10 @@
 	}
 }
 
-// TestRouteTimeout ends a call at its route's timeout though its caller would wait.
+// TestRouteTimeout checks that a call ends at its route's timeout even if its caller would wait
+// longer.
 func TestRouteTimeout(t *testing.T) {
-	a := newStandIn(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
+	a := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool { time.Sleep(3 * time.Second); return false })
 	r := route(catalog.Once, 1)
 	r.Timeout = 300 * time.Millisecond
 	tf := newFleet(t, r, a)
@@ -156,15 +157,15 @@
 		t.Fatalf("got %v, %v", resp, err)
 	}
 	if took := time.Since(began); took < 250*time.Millisecond || took > 800*time.Millisecond {
-		t.Fatalf("the answer took %v", took)
+		t.Fatalf("the response took %v", took)
 	}
 }
 
-// TestCallerLeavesReplicaStops checks that a replica learns within half a second
-// that the caller has gone, also while its answer is waited for.
-func TestCallerLeavesReplicaStops(t *testing.T) {
+// TestCallerDisconnectCancelsReplica checks that within half a second after the caller disconnects
+// the VM closes its connection to the replica, also while it still waits for the response.
+func TestCallerDisconnectCancelsReplica(t *testing.T) {
 	closed := make(chan struct{})
-	a := newStandIn(t, "a", func(c net.Conn, _ *http.Request) bool {
+	a := newFakeReplica(t, "a", func(c net.Conn, _ *http.Request) bool {
 		var b [1]byte
 		_, _ = c.Read(b[:])
 		close(closed)
@@ -181,14 +182,14 @@
 	select {
 	case <-closed:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the replica still works for a caller that has gone")
+		t.Fatal("the connection to the replica is still open after the caller has disconnected")
 	}
 }
 
-// TestKeys checks the workspace that goes along, and what a VM answers that can't
-// prove that its configuration is the newest.
-func TestKeys(t *testing.T) {
-	s := newStandIn(t, "a", ok("fine"))
+// TestKeyAuthorization checks the workspace that is sent along with a call, and the status from a
+// VM that can't prove that its configuration is the newest.
+func TestKeyAuthorization(t *testing.T) {
+	s := newFakeReplica(t, "a", ok("fine"))
 	r := route(catalog.Once, 1)
 	r.Public = false
 	tf := newFleet(t, r, s)
@@ -199,14 +200,14 @@
 	}))
 	for _, c := range []struct {
 		key    string
-		proven time.Duration // ago
+		proven time.Duration // age of the catalog's proof
 		status int
 	}{
 		{"k1", 0, http.StatusOK},
 		{"wrong", 0, http.StatusUnauthorized},
 		{"", 0, http.StatusUnauthorized},
 		{"k1", 2 * time.Second, http.StatusServiceUnavailable},
-		{"wrong", 2 * time.Second, http.StatusServiceUnavailable}, // it may be a new key
+		{"wrong", 2 * time.Second, http.StatusServiceUnavailable}, // it may be a new key that this VM does not know yet
 	} {
 		fresh := &catalog.Current{}
 		fresh.Adopt(tf.f.Catalog.Get())
@@ -218,14 +219,14 @@
 		}
 	}
 	if got := s.requests(); len(got) != 1 || got[0].Header.Get("Workspace") != "w1" || got[0].Header.Get("Key") != "" {
-		t.Fatalf("the replica got %d requests, the first with %v", len(got), got[0].Header)
+		t.Fatalf("the replica received %d requests, the first with %v", len(got), got[0].Header)
 	}
 }
 
-// TestNoConfiguration: a VM that knows no configuration can't know that a route or
-// a key does not exist.
+// TestNoConfiguration checks that a VM without a configuration does not refuse a route or a key as
+// unknown.
 func TestNoConfiguration(t *testing.T) {
-	tf := newFleet(t, route(catalog.Once, 1), newStandIn(t, "a", ok("fine")))
+	tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("fine")))
 	tf.f.Catalog = &catalog.Current{}
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("got %v, %v", resp, err)
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -12,29 +12,29 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// shownErrors is what operators see of PredictionErrors.
-type shownErrors struct {
-	Routes map[string][]ratioStep `json:"routes"`
+// predictionReport is the JSON form of PredictionErrors.
+type predictionReport struct {
+	Routes map[string][]ratioBucket `json:"routes"`
 	Ages   []struct {
-		UpToMs int64       `json:"up_to_ms"`
-		Ratios []ratioStep `json:"ratios"`
+		UpToMs int64         `json:"up_to_ms"`
+		Ratios []ratioBucket `json:"ratios"`
 	} `json:"load_ages"`
 }
 
-func shown(t *testing.T, p *PredictionErrors) shownErrors {
+func decodeErrors(t *testing.T, p *PredictionErrors) predictionReport {
 	t.Helper()
 	text, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s shownErrors
+	var s predictionReport
 	if err := json.Unmarshal(text, &s); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func total(steps []ratioStep) (n int64) {
+func total(steps []ratioBucket) (n int64) {
 	for _, s := range steps {
 		n += s.Count
 	}
@@ -48,23 +48,23 @@
 	p.Observe("a", 150*time.Millisecond, predicted, full*9/10)
 	p.Observe("a", time.Hour, predicted, 100*full)
 	p.Observe("b", 0, -time.Second, loadview.MinTTFT/10)
-	s := shown(t, &p)
+	s := decodeErrors(t, &p)
 	a, b := s.Routes["a"], s.Routes["b"]
 	if total(a) != 2 || total(b) != 1 {
 		t.Fatalf("counted %d of a, %d of b", total(a), total(b))
 	}
 	if last := a[len(a)-1]; last.Count != 1 || last.UpTo != 0 {
-		t.Errorf("a first event a hundred times later than predicted is in %v", a)
+		t.Errorf("a first event a hundred times later than predicted is counted in %v", a)
 	}
 	if exact := a[4]; exact.Count != 1 || exact.UpTo != 1 {
-		t.Errorf("a first event almost as predicted is in %v", a)
+		t.Errorf("a first event almost as predicted is counted in %v", a)
 	}
 	if b[0].Count != 1 {
-		t.Errorf("a first event ten times earlier than predicted is in %v", b)
+		t.Errorf("a first event ten times earlier than predicted is counted in %v", b)
 	}
 	for i, want := range []int64{1, 1, 0, 0, 0, 1} {
 		if got := total(s.Ages[i].Ratios); got != want {
-			t.Errorf("%d of loads up to %d ms old, want %d", got, s.Ages[i].UpToMs, want)
+			t.Errorf("%d counts for loads up to %d ms old, want %d", got, s.Ages[i].UpToMs, want)
 		}
 	}
 }
@@ -74,17 +74,17 @@
 	for i := range 3 * maxErrorRoutes {
 		p.Observe(fmt.Sprint("route ", i), 0, 0, time.Second)
 	}
-	s := shown(t, &p)
+	s := decodeErrors(t, &p)
 	if len(s.Routes) != maxErrorRoutes+1 || total(s.Routes[otherRoutes]) != 2*maxErrorRoutes {
-		t.Fatalf("%d routes, %d calls of others", len(s.Routes), total(s.Routes[otherRoutes]))
+		t.Fatalf("%d routes, %d calls of the other routes", len(s.Routes), total(s.Routes[otherRoutes]))
 	}
 }
 
-// TestPredictionErrorIsCounted checks that a served prompt counts once, in the step that
-// its target's delay leads to.
+// TestPredictionErrorIsCounted checks that a served prompt counts once, in the bucket that matches
+// its target's delay.
 func TestPredictionErrorIsCounted(t *testing.T) {
 	answer := ok("fine")
-	s := newStandIn(t, "a", func(c net.Conn, r *http.Request) bool {
+	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 		time.Sleep(4 * loadview.MinTTFT)
 		return answer(c, r)
 	})
@@ -101,13 +101,13 @@
 	if _, _, err := tf.ask(t); err != nil { // no prompt: nothing was predicted
 		t.Fatal(err)
 	}
-	steps := shown(t, &tf.f.Prediction).Routes[r.Name]
+	steps := decodeErrors(t, &tf.f.Prediction).Routes[r.Name]
 	if total(steps) != 2 {
 		t.Fatalf("counted %v", steps)
 	}
 	for _, step := range steps[:5] {
 		if step.Count != 0 {
-			t.Errorf("a late first event counts as early: %v", steps)
+			t.Errorf("a late first event is counted as early: %v", steps)
 		}
 	}
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// watchCrashes has the fleet remember which requests replicas crashed under.
+// watchCrashes makes the fleet record which requests replicas crashed under.
 func (tf *testFleet) watchCrashes() *quarantine.Ledger {
 	ledger := quarantine.NewLedger(nil, nil)
 	tf.f.Guard = &quarantine.Guard{Detector: &quarantine.Detector{
@@ -32,19 +32,20 @@
 // hello is the request that ask sends.
 var hello = quarantine.Request{Method: http.MethodPost, Host: "h.example", URI: "/x?q=1", Body: []byte("hello")}
 
-// mostCrashes bounds the crashes of quarantineHello; they are a second apart.
-const mostCrashes = 5
+// maxCrashes bounds the crashes of quarantineHello, which are a second apart.
+const maxCrashes = 5
 
-// quarantineHello makes replicas crash under the request that ask sends.
+// quarantineHello records crashes of replicas under the request that ask sends.
 func quarantineHello(l *quarantine.Ledger, crashes int) {
 	for i := range crashes {
-		at := time.Now().Add(time.Duration(i-mostCrashes) * time.Second)
+		at := time.Now().Add(time.Duration(i-maxCrashes) * time.Second)
 		l.Crashed(quarantine.Finding{Request: hello.Fingerprint(), Crash: quarantine.Crash{Replica: quarantine.Replica(i), Sent: at, Ended: at}})
 	}
 }
 
-// suspectsWithin waits until a number of requests is remembered, or d is over.
-func suspectsWithin(l *quarantine.Ledger, want int, d time.Duration) int {
+// waitForSuspects waits until the ledger holds the given number of requests, at most for d, and
+// returns the number.
+func waitForSuspects(l *quarantine.Ledger, want int, d time.Duration) int {
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if n, _ = l.Counts(); n == want && want > 0 {
@@ -54,12 +55,13 @@
 	return n
 }
 
-// TestQuarantinedIsRefusedForGood asks for what crashes replicas: it is refused at once, as
-// not run, with no invitation to come back; a request that differs in a byte is served.
-func TestQuarantinedIsRefusedForGood(t *testing.T) {
+// TestQuarantinedRequestRefusedWithoutRetryAfter sends a request that crashes replicas: it is
+// refused at once, as not run and without Retry-After. A request that differs in one byte is
+// served.
+func TestQuarantinedRequestRefusedWithoutRetryAfter(t *testing.T) {
 	for _, kind := range []catalog.Kind{catalog.Once, catalog.Idempotent, catalog.Stream} {
 		t.Run(kind.String(), func(t *testing.T) {
-			s := newStandIn(t, "a", ok("data: fine\n\n"))
+			s := newFakeReplica(t, "a", ok("data: fine\n\n"))
 			tf := newFleet(t, route(kind, 2), s)
 			quarantineHello(tf.watchCrashes(), 3)
 			resp, body, err := tf.ask(t)
@@ -67,10 +69,10 @@
 				t.Fatalf("got %v, %v", resp, err)
 			}
 			if !strings.Contains(body, "3 replicas crashed") || !strings.Contains(body, "(not-run)") {
-				t.Errorf("the caller is told %q", body)
+				t.Errorf("the caller gets %q", body)
 			}
 			if n := len(s.requests()); n != 0 {
-				t.Errorf("it was sent %d times", n)
+				t.Errorf("the call was sent %d times", n)
 			}
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, tf.url+"/x?q=1", strings.NewReader("hellp"))
 			if err != nil {
@@ -87,16 +89,16 @@
 	}
 }
 
-// TestNoFurtherReplica crashes the replica that runs a call which others crashed under
-// before: it is not tried again, and fails as unknown, since it has run.
-func TestNoFurtherReplica(t *testing.T) {
+// TestNoRetryAfterQuarantine crashes the replica that runs a call which other replicas crashed
+// under before: the call is not retried, and fails as unknown, since it has run.
+func TestNoRetryAfterQuarantine(t *testing.T) {
 	var tf *testFleet
 	var ledger *quarantine.Ledger
 	crash := func(net.Conn, *http.Request) bool {
-		quarantineHello(ledger, 3) // a peer tells of it meanwhile
+		quarantineHello(ledger, 3) // a peer reports it in the meantime
 		return false
 	}
-	first, second := newStandIn(t, "a", crash), newStandIn(t, "b", crash)
+	first, second := newFakeReplica(t, "a", crash), newFakeReplica(t, "b", crash)
 	tf = newFleet(t, route(catalog.Idempotent, 2), first, second)
 	ledger = tf.watchCrashes()
 	resp, body, err := tf.ask(t)
@@ -104,58 +106,58 @@
 		t.Fatalf("got %v, %q, %v", resp, body, err)
 	}
 	if n := len(first.requests()) + len(second.requests()); n != 1 {
-		t.Errorf("it was sent %d times", n)
+		t.Errorf("the call was sent %d times", n)
 	}
 }
 
-// TestBlame lets a replica fail a call in many ways, and asks whether it is held against the
-// request: only the end of the replica is.
-func TestBlame(t *testing.T) {
+// TestCrashDetection lets a replica fail a call in many ways, and checks that only the end of the
+// replica counts against the request.
+func TestCrashDetection(t *testing.T) {
 	var tf *testFleet
 	part := func(c net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 	}
 	for _, c := range []struct {
 		name   string
-		answer func(s *standIn) func(net.Conn, *http.Request) bool
+		answer func(s *fakeReplica) func(net.Conn, *http.Request) bool
 		blamed int
 	}{
-		{"it ends", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
 		}, 1},
-		{"it ends after a part of its answer", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"stops after a part of its response", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); s.stop(); return false }
 		}, 1},
-		{"its connection ends first, and it soon after", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"closes the connection and stops soon after", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				time.AfterFunc(30*time.Millisecond, s.stop)
 				return false
 			}
 		}, 1},
-		{"it starts again under its name", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"restarts under its id", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", s.addr, 2)}, time.Now())
 				return false
 			}
 		}, 1},
-		{"it breaks off and goes on", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"breaks the response off and keeps running", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, r *http.Request) bool { part(c, r); return false }
 		}, 0},
-		{"it hangs up and goes on", func(*standIn) func(net.Conn, *http.Request) bool { return hangUp }, 0},
-		{"it sends what is no answer, and ends", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"closes the connection and keeps running", func(*fakeReplica) func(net.Conn, *http.Request) bool { return hangUp }, 0},
+		{"sends an invalid response and stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(c net.Conn, _ *http.Request) bool {
 				_, _ = fmt.Fprint(c, "garbage\r\n\r\n")
 				s.stop()
 				return false
 			}
 		}, 0},
-		{"it refuses", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"refuses", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusServiceUnavailable, notRun)
 		}, 0},
-		{"it fails", func(*standIn) func(net.Conn, *http.Request) bool {
+		{"fails", func(*fakeReplica) func(net.Conn, *http.Request) bool {
 			return status(http.StatusInternalServerError, signed)
 		}, 0},
-		{"it is leaving", func(s *standIn) func(net.Conn, *http.Request) bool {
+		{"leaves and stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
 				tf.f.Fleet.Members.Leaves("a", 1)
 				s.stop()
@@ -164,23 +166,23 @@
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newStandIn(t, "a", hangUp)
-			s.answer = c.answer(s)
+			s := newFakeReplica(t, "a", hangUp)
+			s.respond = c.answer(s)
 			tf = newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			if _, _, err := tf.ask(t); err != nil {
 				t.Fatal(err)
 			}
-			if n := suspectsWithin(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
+			if n := waitForSuspects(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
 				t.Errorf("%d requests are suspected, want %d", n, c.blamed)
 			}
 		})
 	}
 }
 
-// TestAnswerClears answers a request under which replicas crashed: what was held against it
-// is dropped, unless the answer is the replica's failure.
-func TestAnswerClears(t *testing.T) {
+// TestResponseClearsSuspicion answers a request under which replicas crashed: its crashes are
+// dropped, unless the response reports a failure of the replica or does not mark its own end.
+func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer  func(net.Conn, *http.Request) bool
 		cleared bool
@@ -193,7 +195,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn(t, "a", c.answer)
+			s := newFakeReplica(t, "a", c.answer)
 			tf := newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			quarantineHello(ledger, 2)
@@ -208,17 +210,17 @@
 	}
 }
 
-// TestTrialWaitsForAReplica asks for a quarantined request whose trial is due while no replica
-// can take it: the trial is kept for a time when one can, and lifts the quarantine.
-func TestTrialWaitsForAReplica(t *testing.T) {
+// TestTrialKeptUntilReplicaAvailable sends a quarantined request whose trial is due while no
+// replica can take it: the trial is kept until a replica can, and then lifts the quarantine.
+func TestTrialKeptUntilReplicaAvailable(t *testing.T) {
 	const trialDue = 15 * time.Second
 	clock.Skip(trialDue)
 	defer clock.Skip(-trialDue)
-	s := newStandIn(t, "a", ok("fine"))
+	s := newFakeReplica(t, "a", ok("fine"))
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	ledger := tf.watchCrashes()
 	quarantineHello(ledger, 3)
-	tf.f.Fleet.Members.Platform(nil, clock.Now()) // with what follows it counts as dead
+	tf.f.Fleet.Members.Platform(nil, clock.Now()) // with the next line the replica counts as dead
 	tf.f.Fleet.Members.Busy("a", clock.Now().Add(time.Hour))
 	tf.f.Fleet.Refresh()
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,22 +15,22 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// Causes of an attempt that this VM ended itself.
+// Causes with which this VM cancels an attempt itself.
 var (
-	errCallerGone = errors.New("the caller is gone")
-	errStalled    = errors.New("the replica is silent for too long")
-	errOldWeights = errors.New("the replica's weights are too old to begin on")
+	errCallerGone = errors.New("the caller has disconnected or stopped reading")
+	errStalled    = errors.New("the replica has sent nothing within the time-out")
+	errOldWeights = errors.New("the replica's weights have become too old to start the call on")
 )
 
-// maxSends bounds the sends of one call, those that did not run included.
+// maxSends bounds the sends of one call, including those that did not run.
 const maxSends = 4
 
-// leastLeft is the time below which another attempt can't succeed.
-const leastLeft = 15 * time.Millisecond
+// minAttemptTime is the remaining time below which another attempt can't succeed.
+const minAttemptTime = 15 * time.Millisecond
 
 // serve runs attempts until the call is answered.
 func (r *run) serve(ctx context.Context) {
-	r.guard()
+	r.startGuard()
 	r.f.Budgets.Of(r.service).Deposit()
 	for {
 		err := r.attempt(ctx)
@@ -40,7 +40,7 @@
 			return
 		}
 		if errors.Is(err, errCallerGone) || r.req.Context().Err() != nil {
-			r.left(err)
+			r.abandon(err)
 			return
 		}
 		if !r.mayRetry(ctx, err) {
@@ -50,18 +50,19 @@
 	}
 }
 
-// left ends a call whose caller has gone.
-func (r *run) left(err *outcome.Error) {
-	r.logEnd(statusClientGone, err)
+// abandon ends a call whose caller has closed the connection.
+func (r *run) abandon(err *outcome.Error) {
+	r.logEnd(statusClientClosedRequest, err)
 	panic(http.ErrAbortHandler)
 }
 
-// statusClientGone is the customary status in logs for a caller that has left.
-const statusClientGone = 499
+// statusClientClosedRequest is the usual status in logs for a caller that has closed the
+// connection; net/http defines no name for it.
+const statusClientClosedRequest = 499
 
-// fail ends a call that no attempt could answer.
+// fail ends a call that failed and is not retried.
 func (r *run) fail(ctx context.Context, err *outcome.Error) {
-	e := r.final(ctx, err)
+	e := r.finalError(ctx, err)
 	if !r.begun {
 		r.refuse(e)
 		return
@@ -69,29 +70,30 @@
 	r.f.Stats.Broken.Add(1)
 	r.f.Refusals.add(e)
 	r.logEnd(r.status, e)
-	panic(http.ErrAbortHandler) // the caller must not take the answer for whole
+	panic(http.ErrAbortHandler) // cuts the connection, so that the caller does not take the response for complete
 }
 
-// final types the end of a call that failed.
-func (r *run) final(ctx context.Context, err *outcome.Error) *outcome.Error {
+// finalError returns the error of a failed call, given that of its last attempt.
+func (r *run) finalError(ctx context.Context, err *outcome.Error) *outcome.Error {
 	e := err
 	if e.Outcome == outcome.NotRun && r.mayRan {
 		// The last attempt did not run; an earlier one may have.
 		e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || clock.Until(r.ends) <= 0 {
-		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the call's time is over")
+		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the call's deadline has passed")
 	}
 	if e.Outcome == outcome.NotRun && e.RetryAfter == 0 && e.Code != outcome.CodeQuarantined {
-		e.RetryAfter = retryNoTarget
+		e.RetryAfter = noTargetRetryAfter
 	}
 	return e
 }
 
-// mayRetry decides whether another send follows a failed one.
+// mayRetry reports whether the call may be sent again after a failed send. It takes the retry
+// out of the service's retry budget.
 func (r *run) mayRetry(ctx context.Context, err *outcome.Error) bool {
 	switch {
-	case ctx.Err() != nil, clock.Until(r.ends) < leastLeft, r.sends >= maxSends:
+	case ctx.Err() != nil, clock.Until(r.ends) < minAttemptTime, r.sends >= maxSends:
 		return false
 	case err.Code == outcome.CodeNoTarget, err.Code == outcome.CodeStoreDown, err.Step == stepShed, err.Step == quarantine.Step:
 		return false
@@ -99,8 +101,8 @@
 		return false
 	case r.begun && !r.route.Resumable:
 		return false
-	case r.guarded.Refusal(false) != nil:
-		return false // this attempt's crash may have been the last that it took
+	case r.guard.Refusal(false) != nil:
+		return false // the crash of this attempt may have quarantined the request
 	case !nothingSent(err) && !r.f.Budgets.Of(r.service).Withdraw():
 		r.f.Stats.BudgetEmpty.Add(1)
 		r.f.Log.Request("no-retry", string(r.call.ID)).Str("service", r.service).Str("reason", "the retry budget is used up").Send()
@@ -110,33 +112,34 @@
 	return true
 }
 
-// repeatable tells whether the call may run once more after an attempt that may
-// have run.
+// repeatable reports whether the call may run again after an attempt that may have run.
 func (r *run) repeatable() bool { return r.route.Repeatable() && r.attempts < r.route.Attempts }
 
-// stepDial is the step at which nothing has reached a replica.
+// stepDial is the step of failed connects, before anything has reached the replica.
 const stepDial = "dial"
 
-// nothingSent tells whether an attempt ended before anything of it reached the replica: it
-// counts neither as a repeat nor against the replica's limit.
-func nothingSent(err *outcome.Error) bool { return err.Step == stepDial || errors.Is(err, errLapsed) }
+// nothingSent reports whether an attempt ended before any byte reached the replica. Such an
+// attempt counts neither as a retry nor against the replica's rate limit.
+func nothingSent(err *outcome.Error) bool {
+	return err.Step == stepDial || errors.Is(err, errNotAllowed)
+}
 
-// attempt is one try: decide, send, judge, pass the answer on.
+// attempt picks a replica, sends the call there and passes the response on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
-	if refusal := r.guarded.Refusal(r.sends == 0); refusal != nil {
+	if refusal := r.guard.Refusal(r.sends == 0); refusal != nil {
 		return refusal
 	}
 	c, refusal := r.decide()
 	if refusal != nil {
 		return refusal
 	}
-	defer c.pass.Release()
-	if refusal := r.guarded.RefusalAtSend(r.sends == 0); refusal != nil { // a trial is not spent where no replica can take it
+	defer c.admission.Release()
+	if refusal := r.guard.RefusalAtSend(r.sends == 0); refusal != nil { // after decide, so that a trial is not used up when no replica can take the call
 		r.f.Fleet.GiveBack(c.target.ID)
 		return refusal
 	}
 	r.sends++
-	r.attempts++ // taken back when it turns out not to have run
+	r.attempts++ // recordOutcome reverts this if the attempt did not run
 	r.tried = append(r.tried, c.target.ID)
 	r.f.Stats.Attempts.Add(1)
 	work := r.f.Fleet.Load.Sent(c.target.ID, c.work, clock.Now())
@@ -147,55 +150,55 @@
 	t := r.try(ctx, &c, work)
 	err := t.run()
 	t.end()
-	r.learn(ctx, t, err)
-	t.counted(err)
+	r.recordOutcome(ctx, t, err)
+	t.reportToGate(err)
 	return err
 }
 
 // try is one send to one replica.
 type try struct {
-	r      *run
-	c      *choice
-	work   *loadview.Work
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stall  *stallTimer
-	age    weightsWatch
-	sent   time.Time
-	begun  bool          // the replica's first event, or its answer, has come
-	kvSent bool          // the planner counts this send among those that compute
-	framed bool          // the answer says where it ends
-	unread time.Duration // for which the caller kept the answer waiting
+	r         *run
+	c         *choice
+	work      *loadview.Work
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	stall     *stallTimer
+	weights   weightsWatch
+	sent      time.Time
+	answering bool          // the replica's first event, or its response, has arrived
+	kvSent    bool          // the planner counts this send as computing shared parts
+	framed    bool          // the response marks its own end
+	unread    time.Duration // total time that writes to the caller took
 }
 
 func (r *run) try(ctx context.Context, c *choice, work *loadview.Work) *try {
 	tctx, cancel := context.WithCancelCause(ctx)
 	t := &try{r: r, c: c, work: work, ctx: tctx, cancel: cancel, sent: clock.Now()}
-	t.stall = newStallTimer(t.silent)
+	t.stall = newStallTimer(t.onStall)
 	t.watchWeights()
 	return t
 }
 
 func (t *try) end() {
-	t.computed(false)
+	t.endComputing(false)
 	t.stall.stop()
-	t.endWatch()
+	t.stopWeightsWatch()
 	t.cancel(nil)
 }
 
-// run sends the call and passes its answer on.
+// run sends the call and passes the response on.
 func (t *try) run() *outcome.Error {
 	r := t.r
 	if r.call.Prompt != nil && r.route.Prompts {
-		r.f.KV.sent(t.c, r.call.Prompt.Model, kvcache.Shared(r.call.Prompt.Parts))
+		r.f.KV.sendStarted(t.c, r.call.Prompt.Model, kvcache.Shared(r.call.Prompt.Parts))
 		t.kvSent = true
 	}
-	t.countMoves()
+	t.countTransfers()
 	r.progress.sent, r.progress.work = t.sent, seconds(float32(t.c.work)/max(t.c.rate, 1))
-	t.stall.start(t.firstWait())
+	t.stall.start(t.firstEventTimeout())
 	a, err := r.f.Upstream.Send(t.ctx, upstream.Replica{ID: t.c.target.ID, Addr: t.c.target.Addr}, t.request())
 	if err != nil {
-		return t.typed(err)
+		return t.classify(err)
 	}
 	defer a.Close()
 	t.framed = a.Framed()
@@ -203,28 +206,28 @@
 	if !r.superseded(t.c) && reply.Weights != "" && reply.Weights != t.c.target.Weights && (reply.Replica == "" || reply.Replica == t.c.target.ID) {
 		r.f.ObserveWeights(t.c.target.ID, reply.Weights)
 	}
-	t.signaled(&reply)
-	if e := t.judge(a, reply); e != nil {
+	t.recordSignals(&reply)
+	if e := t.checkHead(a, reply); e != nil {
 		return e
 	}
 	if r.begun && a.Status != http.StatusOK {
-		// The caller has a part of a stream; nothing but its rest can follow.
-		return t.broken(&Refusal{Status: a.Status})
+		// The caller already has a part of a stream, so only the rest of it may follow.
+		return t.brokenResponse(&Refusal{Status: a.Status})
 	}
 	if r.route.Kind == streamKind && a.Status < http.StatusMultipleChoices {
-		return t.relay(a)
+		return t.relayStream(a)
 	}
-	return t.whole(a)
+	return t.relayBuffered(a)
 }
 
-// started notes the replica's first event, or its answer: a sign of life, and a measure
-// of how long it took against what was predicted.
-func (t *try) started() {
-	if t.begun {
+// firstOutput records the replica's first event, or its response. It shows that the replica is
+// live, and its delay is compared with the predicted one.
+func (t *try) firstOutput() {
+	if t.answering {
 		return
 	}
-	t.begun = true
-	t.endWatch()
+	t.answering = true
+	t.stopWeightsWatch()
 	now := clock.Now()
 	t.work.FirstToken()
 	if t.r.superseded(t.c) {
@@ -237,15 +240,16 @@
 	}
 }
 
-// computed notes that the replica is done with the prompt's shared parts, once.
-func (t *try) computed(held bool) {
+// endComputing records, once, that the replica no longer computes the prompt's shared parts.
+// held reports whether the replica holds them now.
+func (t *try) endComputing(held bool) {
 	if t.kvSent {
 		t.kvSent = false
-		t.r.f.KV.ended(t.c, held)
+		t.r.f.KV.sendEnded(t.c, held)
 	}
 }
 
-func (t *try) countMoves() {
+func (t *try) countTransfers() {
 	if t.c.fetch != "" {
 		t.r.f.Stats.Fetches.Add(1)
 	}
@@ -254,43 +258,44 @@
 	}
 }
 
-// typed returns an attempt's error, with what this VM itself ended it for.
-func (t *try) typed(err error) *outcome.Error {
+// classify returns an attempt's error as an outcome.Error. If this VM cancelled the attempt, the
+// error names the cause.
+func (t *try) classify(err error) *outcome.Error {
 	e := outcome.Of(err)
 	switch {
 	case t.r.req.Context().Err() != nil:
-		return outcome.Wrap(errors.Join(errCallerGone, err), e.Outcome, outcome.CodeStreamBroken, e.Step, e.Peer, "the caller is gone")
+		return outcome.Wrap(errors.Join(errCallerGone, err), e.Outcome, outcome.CodeStreamBroken, e.Step, e.Peer, "the caller has closed the connection")
 	case errors.Is(context.Cause(t.ctx), errStalled):
-		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica was silent for too long")
+		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica sent nothing within the time-out")
 	case errors.Is(context.Cause(t.ctx), errOldWeights):
-		return outcome.Wrap(errors.Join(errOldWeights, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "withdrawn: the replica's weights are too old to begin on")
+		return outcome.Wrap(errors.Join(errOldWeights, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "withdrawn: the replica's weights have become too old to start the call on")
 	}
 	return e
 }
 
-// judge looks at an answer's head.
-func (t *try) judge(a *upstream.Answer, reply Reply) *outcome.Error {
+// checkHead returns an error if the head of a response shows a refusal or a failure.
+func (t *try) checkHead(a *upstream.Answer, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
 	case reply.Mismatch:
 		return outcome.Wrap(&Refusal{Mismatch: true, Replica: reply.Replica}, outcome.NotRun, outcome.CodeUpstream, "refused", peer,
-			"the replica is another one, or has other weights, than expected")
+			"the replica has another identity or other weights than requested")
 	case reply.NotRun:
 		return outcome.Wrap(&Refusal{Status: a.Status, Replica: reply.Replica}, outcome.NotRun, outcome.CodeOverloaded, "refused", peer,
-			"the replica did not take the call").After(retryNoTarget)
+			"the replica refused the call").After(noTargetRetryAfter)
 	case a.Status < http.StatusMultipleChoices && !reply.Signed:
-		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the answer lacks the replica's signature")
+		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the response lacks the replica's signature")
 	case a.Status >= http.StatusInternalServerError && t.r.repeatable():
-		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica failed")
-	case promises(a.Status):
-		// The replica does not say that the call did not run, so neither may we.
-		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica refused without saying that the call did not run")
+		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica failed the call")
+	case impliesNotRun(a.Status):
+		// The replica does not state that the call did not run, so this VM may not state it either.
+		return outcome.Wrap(&Refusal{Status: a.Status}, outcome.Unknown, outcome.CodeUpstream, "judge", peer, "the replica refused the call without stating that it did not run")
 	}
 	return nil
 }
 
-// promises tells whether a status means to callers that the call did not run.
-func promises(status int) bool {
+// impliesNotRun reports whether a status tells callers that the call did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -298,7 +303,7 @@
 	return false
 }
 
-// Refusal is a replica's answer that is no answer to the call.
+// Refusal is the cause of an attempt that the replica refused or failed.
 type Refusal struct {
 	Status   int
 	Mismatch bool
@@ -308,30 +313,30 @@
 // Error implements error.
 func (e *Refusal) Error() string {
 	if e.Mismatch {
-		return "misfit, answered by " + string(e.Replica)
+		return "identity or weights mismatch, answered by " + string(e.Replica)
 	}
 	return "status " + http.StatusText(e.Status)
 }
 
-// learn feeds the end of an attempt back into what is believed of the replica.
-func (r *run) learn(ctx context.Context, t *try, err *outcome.Error) {
+// recordOutcome updates the state of the call and of the replica after an attempt.
+func (r *run) recordOutcome(ctx context.Context, t *try, err *outcome.Error) {
 	now, c := clock.Now(), t.c
 	members := r.f.Fleet.Members
 	if err == nil {
 		if t.framed {
-			r.guarded.Answered(r.status)
+			r.guard.Answered(r.status)
 		}
 		switch {
 		case r.superseded(c):
 		case r.status >= http.StatusInternalServerError:
-			// A target that fails calls which nobody may repeat would otherwise look idle and well.
+			// A target that fails calls without retries would otherwise look idle and healthy.
 			members.FailedCall(c.target.ID, now)
 		default:
 			members.Succeeded(c.target.ID)
 		}
 		return
 	}
-	r.blame(ctx, t, err)
+	r.checkForCrash(ctx, t, err)
 	if nothingSent(err) {
 		r.f.Fleet.GiveBack(c.target.ID)
 	}
@@ -348,13 +353,14 @@
 	isRefusal := errors.As(err, &refusal)
 	switch {
 	case errors.Is(err, errCallerGone), ctx.Err() != nil && !errors.Is(err, errStalled):
-		return // says nothing about the replica
-	case errors.Is(err, errLapsed):
-		// Nor does this: nothing was sent.
+		return // does not count against the replica
+	case errors.Is(err, errNotAllowed):
+		// Nothing was sent, so this does not count against the replica.
 	case errors.Is(err, errOldWeights):
-		// Nor does this, but that it is late; its queue is known as it is.
-	case t.cutOffUnread(err):
-		// Nor does this: the caller did not read.
+		// The call waited in the replica's queue, which this VM knows already; no failure is
+		// counted.
+	case t.brokeOffUnread(err):
+		// The caller did not read, so this does not count against the replica.
 	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
 		members.Leaves(c.target.ID, c.target.Incarnation)
 		r.f.Upstream.Drop(c.target.ID)
@@ -370,15 +376,15 @@
 func (r *run) logFailed(c *choice, err *outcome.Error) {
 	r.f.Log.Request("attempt-failed", string(r.call.ID)).Str("target", string(c.target.ID)).
 		Uint64("incarnation", uint64(c.target.Incarnation)).Bool("restarted", r.superseded(c)).Str("outcome", err.Outcome.String()).
-		Str("step", err.Step).Str("fingerprint", r.suspect(err)).Str("error", err.Error()).Send()
+		Str("step", err.Step).Str("fingerprint", r.logFingerprint(err)).Str("error", err.Error()).Send()
 }
 
-// superseded tells whether the replica of an attempt has started again since it was
-// chosen: how the attempt went says nothing about its present incarnation.
+// superseded reports whether the replica of an attempt has restarted since it was chosen. The
+// outcome of the attempt says nothing about the present incarnation then.
 func (r *run) superseded(c *choice) bool {
 	return r.f.Fleet.Members.Incarnation(c.target.ID) > c.target.Incarnation
 }
 
-// busyPause is how long a replica that refused gets no work from this VM: an order
-// under way takes about a second, a full queue less.
+// busyPause is how long this VM sends nothing to a replica that refused a call. An order in
+// progress keeps a replica busy for about a second, a full queue for less.
 const busyPause = 250 * time.Millisecond
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -14,12 +14,12 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// maxChoices bounds how often a call is decided on anew since the version that it was to go to
-// has been taken out of service meanwhile.
-const maxChoices = 4
+// maxVersionRetries bounds the decisions for one send. A decision is repeated if the version of
+// its target has been taken out of service in the meantime.
+const maxVersionRetries = 4
 
-// choose picks a target among those that run a version which is in service. The pass, if there
-// is one, must be ended.
+// choose picks a target among those that run a software version which is in service. The caller
+// must end the admission if it is not nil.
 func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Admission) {
 	f := r.f
 	if f.Software == nil {
@@ -28,11 +28,11 @@
 	}
 	var snap *fleet.Snapshot
 	d := routing.Decision{Index: -1}
-	for range maxChoices {
-		seen := f.Fleet.Snapshot()
-		choices := f.Software.Choices(r.service, &seen.View, seen.State, canary.ChoiceParams{FirstAttempt: r.sends == 0, Seed: req.Seed})
+	for range maxVersionRetries {
+		snapshot := f.Fleet.Snapshot()
+		choices := f.Software.Choices(r.service, &snapshot.View, snapshot.State, canary.ChoiceParams{FirstAttempt: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
-			choices[i].MaxHash = mostHash(r.service, seen, &choices[i])
+			choices[i].MaxHash = maxHash(r.service, snapshot, &choices[i])
 			req.Software = &choices[i]
 			if snap, d = f.Fleet.Decide(req, r.tried, sc); d.Index >= 0 {
 				break
@@ -42,8 +42,8 @@
 			return snap, d, nil
 		}
 		t := &snap.View.Targets[d.Index]
-		if pass, ok := f.Software.Admit(r.service, t.Software); ok {
-			return snap, d, pass
+		if admission, ok := f.Software.Admit(r.service, t.Software); ok {
+			return snap, d, admission
 		}
 		f.Fleet.GiveBack(t.ID)
 	}
@@ -51,9 +51,9 @@
 	return snap, d, nil
 }
 
-// mostHash bounds the hashes of a version's targets where only a part of them gets calls; VMs
-// that see the same targets agree on them. Zero: all do.
-func mostHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
+// maxHash returns the largest hash of a version's targets that may get calls, where only a
+// fraction of them may. VMs that see the same targets select the same ones. Zero: no bound.
+func maxHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
 	if c.Fraction <= 0 || c.Fraction >= 1 {
 		return 0
 	}
@@ -71,41 +71,42 @@
 	return 0
 }
 
-// retired refuses a send to a version that was taken out of service since the target was chosen.
-func (t *try) retired() *outcome.Error {
+// checkVersion refuses a send to a software version that was taken out of service since the
+// target was chosen.
+func (t *try) checkVersion() *outcome.Error {
 	if !t.r.f.Software.Retiring(t.r.service, t.c.target.Software) {
 		return nil
 	}
-	return outcome.Wrap(errLapsed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
+	return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
 }
 
-// expectedFloor is added to the time that an answer is expected to take, so that short
-// expectations are no measure by themselves.
+// expectedFloor is added to the expected response time, so that short expected times do not give
+// large ratios.
 const expectedFloor = 50 * time.Millisecond
 
-// counted tells the gate how an attempt ended, if its target answered it.
-func (t *try) counted(err *outcome.Error) {
+// reportToGate reports the result of an attempt to the canary gate if the target answered it.
+func (t *try) reportToGate(err *outcome.Error) {
 	var refusal *Refusal
 	a := canary.Answer{}
 	switch {
-	case t.c.pass == nil:
+	case t.c.admission == nil:
 		return
 	case err == nil:
 		a.Failed = t.r.status >= http.StatusInternalServerError
 	case errors.As(err, &refusal) && err.Outcome != outcome.NotRun && refusal.Status >= http.StatusInternalServerError:
 		a.Failed = true
 	default:
-		return // it did not answer, or did not run the call: that says nothing about its software
+		return // the target did not answer or did not run the call, which says nothing about its software
 	}
-	if !a.Failed && t.c.calm {
-		a.Took = t.took()
+	if !a.Failed && t.c.representative {
+		a.Took = t.responseTime()
 	}
-	t.c.pass.RecordAnswer(t.r.route.Name, t.c.target.ID, a)
+	t.c.admission.RecordAnswer(t.r.route.Name, t.c.target.ID, a)
 }
 
-// took is how long the target took, where that depends on the prompt as a multiple of what was
-// expected.
-func (t *try) took() time.Duration {
+// responseTime returns how long the target took. For a prompt, whose time depends on its length,
+// it scales the time until the first event by expectedFloor over the expected time.
+func (t *try) responseTime() time.Duration {
 	took := clock.Since(t.sent)
 	if t.r.call.Prompt == nil || !t.r.route.Prompts {
 		return took
@@ -116,9 +117,9 @@
 	return time.Duration(float64(took) / float64(t.c.wait+expectedFloor) * float64(expectedFloor))
 }
 
-// calm tells whether a target's answers show how fast it is: it is not full, and has not just
-// started.
-func calm(snap *fleet.Snapshot, index int, in *routing.Input) bool {
+// isRepresentative reports whether the latency of a target's response shows the target's speed. It
+// does not if all slots are in use or the target has just started.
+func isRepresentative(snap *fleet.Snapshot, index int, in *routing.Input) bool {
 	full := in.Slots > 0 && in.InFlight >= in.Slots
 	return !full && !snap.Status(index).Record.WarmAt.After(clock.Now())
 }
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// twoVersions are weights whose version 2 was named at a moment.
+// twoVersions are weights whose version 2 was named at a given time.
 type twoVersions struct {
 	named  time.Time
 	within time.Duration
@@ -32,8 +32,8 @@
 	return w.within - now.Sub(w.named), has != "2"
 }
 
-// weighted lists replicas with their weights.
-func (tf *testFleet) weighted(weights map[*standIn]ids.WeightsVersion) {
+// setWeights sets the fleet's replicas and their weights.
+func (tf *testFleet) setWeights(weights map[*fakeReplica]ids.WeightsVersion) {
 	var records []platform.Record
 	for s, w := range weights {
 		records = append(records, platform.Record{ID: string(s.id), Role: platform.RoleService, Service: "svc", Addr: s.addr, Incarnation: 1, Weights: w})
@@ -42,20 +42,20 @@
 	tf.f.Fleet.Refresh()
 }
 
-// promptRoute is a route whose prompts wait for long without being given up.
+// promptRoute is a route whose prompts may wait for long before they are given up.
 func promptRoute() catalog.Route {
 	r := route(catalog.Stream, 2)
 	r.Prompts, r.Objective = true, 10*time.Second
 	return r
 }
 
-// loadSlack is what real sockets may add on a machine under load. When exactly a call is
-// withdrawn is TestWithdrawnOnTime's matter.
+// loadSlack is the delay that real sockets may add on a loaded machine. TestWithdrawnOnTime checks
+// the exact time of a withdrawal.
 const loadSlack = time.Second
 
-// TestWithdrawnOnTime checks in virtual time when a send is withdrawn: when its replica's
-// weights become too old, also if the newer version is named while it waits; never once it
-// has begun or ended.
+// TestWithdrawnOnTime checks in virtual time when a send is withdrawn: when its replica's weights
+// become too old, also if the newer version is named while it waits, and never once it has begun or
+// ended.
 func TestWithdrawnOnTime(t *testing.T) {
 	const within = 9 * time.Second
 	for _, c := range []struct {
@@ -68,7 +68,7 @@
 		{"named while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
 		{"too old when sent", -time.Minute, 0, time.Nanosecond},
 		{"begun before", -2 * time.Second, 6999 * time.Millisecond, 0},
-		{"newest all the while", time.Hour, 0, 0},
+		{"newest throughout", time.Hour, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,13 +76,13 @@
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
 				send := &try{
-					r:   &run{f: &Forwarder{Weights: namedSoon{twoVersions{named: sent.Add(c.named), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
+					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{named: sent.Add(c.named), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
 				}
 				send.watchWeights()
 				if c.begun > 0 {
-					time.AfterFunc(c.begun, send.endWatch)
+					time.AfterFunc(c.begun, send.stopWeightsWatch)
 				}
 				var at time.Duration
 				stop := context.AfterFunc(ctx, func() { at = max(time.Since(sent), 1) })
@@ -93,31 +93,31 @@
 					t.Errorf("withdrawn after %v, want %v", at, c.want)
 				}
 				if withdrawn := send.r.f.Stats.Withdrawn.Load(); (withdrawn == 1) != (c.want > 0) {
-					t.Errorf("%d were counted", withdrawn)
+					t.Errorf("%d sends were counted as withdrawn", withdrawn)
 				}
-				send.endWatch()
+				send.stopWeightsWatch()
 			})
 		})
 	}
 }
 
-// TestOldWeightsAreLeftInTime lets a call wait at a replica with old weights until
-// these may no longer be used: the call is withdrawn there before the replica begins it,
-// and goes to one that has the new ones. Before, it stayed, and began 10.5 s after the new
-// ones were named (incident inc1).
-func TestOldWeightsAreLeftInTime(t *testing.T) {
+// TestWithdrawnFromOldWeightsInTime lets a call wait at a replica with old weights until these may
+// no longer be used: it is withdrawn before the replica begins it, and goes to a replica with the
+// new weights. It guards against a fault in which the call stayed and began 10.5 s after the new
+// weights were named (incident inc1).
+func TestWithdrawnFromOldWeightsInTime(t *testing.T) {
 	const within = 400 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
-	fresh := newStandIn(t, "new", func(c net.Conn, r *http.Request) bool {
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
+	fresh := newFakeReplica(t, "new", func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: x\n\n")
 		return false
 	})
 	tf := newFleet(t, promptRoute(), old, fresh)
 	named := time.Now()
 	tf.f.Weights = twoVersions{named: named, within: within}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
-	time.AfterFunc(within/2, func() { tf.weighted(map[*standIn]ids.WeightsVersion{old: "1", fresh: "2"}) })
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
+	time.AfterFunc(within/2, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || body == "" {
 		t.Errorf("got %v, body %q, %v", resp, body, err)
@@ -132,11 +132,11 @@
 	}
 }
 
-// TestBegunOnOldWeights lets weights become too old while a stream runs on them: it goes
-// on to its end.
-func TestBegunOnOldWeights(t *testing.T) {
+// TestBegunStreamFinishesOnOldWeights lets weights become too old while a stream runs on them: the
+// stream continues to its end.
+func TestBegunStreamFinishesOnOldWeights(t *testing.T) {
 	const within = 150 * time.Millisecond
-	old := newStandIn(t, "old", func(c net.Conn, r *http.Request) bool {
+	old := newFakeReplica(t, "old", func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+r.Header.Get("Id")+"\r\nSigned: yes\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\nid: 1\ndata: x\n\n")
 		time.Sleep(2 * within)
 		_, _ = io.WriteString(c, "id: 2\ndata: y\n\n")
@@ -146,15 +146,15 @@
 	r.MaxPause = time.Second
 	tf := newFleet(t, r, old)
 	tf.f.Weights = twoVersions{named: time.Now(), within: within}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "data: y") || tf.f.Stats.Withdrawn.Load() != 0 {
 		t.Errorf("got %v, body %q, %v, %d withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
 	}
 }
 
-// hang holds a call until it is withdrawn, and tells when.
-func hang(left chan<- time.Time) func(net.Conn, *http.Request) bool {
+// holdUntilClosed holds a call until the VM withdraws it, and sends the time of that.
+func holdUntilClosed(left chan<- time.Time) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
 		left <- time.Now()
@@ -162,20 +162,20 @@
 	}
 }
 
-// TestOnceOnOldWeights withdraws a call that may not be repeated: it fails, is not said
-// not to have run, and does not go to another replica.
-func TestOnceOnOldWeights(t *testing.T) {
+// TestOnceCallFailsWhenWithdrawn withdraws a call that may not be repeated: it fails, is not
+// reported as "not run", and does not go to another replica.
+func TestOnceCallFailsWhenWithdrawn(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
-	fresh := newStandIn(t, "new", ok("x"))
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
+	fresh := newFakeReplica(t, "new", ok("x"))
 	r := promptRoute()
 	r.Attempts, r.Resumable = 1, false
 	tf := newFleet(t, r, old, fresh)
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	named := time.Now()
-	time.AfterFunc(50*time.Millisecond, func() { tf.weighted(map[*standIn]ids.WeightsVersion{old: "1", fresh: "2"}) })
-	tf.f.Weights = laterNamed{twoVersions{named: named, within: within}}
+	time.AfterFunc(50*time.Millisecond, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
+	tf.f.Weights = unseenVersion{twoVersions{named: named, within: within}}
 	resp, _, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(fresh.requests()) != 0 || tf.f.Stats.Withdrawn.Load() != 1 {
 		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
@@ -185,46 +185,46 @@
 	}
 }
 
-// laterNamed are weights whose newest version decisions do not know of yet: it is named
-// while calls wait.
-type laterNamed struct{ twoVersions }
+// unseenVersion are weights whose newest version is named while calls wait, so that decisions do
+// not know it.
+type unseenVersion struct{ twoVersions }
 
-func (laterNamed) Wanted(ids.Model, time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
+func (unseenVersion) Wanted(ids.Model, time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
 	return "1", time.Hour, nil
 }
 
-// namedSoon are weights whose version 2 is not named before its time.
-type namedSoon struct{ twoVersions }
+// futureVersion are weights whose version 2 is named at a future time.
+type futureVersion struct{ twoVersions }
 
-func (w namedSoon) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
+func (w futureVersion) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
 	if now.Before(w.named) {
 		return 0, false
 	}
 	return w.twoVersions.Left(m, has, now)
 }
 
-// TestNamedWhileACallWaits names a version while a call waits at a replica that had the
-// newest when the call was sent: it is withdrawn all the same.
-func TestNamedWhileACallWaits(t *testing.T) {
+// TestWeightsNamedWhileCallWaits names a version while a call waits at a replica that had the
+// newest one when the call was sent: the call is withdrawn all the same.
+func TestWeightsNamedWhileCallWaits(t *testing.T) {
 	const within = 300 * time.Millisecond
 	left := make(chan time.Time, 1)
-	old := newStandIn(t, "old", hang(left))
+	old := newFakeReplica(t, "old", holdUntilClosed(left))
 	r := promptRoute()
 	r.Timeout = 5 * time.Second
 	tf := newFleet(t, r, old)
 	named := time.Now().Add(200 * time.Millisecond)
-	tf.f.Weights = namedSoon{twoVersions{named: named, within: within}}
-	tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+	tf.f.Weights = futureVersion{twoVersions{named: named, within: within}}
+	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	if resp, _, err := tf.ask(t, "Model", "m"); err != nil || resp.StatusCode == http.StatusOK {
 		t.Errorf("got %v, %v", resp, err)
 	}
-	if late := (<-left).Sub(named) - within; late < 0 || late > weightsCheck+loadSlack {
+	if late := (<-left).Sub(named) - within; late < 0 || late > weightsCheckInterval+loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
 	}
 }
 
-// TestOnlyStreamsAreWithdrawn checks that nothing is withdrawn of which nobody sees when
-// it begins, or whose weights don't matter.
+// TestOnlyStreamsAreWithdrawn checks that a call is not withdrawn if the VM can't see when it
+// begins, or if its weights don't matter.
 func TestOnlyStreamsAreWithdrawn(t *testing.T) {
 	plain, noPrompts := promptRoute(), promptRoute()
 	plain.Kind = catalog.Idempotent
@@ -252,18 +252,18 @@
 				if withdrawn := ctx.Err() != nil; withdrawn != c.want {
 					t.Errorf("withdrawn: %v, want %v", withdrawn, c.want)
 				}
-				send.endWatch()
+				send.stopWeightsWatch()
 			})
 		})
 	}
 }
 
-// TestBegunIsNotWithdrawn ends the watch of a send with its first event, and with its end,
-// though its time is already up: an event that was read is passed on and not cut off.
-func TestBegunIsNotWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(*try){"begun": (*try).endWatch, "begun in the moment": func(send *try) {
-		send.endWatch()
-		send.weightsAged() // its timer had fired
+// TestBegunCallNotWithdrawn stops the watch of a send with its first event, and once more when its
+// timer has already fired: an event that was read is passed on and not cut off.
+func TestBegunCallNotWithdrawn(t *testing.T) {
+	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun when the timer fires": func(send *try) {
+		send.stopWeightsWatch()
+		send.recheckWeights() // the timer has fired already
 	}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -280,28 +280,28 @@
 				time.Sleep(time.Minute)
 				synctest.Wait()
 				if ctx.Err() != nil || send.r.f.Stats.Withdrawn.Load() != 0 {
-					t.Error("it was withdrawn")
+					t.Error("the send was withdrawn")
 				}
 			})
 		})
 	}
 }
 
-// TestOnceIsKeptOffOldWeightsEarlier asks of old weights that may be used for less than
-// 2 s yet: only calls that lose nothing when they are withdrawn go there.
-func TestOnceIsKeptOffOldWeightsEarlier(t *testing.T) {
+// TestOnceCallAvoidsExpiringWeights offers old weights that may be used for less than 2 s more:
+// only calls that lose nothing when they are withdrawn go there.
+func TestOnceCallAvoidsExpiringWeights(t *testing.T) {
 	resumable, once, plain := promptRoute(), promptRoute(), promptRoute()
 	once.Attempts, once.Resumable = 1, false
 	plain.Kind, plain.Resumable = catalog.Idempotent, false
 	for name, c := range map[string]struct {
 		route catalog.Route
 		want  int
-	}{"may run again": {resumable, 1}, "may run once": {once, 0}, "shows no beginning": {plain, 0}} {
+	}{"may run again": {resumable, 1}, "may run once": {once, 0}, "start not visible": {plain, 0}} {
 		t.Run(name, func(t *testing.T) {
-			old := newStandIn(t, "old", events(2, 0, false))
+			old := newFakeReplica(t, "old", events(2, 0, false))
 			tf := newFleet(t, c.route, old)
 			tf.f.Weights = twoVersions{named: time.Now(), within: 1800 * time.Millisecond}
-			tf.weighted(map[*standIn]ids.WeightsVersion{old: "1"})
+			tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 			if _, _, err := tf.ask(t, "Model", "m"); err != nil {
 				t.Fatal(err)
 			}
@@ -312,27 +312,27 @@
 	}
 }
 
-// TestWithdrawalBlamesNobody withdraws calls from a replica again and again: that says
-// nothing against it, but each may have run.
-func TestWithdrawalBlamesNobody(t *testing.T) {
-	old := newStandIn(t, "old", ok("x"))
+// TestWithdrawalNotCountedAgainstReplica withdraws calls from a replica several times: this does
+// not count against the replica, but each call may have run.
+func TestWithdrawalNotCountedAgainstReplica(t *testing.T) {
+	old := newFakeReplica(t, "old", ok("x"))
 	r := promptRoute()
 	tf := newFleet(t, r, old)
 	call := &run{f: tf.f, route: &r}
 	for range 5 {
-		call.learn(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
+		call.recordOutcome(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
 	}
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
 		t.Errorf("the replica counts as %+v", status)
 	}
 	if !call.mayRan {
-		t.Error("the calls count as not run")
+		t.Error("the calls are recorded as not run")
 	}
 }
 
-// TestEndedIsNotCounted ends a send before its replica's weights become too old: it is not
-// counted among those that were withdrawn.
-func TestEndedIsNotCounted(t *testing.T) {
+// TestEndedSendNotCountedAsWithdrawn ends a send before its replica's weights become too old: the
+// send does not count as withdrawn.
+func TestEndedSendNotCountedAsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
@@ -341,13 +341,13 @@
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
 		}
-		send.stall = newStallTimer(send.silent)
+		send.stall = newStallTimer(send.onStall)
 		send.watchWeights()
 		send.end()
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if n := send.r.f.Stats.Withdrawn.Load(); n != 0 {
-			t.Errorf("%d were counted", n)
+			t.Errorf("%d sends were counted as withdrawn", n)
 		}
 	})
 }
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -11,36 +11,36 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// wholeBytes is the longest answer that is read whole before any of it is passed
-// on, in bytes. A failure within it can still be mended by another attempt.
-const wholeBytes = 512 << 10
+// bufferBytes is the largest response that is read completely before any of it is passed on, in
+// bytes. If it breaks off, another attempt can still replace it.
+const bufferBytes = 512 << 10
 
-// whole passes on an answer that is no stream of events.
-func (t *try) whole(a *upstream.Answer) *outcome.Error {
+// relayBuffered passes on a response that is not an event stream.
+func (t *try) relayBuffered(a *upstream.Answer) *outcome.Error {
 	limit, release := t.r.bufferFor(a.Length())
 	defer release()
 	var buf bytes.Buffer
 	if a.Length() >= 0 {
-		buf.Grow(int(limit) + bytes.MinRead) // it would double its room otherwise
+		buf.Grow(int(limit) + bytes.MinRead) // avoids doubling the buffer
 	}
 	n, err := io.CopyN(&buf, a.Body, limit)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return t.broken(err)
+		return t.brokenResponse(err)
 	}
 	t.stall.stop()
-	t.started()
+	t.firstOutput()
 	r := t.r
-	r.progress.event(clock.Now())
+	r.progress.observe(clock.Now())
 	length := unknownLength
 	if n < limit && r.req.Method != http.MethodHead {
 		length = buf.Len()
 	}
-	r.passHead(a, length)
+	r.writeHead(a, length)
 	if n < limit {
-		// The target is done, however long the caller takes to read.
+		// The target has finished; don't hold its slot while the caller reads.
 		a.Close()
 		t.work.End()
-		t.c.pass.Release()
+		t.c.admission.Release()
 	}
 	if err := t.write(buf.Bytes()); err != nil {
 		return t.callerGone(err)
@@ -48,31 +48,31 @@
 	if n < limit {
 		return nil
 	}
-	return t.rest(a)
+	return t.relayRest(a)
 }
 
-// rest passes on what lies beyond wholeBytes, as it comes.
-func (t *try) rest(a *upstream.Answer) *outcome.Error {
-	piece := make([]byte, pieceBytes)
+// relayRest passes on the part of a response beyond the buffer, as it arrives.
+func (t *try) relayRest(a *upstream.Answer) *outcome.Error {
+	chunk := make([]byte, chunkBytes)
 	for {
-		n, err := a.Body.Read(piece)
-		if werr := t.write(piece[:n]); werr != nil {
+		n, err := a.Body.Read(chunk)
+		if werr := t.write(chunk[:n]); werr != nil {
 			return t.callerGone(werr)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return t.broken(err)
+			return t.brokenResponse(err)
 		}
 	}
 }
 
-// broken types an answer that ended before it was whole.
-func (t *try) broken(err error) *outcome.Error {
-	return t.typed(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's answer broke off"))
+// brokenResponse returns the error of a response that ended before it was complete.
+func (t *try) brokenResponse(err error) *outcome.Error {
+	return t.classify(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's response broke off"))
 }
 
 func (t *try) callerGone(err error) *outcome.Error {
-	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller is gone")
+	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the response could not be delivered to the caller")
 }
