--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -1,35 +1,35 @@
-// Package canary moves a service's traffic to another version of its targets' software, or
-// keeps it where it is.
+// Package canary rolls a service out to another version of its targets' software, step by
+// step, and rolls back if the new version performs worse.
 //
 // # Protocol
 //
-// Which version is in service, and how far a move to another one is, stands in one record of
-// the store for each service. All VMs follow it, so the gate of each (gate.go) sends by the
-// same record whatever VMs know of each other, and after a restart.
+// The store holds one record per service: the version in service and the progress of a
+// rollout. All VMs watch the records, so the gate of each VM (gate.go) routes by the same
+// record regardless of what VMs know of each other, and also after a restart.
 //
-// One VM acts at a time, under lease (controller.go). It compares the orders of operators
-// with the records and writes the next state of a record on condition that it is unchanged
-// (plan.go, pure). All VMs count how calls to both versions end and tell that VM their counts
-// (evidence.go); it judges by them (judge.go, pure).
+// The VM that holds the lease acts (controller.go). It compares operators' orders with the
+// records and writes the next state of a record by compare-and-swap (plan.go, pure). All VMs
+// count the results of calls to both versions and report the counts to that VM
+// (evidence.go), which derives a verdict from them (judge.go, pure).
 //
-//	proving    a small part of the calls goes to the canary
-//	loading    a part of the canary's targets gets as much work as it would have in service
-//	promoting  all new calls go to the canary; the others' calls end
+//	proving    a small share of the calls goes to the canary
+//	loading    a part of the canary's targets gets the load it would have in service
+//	promoting  all new calls go to the canary; calls at other versions drain
 //
 // # Invariants
 //
-//   - A version that nobody ordered gets no call as long as a target of the version in service
-//     is left, and one that was rolled back gets none until it is ordered anew.
+//   - A version that no order names gets no call while the version in service has a target,
+//     and a version that was rolled back gets none until an operator orders it again.
 //   - An order has one end. The record says rolled back before the status does, so that no
 //     call follows; the status says completed before the record does, on condition that the
-//     order is unchanged. Where they differ the status counts.
-//   - The status says completed only when each VM that is heard has told that no call of its
-//     own is left at the other versions and that it sends none, or when time runs out.
+//     order is unchanged. If record and status differ, the status counts.
+//   - The status says completed only when each live VM has reported that it has no call left
+//     at other versions and sends none, or when the order's time runs out.
 //
-// # What remains possible
+// # Known limits
 //
-// A VM that hears neither the store nor the others goes on by the last record that it has
-// seen. Targets that have stopped meanwhile refuse its connections, so these calls have not run.
+// A VM cut off from the store and its peers keeps routing by the last record it has seen. If
+// the targets have stopped by then, they refuse its connections, so these calls have not run.
 package canary
 
 import (
@@ -40,13 +40,12 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Prefix is where the records lie in the store.
+// Prefix is the key prefix of the records in the store.
 const Prefix = "canaries/"
 
-// Stage is how far the move to a version is.
+// Stage is the phase of a rollout.
 type Stage string
 
-// The stages.
 const (
 	Idle      Stage = ""
 	Proving   Stage = "proving"
@@ -54,71 +53,73 @@
 	Promoting Stage = "promoting"
 )
 
-// End is how an order ended.
+// End is the final state of an order.
 type End string
 
-// The ends.
 const (
-	Running    End = "" // it has not
+	Running    End = "" // the order has not ended
 	Completed  End = "completed"
 	RolledBack End = "rolled-back"
 )
 
-// OrderID tells orders for one service apart.
+// OrderID identifies an order among those of one service.
 type OrderID struct {
-	Created objectapi.Revision  `json:"created"` // of the operator's object
+	Created objectapi.Revision  `json:"created"` // revision at which the operator's object was created
 	Target  ids.SoftwareVersion `json:"target"`
 }
 
-// Order is an operator's wish to move a service's traffic to a version.
+// Order is an operator's request to move a service's traffic to a version.
 type Order struct {
 	OrderID
 	Service string
-	Key     string             // of the object
-	Within  time.Duration      // the time that it may take
+	Key     string             // of the operator's object
+	Within  time.Duration      // time limit of the rollout
 	Version objectapi.Revision // of the object, for conditional writes of its status
-	// Reported is what the object's status says of Target; Running too where it says nothing.
+	// Reported is the end that the object's status gives for Target; Running if the status
+	// gives none.
 	Reported End
-	// HasStatus tells that the status speaks of Target.
+	// HasStatus is set if the object's status is about Target.
 	HasStatus bool
 }
 
-// Record is the state of one service. Its size grows with the versions that were rolled back.
+// Record is the stored state of one service. Its size grows with the number of versions that
+// were rolled back.
 type Record struct {
 	Service string `json:"service"`
 	// Stable is the version in service.
 	Stable ids.SoftwareVersion `json:"stable"`
-	// Barred are versions that were rolled back.
+	// Barred lists the versions that were rolled back.
 	Barred []ids.SoftwareVersion `json:"barred,omitempty"`
-	// Order is the order that the rest is about; zero: there was none.
+	// Order is the order that the fields below belong to; zero if there was none.
 	Order  OrderID `json:"order"`
 	End    End     `json:"end,omitempty"`
-	Reason string  `json:"reason,omitempty"` // of the end
-	// Canary is the version that is being moved to; empty: none is.
+	Reason string  `json:"reason,omitempty"` // why the order ended
+	// Canary is the version being rolled out; empty if none is.
 	Canary ids.SoftwareVersion `json:"canary,omitempty"`
 	Stage  Stage               `json:"stage,omitempty"`
-	Share  float64             `json:"share,omitempty"` // of the calls, to the canary
-	Part   float64             `json:"part,omitempty"`  // of the canary's targets, that get them
-	// Elapsed is how much of the order's time had passed when the record was written.
+	Share  float64             `json:"share,omitempty"` // fraction of the calls that go to the canary
+	Part   float64             `json:"part,omitempty"`  // fraction of the canary's targets that serve them
+	// Elapsed is the part of the order's time that had passed when By wrote the record.
 	Elapsed time.Duration `json:"elapsed_ns,omitempty"`
-	// Entered is Elapsed when the stage began.
+	// Entered is the value of Elapsed at the start of the stage.
 	Entered time.Duration `json:"entered_ns,omitempty"`
-	// By is the VM that wrote the record, which VMs tell their counts, and Write a number of
-	// that VM's writes.
+	// By is the VM that wrote the record and receives the reports of all VMs. Write is the
+	// sequence number of the write at that VM.
 	By    ids.VM `json:"by"`
 	Write uint64 `json:"write"`
 }
 
-// same tells whether two records say the same of the service.
+// same reports whether two records agree in all but the reason, the times and the write number.
 func (r *Record) same(o *Record) bool {
 	return r.Service == o.Service && r.Stable == o.Stable && slices.Equal(r.Barred, o.Barred) && r.Order == o.Order && r.End == o.End &&
 		r.Canary == o.Canary && r.Stage == o.Stage && r.Share == o.Share && r.Part == o.Part && r.By == o.By
 }
 
-// barred tells whether a version was rolled back.
+// barred reports whether a version was rolled back.
 func (r *Record) barred(v ids.SoftwareVersion) bool { return slices.Contains(r.Barred, v) }
 
-// Older orders versions by the numbers in them, and by text where these are equal.
+// Older reports whether version a precedes b. It compares the numbers in them as numbers and
+// the rest as text.
 func Older(a, b ids.SoftwareVersion) bool {
 	for a != "" && b != "" {
 		an, ar := leadingNumber(a)
@@ -137,7 +138,8 @@
 	return len(a) < len(b)
 }
 
-// leadingNumber reads the number that a version begins with, at most 18 digits of it; -1: none.
+// leadingNumber parses the number that a version begins with, up to 18 digits, and returns
+// the rest; n is -1 if the version does not begin with a digit.
 func leadingNumber(v ids.SoftwareVersion) (n int64, rest ids.SoftwareVersion) {
 	const mostDigits = 18
 	i := 0
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -16,7 +16,7 @@
 
 func newGate() *Gate { return &Gate{Log: eventlog.New(io.Discard, nil)} }
 
-// view has n targets of each version, all alive.
+// view returns a view with n targets of each version, all live.
 func view(n map[ids.SoftwareVersion]int) (*routing.View, func(int) routing.State) {
 	v := &routing.View{}
 	for version, k := range n {
@@ -28,7 +28,7 @@
 	return v, func(int) routing.State { return routing.Live }
 }
 
-// TestOlder orders versions as their operators count them.
+// TestOlder checks that Older compares numbers in versions by value and the rest as text.
 func TestOlder(t *testing.T) {
 	for _, c := range []struct{ a, b ids.SoftwareVersion }{{"v1", "v2"}, {"v9", "v10"}, {"", "v1"}, {"1.9.3", "1.10.0"}, {"v2", "v2-rc"}, {"a3", "b1"}} {
 		if !Older(c.a, c.b) || Older(c.b, c.a) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestChoices: calls go to the version in service, to others only where none of its targets is
-// left, and never to one that was rolled back.
+// TestChoices checks that calls go to the version in service, to another one only if the version
+// in service has no target left, and never to a version that was rolled back.
 func TestChoices(t *testing.T) {
 	both := map[ids.SoftwareVersion]int{"v1": 2, "v2": 2}
 	for name, c := range map[string]struct {
@@ -46,12 +46,12 @@
 		targets map[ids.SoftwareVersion]int
 		want    string
 	}{
-		"nothing is written down":       {Record{}, both, "[v1]"},
-		"no order":                      {Record{Stable: "v2"}, both, "[v2]"},
-		"none of it is left":            {Record{Stable: "v0"}, both, "[v0 v1]"},
-		"none is left, one rolled back": {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v1"}}, both, "[v0 v2]"},
-		"only one rolled back is left":  {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v2"}}, map[ids.SoftwareVersion]int{"v2": 3}, "[v0]"},
-		"promoting":                     {Record{Stable: "v1", Canary: "v2", Stage: Promoting, Share: 1}, both, "[v2]"},
+		"no record":                   {Record{}, both, "[v1]"},
+		"no order":                    {Record{Stable: "v2"}, both, "[v2]"},
+		"no target of it left":        {Record{Stable: "v0"}, both, "[v0 v1]"},
+		"none left, one rolled back":  {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v1"}}, both, "[v0 v2]"},
+		"only a rolled back one left": {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v2"}}, map[ids.SoftwareVersion]int{"v2": 3}, "[v0]"},
+		"promoting":                   {Record{Stable: "v1", Canary: "v2", Stage: Promoting, Share: 1}, both, "[v2]"},
 	} {
 		g := newGate()
 		if c.record.Stable != "" {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestShare: a canary gets its share of first attempts, and no call that has failed before.
-func TestShare(t *testing.T) {
+// TestCanaryGetsItsShare checks that a canary gets its share of first attempts and no retries.
+func TestCanaryGetsItsShare(t *testing.T) {
 	g := newGate()
 	g.Apply(Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Proving, Share: 0.1, Part: 1}, 1)
 	v, state := view(map[ids.SoftwareVersion]int{"v1": 2, "v2": 2})
@@ -88,97 +88,98 @@
 	}
 }
 
-// TestCallsAreCleared: a VM counts as done with the old version only when its calls there have
-// ended, and lets none in once it has the record that says so.
-func TestCallsAreCleared(t *testing.T) {
+// TestDrainedOnlyWhenCallsEnded checks that a VM counts as drained only when its calls at the
+// old version have ended, and that it admits none there once it has the record of the stage
+// promoting.
+func TestDrainedOnlyWhenCallsEnded(t *testing.T) {
 	g := newGate()
 	r := Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Loading, Share: 0.5, Part: 0.5, Order: OrderID{1, "v2"}, By: "holder"}
 	g.Apply(r, 5)
 	pass, ok := g.Admit("s", "v1")
 	if !ok {
-		t.Fatal("a call to the version in service was not let in")
+		t.Fatal("a call to the version in service was not admitted")
 	}
 	r.Stage, r.Share = Promoting, 1
 	g.Apply(r, 6)
 	if _, ok := g.Admit("s", "v1"); ok {
-		t.Error("a call was let in to a version that is to be stopped")
+		t.Error("a call was admitted to a version that is being drained")
 	}
 	l := NewLedger(r.Order, &Sequential{})
-	tell := func() bool {
+	mergeReports := func() bool {
 		for _, report := range g.Reports(true)["holder"] {
 			l.Merge("a", 1, &report, time.Time{})
 		}
 		return l.Drained("a", 6)
 	}
-	if tell() {
-		t.Error("the VM counts as done while a call is left")
+	if mergeReports() {
+		t.Error("the VM counts as drained while a call is left")
 	}
 	pass.Release()
 	pass.Release()
-	if !tell() {
-		t.Error("the VM does not count as done")
+	if !mergeReports() {
+		t.Error("the VM does not count as drained after its last call has ended")
 	}
 	if l.Drained("b", 6) {
-		t.Error("a VM that has said nothing counts as done")
+		t.Error("a VM that has sent no report counts as drained")
 	}
 }
 
-// TestReportsAddUp: reports that are lost, late or told twice, and VMs that start again, change
-// nothing of what is counted.
-func TestReportsAddUp(t *testing.T) {
+// TestLedgerMergeCountsEachCallOnce checks that lost, late and repeated reports and restarts of
+// VMs do not change the number of calls that the ledger counts.
+func TestLedgerMergeCountsEachCallOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		judge := &fixedWindow{}
 		l := NewLedger(OrderID{1, "v2"}, judge)
 		sent, before := uint32(0), uint32(0)
 		var c counts
-		life := int64(1)
+		incarnation := int64(1)
 		var held []Report
-		tell := func(all bool) {
-			r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.told(all)}
+		report := func(all bool) {
+			r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.export(all)}
 			switch rapid.IntRange(0, 3).Draw(rt, "way") {
 			case 0: // lost
 			case 1:
 				held = append(held, r)
 			case 2:
-				l.Merge("a", life, &r, time.Time{})
+				l.Merge("a", incarnation, &r, time.Time{})
 				fallthrough
 			default:
-				l.Merge("a", life, &r, time.Time{})
+				l.Merge("a", incarnation, &r, time.Time{})
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 5).Draw(rt, "step") {
 			case 0:
-				tell(false)
+				report(false)
 			case 1:
-				tell(true)
+				report(true)
 			case 2:
 				if len(held) > 0 {
-					l.Merge("a", life, &held[0], time.Time{})
+					l.Merge("a", incarnation, &held[0], time.Time{})
 					held = held[1:]
 				}
 			case 3:
-				r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.told(true)}
-				l.Merge("a", life, &r, time.Time{}) // all of it arrives before the VM starts again
-				before, life, held, c = before+sent, life+1, nil, counts{}
+				r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.export(true)}
+				l.Merge("a", incarnation, &r, time.Time{}) // the last report arrives before the VM restarts
+				before, incarnation, held, c = before+sent, incarnation+1, nil, counts{}
 				sent = 0
 			default:
 				c.add("r", "t", true, Answer{Took: time.Millisecond})
 				sent++
 			}
 		}
-		r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.told(true)}
-		l.Merge("a", life, &r, time.Time{})
+		r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.export(true)}
+		l.Merge("a", incarnation, &r, time.Time{})
 		if judge.calls != before+sent {
-			rt.Fatalf("%d calls were counted, %d made", judge.calls, before+sent)
+			rt.Fatalf("the ledger counts %d calls, want %d", judge.calls, before+sent)
 		}
 	})
 }
 
-// TestOneEnd lets two VMs that both believe they act take steps on records and statuses that are
-// as old as they like, whatever they believe of the evidence, each write on condition that what
-// it changes is unchanged. An order has one end, and in the end the record agrees with it.
-func TestOneEnd(t *testing.T) {
+// TestOrderEndsOnce lets two VMs that both act as lease holder take steps on stale records and
+// statuses and with arbitrary evidence. Each write is conditional on the version that the VM
+// read. The order must end once, and the record must agree with the status afterwards.
+func TestOrderEndsOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type stored struct {
 			record   Record
@@ -193,10 +194,10 @@
 			order := me.order
 			f.Self, f.Order = ids.VM(fmt.Sprint("vm", i)), &order
 			f.Versions = map[ids.SoftwareVersion]int{"v1": 2, "v2": 2}
-			next := playBounds.Next(me.record, f)
+			next := simBounds.Next(me.record, f)
 			if !next.Record.same(&me.record) {
 				if me.version != s.version {
-					return // the store refuses the write
+					return // the conditional write fails
 				}
 				s.version++
 				s.record = next.Record
@@ -222,7 +223,7 @@
 			})
 		}
 		if len(s.statuses) > 1 {
-			rt.Fatalf("the order ended %v", s.statuses)
+			rt.Fatalf("the order ended more than once: %v", s.statuses)
 		}
 		if len(s.statuses) == 0 {
 			return
@@ -233,13 +234,14 @@
 		}
 		end := s.statuses[0]
 		if s.record.End != end || (s.record.Stable == "v2") != (end == Completed) || s.record.barred("v2") != (end == RolledBack) || s.record.Canary != "" {
-			rt.Fatalf("the status says %v, the record %+v", end, s.record)
+			rt.Fatalf("the status is %v, but the record is %+v", end, s.record)
 		}
 	})
 }
 
-// TestOrders: what else may become of orders.
-func TestOrders(t *testing.T) {
+// TestNextForOrders checks the first step of Next for orders that are replaced, deleted, repeated
+// or cannot be carried out, and after the record was lost.
+func TestNextForOrders(t *testing.T) {
 	order := func(target ids.SoftwareVersion) *Order {
 		return &Order{OrderID: OrderID{1, target}, Service: "s", Within: 10 * time.Second}
 	}
@@ -250,31 +252,31 @@
 		facts  Facts
 		want   func(Step) bool
 	}{
-		"a new one while another is under way": {moving, Facts{Order: order("v3")}, func(s Step) bool {
+		"another order during a rollout": {moving, Facts{Order: order("v3")}, func(s Step) bool {
 			return s.Record.Canary == "v3" && s.Record.Stable == "v1" && s.Record.Stage == Proving
 		}},
-		"back to the version in service": {moving, Facts{Order: order("v1")}, func(s Step) bool {
+		"an order for the version in service": {moving, Facts{Order: order("v1")}, func(s Step) bool {
 			return s.Report == Completed && s.Record.Canary == "" && s.Record.Stable == "v1"
 		}},
-		"taken back": {moving, Facts{}, func(s Step) bool { return s.Record.Canary == "" && s.Record.Stable == "v1" && s.Report == Running }},
-		"no target has it": {moving, Facts{Order: order("v2"), Elapsed: 9500 * time.Millisecond}, func(s Step) bool {
+		"the order was deleted": {moving, Facts{}, func(s Step) bool { return s.Record.Canary == "" && s.Record.Stable == "v1" && s.Report == Running }},
+		"no target of the version": {moving, Facts{Order: order("v2"), Elapsed: 9500 * time.Millisecond}, func(s Step) bool {
 			return s.Record.End == RolledBack && s.Record.Canary == ""
 		}},
-		"ordered anew after it was rolled back": {
+		"a new order after the version was rolled back": {
 			Record{Service: "s", Stable: "v1", Barred: []ids.SoftwareVersion{"v2"}, Order: OrderID{1, "v2"}, End: RolledBack},
 			Facts{Order: &Order{OrderID: OrderID{8, "v2"}, Service: "s", Within: time.Second}},
 			func(s Step) bool { return s.Record.Canary == "v2" && !s.Record.barred("v2") },
 		},
-		"the record was lost, the status was not": {
+		"the record was lost": {
 			Record{Service: "s"},
 			Facts{Order: &Order{OrderID: OrderID{1, "v2"}, Reported: Completed, HasStatus: true}},
 			func(s Step) bool { return s.Record.Stable == "v2" },
 		},
-		"the first look at an order's versions":  {Record{Service: "s"}, Facts{Order: order("v2")}, func(s Step) bool { return s.Record.Stable == "v1" && s.Record.Canary == "v2" }},
-		"none of the version in service is left": {Record{Service: "s", Stable: "v0"}, Facts{StableGone: true}, func(s Step) bool { return s.Record.Stable == "v1" }},
+		"no record yet": {Record{Service: "s"}, Facts{Order: order("v2")}, func(s Step) bool { return s.Record.Stable == "v1" && s.Record.Canary == "v2" }},
+		"no target of the version in service left": {Record{Service: "s", Stable: "v0"}, Facts{StableGone: true}, func(s Step) bool { return s.Record.Stable == "v1" }},
 	} {
 		c.facts.Versions, c.facts.Self = versions, "a"
-		if s := playBounds.Next(c.record, c.facts); !c.want(s) {
+		if s := simBounds.Next(c.record, c.facts); !c.want(s) {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -20,13 +20,13 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Store is where records and orders lie.
+// Store holds records and orders.
 type Store interface {
 	objectapi.Store
 	objectapi.StatusStore
 }
 
-// Target is what the controller needs to know of one target.
+// Target is the controller's view of one target.
 type Target struct {
 	Service  string
 	Software ids.SoftwareVersion
@@ -34,85 +34,88 @@
 	Warm     bool
 }
 
-// Controller moves services to the versions that operators order while its VM holds the lease.
-// It holds an order and a ledger for each service. Its fields are set before Run.
+// Controller rolls services out to the versions that operators order, while its VM holds the
+// lease. It keeps one order and one ledger per service. Set the exported fields before Run.
 type Controller struct {
 	VM     ids.VM
 	Store  Store
-	Prefix string // of the operators' orders
+	Prefix string // key prefix of the operators' orders
 	Gate   *Gate
 	Bounds Bounds
 	Log    *eventlog.Log
-	// Decode reads an order, EncodeStatus renders what its status says of a target.
+	// Decode decodes an order; EncodeStatus encodes the status of an order for a target.
 	Decode       func(o objectapi.Object) (Order, error)
 	EncodeStatus func(target ids.SoftwareVersion, end End) ([]byte, error)
-	// Held tells whether this VM may act.
+	// Held reports whether this VM holds the lease.
 	Held func() bool
-	// Targets returns the targets that are known.
+	// Targets returns all known targets.
 	Targets func() []Target
-	// LiveVMs returns the VMs that are heard, this one included.
+	// LiveVMs returns the VMs whose messages arrive, including this one.
 	LiveVMs func() []ids.VM
-	// WeightsSettled tells whether no order for other weights is on its way to a target.
+	// WeightsSettled reports whether no order to load other weights is in transit to a
+	// target. Nil means that there are no such orders.
 	WeightsSettled func() bool
-	// Judge makes the judge of an order. Nil: Sequential.
+	// Judge returns a new judge for an order. Nil means Sequential.
 	Judge func() Judge
 
 	mu       sync.Mutex
 	orders   map[string]Order // by key
-	ready    bool             // they have been read since the lease was acquired
+	ready    bool             // orders have been read since the VM acquired the lease
 	ledgers  map[string]*Ledger
 	writes   uint64
-	services map[string]*watched
+	services map[string]*serviceState
 }
 
-// watched is what the controller remembers of a service between two looks.
-type watched struct {
-	vacantAt time.Time // since when no target of the version in service is there; zero: one is
-	elapsed  time.Duration
-	at       time.Time // of elapsed
-	order    OrderID
-	told     Verdict
+// serviceState is what the controller keeps of a service between two steps.
+type serviceState struct {
+	stableGoneSince time.Time // when the last target of the version in service went; zero if there is one
+	elapsed         time.Duration
+	at              time.Time // when elapsed was read
+	order           OrderID
+	loggedVerdict   Verdict
 }
 
 const (
-	// lookEvery is the pause between two looks of the VM that acts.
-	lookEvery = 200 * time.Millisecond
-	// holdEvery is the pause between two looks whether this VM is the one that acts.
-	holdEvery = 500 * time.Millisecond
-	// callTimeout bounds one write.
+	// stepInterval is the pause between two steps of the lease holder.
+	stepInterval = 200 * time.Millisecond
+	// leasePollInterval is the pause between two checks whether this VM holds the lease.
+	leasePollInterval = 500 * time.Millisecond
+	// callTimeout bounds one write to the store.
 	callTimeout = time.Second
-	// vacantFor is for how long no target of the version in service may be there before another
-	// version is taken for it: entries that lapsed while the store was away come back sooner.
-	vacantFor = 4 * time.Second
+	// stableGoneTimeout is how long the version in service may have no target before another
+	// version takes its place. Entries of targets that lapsed during an outage of the store
+	// return sooner than that.
+	stableGoneTimeout = 4 * time.Second
 )
 
-// Run acts while this VM holds the lease, until ctx ends.
+// Run performs rollouts while this VM holds the lease. It returns when ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	for timing.Sleep(ctx, holdEvery) {
+	for timing.Sleep(ctx, leasePollInterval) {
 		if c.Held() {
-			c.hold(ctx)
+			c.runWithLease(ctx)
 		}
 	}
 }
 
-// hold acts until the lease is lost.
-func (c *Controller) hold(ctx context.Context) {
+// runWithLease steps all services until the VM loses the lease. It starts from empty state,
+// since another VM may have acted in between.
+func (c *Controller) runWithLease(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c.mu.Lock()
-	c.orders, c.ready, c.ledgers, c.services = map[string]Order{}, false, map[string]*Ledger{}, map[string]*watched{}
+	c.orders, c.ready, c.ledgers, c.services = map[string]Order{}, false, map[string]*Ledger{}, map[string]*serviceState{}
 	c.mu.Unlock()
 	f := &follow.Follower{Store: c.Store, Prefix: c.Prefix, Handler: (*orderReader)(c), Log: c.Log}
 	var reading sync.WaitGroup
 	reading.Go(func() { f.Run(ctx) })
 	defer reading.Wait()
 	defer cancel()
-	for timing.Sleep(ctx, lookEvery) && c.Held() {
-		c.look(ctx)
+	for timing.Sleep(ctx, stepInterval) && c.Held() {
+		c.stepServices(ctx)
 	}
 }
 
-// orderReader takes in the operators' orders.
+// orderReader applies changes of the operators' orders to a Controller.
 type orderReader Controller
 
 var _ follow.Handler = (*orderReader)(nil)
@@ -132,7 +135,7 @@
 	defer r.mu.Unlock()
 	for _, e := range events {
 		if known, ok := r.orders[e.Key]; ok && e.Version < known.Version {
-			continue // a write of this VM's own has shown a later state
+			continue // this VM's own write has returned a later version
 		}
 		delete(r.orders, e.Key)
 		if e.Deleted {
@@ -150,8 +153,9 @@
 // Unchanged implements follow.Handler.
 func (r *orderReader) Unchanged(follow.At) {}
 
-// Receive takes in what a VM has counted.
-func (c *Controller) Receive(vm ids.VM, life int64, reports []Report) {
+// Receive merges the counts that a VM reports. incarnation is that of the VM's process. A nil
+// Controller ignores them.
+func (c *Controller) Receive(vm ids.VM, incarnation int64, reports []Report) {
 	if c == nil {
 		return
 	}
@@ -161,13 +165,13 @@
 	for i := range reports {
 		r := &reports[i]
 		if l := c.ledgers[r.Service]; l != nil {
-			l.Merge(vm, life, r, now)
+			l.Merge(vm, incarnation, r, now)
 		}
 	}
 }
 
-// look makes one step for each service.
-func (c *Controller) look(ctx context.Context) {
+// stepServices makes one step for each service that has targets or an order.
+func (c *Controller) stepServices(ctx context.Context) {
 	c.mu.Lock()
 	ready := c.ready
 	orders := map[string]Order{}
@@ -198,19 +202,20 @@
 	}
 }
 
-// step makes one step for one service.
+// step computes the next state of one service's record, writes it, and updates the status of
+// the order.
 func (c *Controller) step(ctx context.Context, service string, order *Order, targets []Target) error {
 	record, version, since, _ := c.Gate.State(service)
 	record.Service = service
 	f := c.facts(&record, version, since, order, targets)
 	next := c.Bounds.Next(record, f)
 	if next.Record.Stable == "" && next.Record.Canary == "" {
-		return nil // nothing is known of the service yet
+		return nil // neither a record nor a target of the service is known yet
 	}
-	c.tellVerdict(service, &record, &f)
+	c.logVerdict(service, &record, &f)
 	if !next.Record.same(&record) {
 		if record.Order == (OrderID{}) && order == nil && version > 0 && record.Stable == next.Record.Stable {
-			return nil // only its writer would change
+			return nil // only By would change
 		}
 		if err := c.write(ctx, next.Record, version); err != nil {
 			return err
@@ -226,7 +231,7 @@
 	return nil
 }
 
-// facts gathers what a step goes by.
+// facts collects the inputs of a step.
 func (c *Controller) facts(r *Record, version objectapi.Revision, since time.Duration, order *Order, targets []Target) Facts {
 	now := clock.Now()
 	f := Facts{Self: c.VM, Order: order, Versions: map[ids.SoftwareVersion]int{}}
@@ -243,15 +248,15 @@
 	defer c.mu.Unlock()
 	w := c.services[r.Service]
 	if w == nil {
-		w = &watched{}
+		w = &serviceState{}
 		c.services[r.Service] = w
 	}
-	f.StableGone = w.vacant(r.Stable != "" && f.Versions[r.Stable] == 0, now)
+	f.StableGone = w.goneFor(r.Stable != "" && f.Versions[r.Stable] == 0, now)
 	if order == nil || r.Order != order.OrderID {
 		w.order = OrderID{}
 		return f
 	}
-	f.Elapsed = w.since(r, since, now)
+	f.Elapsed = w.orderElapsed(r, since, now)
 	l := c.ledgers[r.Service]
 	if l == nil || l.Order != r.Order {
 		l = NewLedger(r.Order, c.newJudge())
@@ -264,7 +269,7 @@
 	if f.Elapsed > 0 {
 		f.Rate = l.Calls() / f.Elapsed.Seconds()
 	}
-	f.Drained = r.Stage == Promoting && c.cleared(l, version)
+	f.Drained = r.Stage == Promoting && c.drained(l, version)
 	return f
 }
 
@@ -275,9 +280,9 @@
 	return &Sequential{}
 }
 
-// cleared tells whether no VM that is heard has calls left at other versions, nor this one an
-// order for weights on its way. The lock is held.
-func (c *Controller) cleared(l *Ledger, version objectapi.Revision) bool {
+// drained reports whether no live VM has calls left at other versions and this VM has no
+// order for weights in transit. The caller holds c.mu.
+func (c *Controller) drained(l *Ledger, version objectapi.Revision) bool {
 	for _, vm := range c.LiveVMs() {
 		if !l.Drained(vm, version) {
 			return false
@@ -286,32 +291,33 @@
 	return c.WeightsSettled == nil || c.WeightsSettled()
 }
 
-// vacant tells whether something has been missing for a while.
-func (w *watched) vacant(missing bool, now time.Time) bool {
+// goneFor reports whether the targets of the version in service have been missing for
+// stableGoneTimeout.
+func (w *serviceState) goneFor(missing bool, now time.Time) bool {
 	switch {
 	case !missing:
-		w.vacantAt = time.Time{}
-	case w.vacantAt.IsZero():
-		w.vacantAt = now
+		w.stableGoneSince = time.Time{}
+	case w.stableGoneSince.IsZero():
+		w.stableGoneSince = now
 	}
-	return missing && now.Sub(w.vacantAt) >= vacantFor
+	return missing && now.Sub(w.stableGoneSince) >= stableGoneTimeout
 }
 
-// since returns how much of the order's time has passed: what the record says, and for how long
-// this VM has had it.
-func (w *watched) since(r *Record, had time.Duration, now time.Time) time.Duration {
+// orderElapsed returns how much of the order's time has passed: the value in the record plus
+// the time since this VM received the record.
+func (w *serviceState) orderElapsed(r *Record, had time.Duration, now time.Time) time.Duration {
 	if w.order != r.Order {
 		w.order, w.elapsed, w.at = r.Order, r.Elapsed+had, now
 	}
 	return w.elapsed + now.Sub(w.at)
 }
 
-// tellVerdict logs the verdict on a canary when it changes.
-func (c *Controller) tellVerdict(service string, r *Record, f *Facts) {
+// logVerdict logs each change of the verdict on a canary.
+func (c *Controller) logVerdict(service string, r *Record, f *Facts) {
 	c.mu.Lock()
 	w := c.services[service]
-	changed := r.Canary != "" && w.told != f.Finding.Verdict
-	w.told = f.Finding.Verdict
+	changed := r.Canary != "" && w.loggedVerdict != f.Finding.Verdict
+	w.loggedVerdict = f.Finding.Verdict
 	c.mu.Unlock()
 	if !changed {
 		return
@@ -321,7 +327,8 @@
 		Uint32("answers", f.Finding.Calls).Int64("elapsed_ms", f.Elapsed.Milliseconds()).Str("stage", string(r.Stage)).Send()
 }
 
-// write writes a record on condition that it is unchanged.
+// write writes a record on condition that the store still holds the given version of it;
+// version 0 creates the record.
 func (c *Controller) write(ctx context.Context, r Record, version objectapi.Revision) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -329,29 +336,29 @@
 	r.Write = c.writes
 	value, err := json.Marshal(r)
 	if err != nil {
-		return eris.Wrap(err, "encode the record")
+		return eris.Wrap(err, "encode canary record")
 	}
-	mine := func(stored []byte) bool { return slices.Equal(stored, value) }
+	isOwnWrite := func(stored []byte) bool { return slices.Equal(stored, value) }
 	if !c.Held() {
 		return nil
 	}
 	var o objectapi.Object
 	if version == 0 {
-		o, err = objectapi.ResolveCreate(ctx, c.Store, Prefix+r.Service, value, mine)
+		o, err = objectapi.ResolveCreate(ctx, c.Store, Prefix+r.Service, value, isOwnWrite)
 	} else {
-		o, err = objectapi.ResolveUpdate(ctx, c.Store, Prefix+r.Service, value, version, mine)
+		o, err = objectapi.ResolveUpdate(ctx, c.Store, Prefix+r.Service, value, version, isOwnWrite)
 	}
 	if err == nil {
 		c.Gate.Apply(r, o.Version)
 		return nil
 	}
-	if o.Version > version { // another VM's, which this one has not seen yet
-		c.Gate.take([]objectapi.Object{o})
+	if o.Version > version { // a record of another VM that this VM has not seen yet
+		c.Gate.applyObjects([]objectapi.Object{o})
 	}
-	return eris.Wrapf(err, "write the record of %s", r.Service)
+	return eris.Wrapf(err, "write canary record of %s", r.Service)
 }
 
-// report writes the status of an order, on condition that it is the one that was judged.
+// report writes the status of an order, on condition that the order is unchanged.
 func (c *Controller) report(ctx context.Context, o *Order, end End) error {
 	if !c.Held() || o.HasStatus && o.Reported == end {
 		return nil
@@ -364,8 +371,8 @@
 	}
 	version, err := c.Store.UpdateStatus(ctx, o.Key, status, o.Version)
 	if err != nil {
-		c.reread(ctx, o.Key) // it may be another order, or the answer was lost
-		return eris.Wrapf(err, "write the status of %s", o.Key)
+		c.reread(ctx, o.Key) // the order has changed, or the store's response was lost
+		return eris.Wrapf(err, "write status of order %s", o.Key)
 	}
 	c.Log.Belief("canary-status").Str("service", o.Service).Str("target", string(o.Target)).Str("end", cmp.Or(string(end), "running")).
 		Uint64("revision", uint64(version)).Send()
@@ -378,7 +385,7 @@
 	return nil
 }
 
-// reread takes in an order as it is now.
+// reread reads an order from the store and applies it.
 func (c *Controller) reread(ctx context.Context, key string) {
 	o, err := c.Store.Get(ctx, key)
 	switch {
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -13,42 +13,44 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Answer is how a call ended that its target answered.
+// Answer is the result of a call that its target answered.
 type Answer struct {
-	// Failed tells that the target failed the call.
+	// Failed is set if the target failed the call.
 	Failed bool
-	// Took is how long the target took, as a part of what was expected of it where that is
-	// known; zero: the time says nothing, since the call waited for other work or the target
-	// had just started.
+	// Took is how long the target took, normalized by the predicted time where a prediction
+	// exists. Zero means that the time is not representative, since the call waited for other
+	// work or the target had just started.
 	Took time.Duration
 }
 
 const (
-	// buckets is how many classes of time there are, and shortestTime the upper end of the
-	// first; each is half an octave wide.
-	buckets      = 24
+	// buckets is the number of histogram buckets for times, each half an octave wide.
+	buckets = 24
+	// shortestTime is the upper bound of the first bucket.
 	shortestTime = 4 * time.Millisecond
-	perOctave    = 2
+	// perOctave is the number of buckets per doubling of the time.
+	perOctave = 2
 )
 
-// bucket returns the class of a time.
+// bucket returns the index of the histogram bucket of a time.
 func bucket(d time.Duration) int {
 	n := math.Ceil(perOctave * math.Log2(float64(d)/float64(shortestTime)))
 	return int(min(max(n, 0), buckets-1))
 }
 
-// Cell counts how calls on one route ended, at one canary target or at all others.
+// Cell counts results of calls on one route, either at one canary target or at all targets
+// that are not canaries.
 type Cell struct {
 	_      struct{} `cbor:",toarray"`
-	Route  uint32   // hash of its name
-	Target uint32   // hash of its id; zero for targets that are no canary
+	Route  uint32   // hash of the route's name
+	Target uint32   // hash of the target's id; zero for targets that are not canaries
 	Canary bool
 	Calls  uint32
 	Failed uint32
-	Times  []uint32 // by bucket; shorter where the rest is zero
+	Times  []uint32 // histogram of times by bucket, without trailing zeros
 }
 
-// cellKey names a cell.
+// cellKey identifies a cell.
 type cellKey struct {
 	route, target uint32
 	canary        bool
@@ -56,20 +58,21 @@
 
 func (c *Cell) key() cellKey { return cellKey{c.Route, c.Target, c.Canary} }
 
-// Report is what one VM has counted of a service's calls under one order, all in all.
+// Report holds what one VM has counted of a service's calls since the start of an order. The
+// counts are totals, so a lost or repeated report does no harm.
 type Report struct {
 	_              struct{} `cbor:",toarray"`
 	Service        string
 	Order          OrderID
-	RecordRevision objectapi.Revision // of the record that the VM goes by
-	OtherCalls     int                // calls of the VM that are left at other versions than the canary
-	Cells          []Cell             // some of them; counts only grow
+	RecordRevision objectapi.Revision // of the record that the VM routes by
+	OtherCalls     int                // the VM's calls in progress at versions other than the canary
+	Cells          []Cell             // a subset of the VM's cells; their counts only grow
 }
 
-// counts are the cells of one VM.
+// counts holds the cells of this VM.
 type counts struct {
 	cells   map[cellKey]*Cell
-	changed map[cellKey]bool // since they were last told
+	changed map[cellKey]bool // since the last report
 }
 
 func (c *counts) add(route string, target ids.Target, canary bool, a Answer) {
@@ -99,17 +102,18 @@
 	c.changed[key] = true
 }
 
-// mostCells bounds the cells of one report, so that it fits in a datagram.
-const mostCells = 400
+// maxCells bounds the cells of one report, so that it fits in a datagram.
+const maxCells = 400
 
-// told returns the cells that have changed, or all, and takes them for told.
-func (c *counts) told(all bool) []Cell {
+// export returns the cells that have changed since the last report, or all cells, at most
+// maxCells of them, and marks them as reported.
+func (c *counts) export(all bool) []Cell {
 	var out []Cell
 	for key, cell := range c.cells {
-		if (all || c.changed[key]) && len(out) < mostCells {
-			told := *cell
-			told.Times = slices.Clone(cell.Times)
-			out = append(out, told)
+		if (all || c.changed[key]) && len(out) < maxCells {
+			exported := *cell
+			exported.Times = slices.Clone(cell.Times)
+			out = append(out, exported)
 			delete(c.changed, key)
 		}
 	}
@@ -119,44 +123,44 @@
 	return out
 }
 
-// Ledger adds up the reports on one order for the VM that acts. It holds a cell for each VM,
-// route and canary target that met. Not safe for concurrent use.
+// Ledger sums the reports on one order at the lease holder. It holds a cell for each
+// combination of VM, route and canary target that occurs. Not safe for concurrent use.
 type Ledger struct {
 	Order OrderID
 	Judge Judge
-	vms   map[ids.VM]*reporter
-	calls float64 // that ended, at all versions
+	vms   map[ids.VM]*vmCounts
+	calls float64 // calls that ended, at all versions
 }
 
-// Calls returns how many calls to the service have ended since the order.
+// Calls returns the number of calls to the service that have ended since the order.
 func (l *Ledger) Calls() float64 { return l.calls }
 
-// reporter is what one VM has told.
-type reporter struct {
-	life   int64
-	seen   objectapi.Revision
-	others int
-	cells  map[cellKey]Cell
+// vmCounts is the state that one VM has reported.
+type vmCounts struct {
+	incarnation int64
+	seen        objectapi.Revision
+	others      int
+	cells       map[cellKey]Cell
 }
 
-// NewLedger returns a ledger for an order.
+// NewLedger returns an empty ledger for an order, which passes new counts to j.
 func NewLedger(o OrderID, j Judge) *Ledger {
-	return &Ledger{Order: o, Judge: j, vms: map[ids.VM]*reporter{}}
+	return &Ledger{Order: o, Judge: j, vms: map[ids.VM]*vmCounts{}}
 }
 
-// Merge adds what a VM told. life orders the lives of the VM: one that has started again counts
-// from nothing.
-func (l *Ledger) Merge(vm ids.VM, life int64, r *Report, now time.Time) {
+// Merge adds a report of a VM. A higher incarnation means that the VM has restarted and counts
+// from zero again. Merge ignores reports on other orders and reports that a later one overtook.
+func (l *Ledger) Merge(vm ids.VM, incarnation int64, r *Report, now time.Time) {
 	if r.Order != l.Order {
 		return
 	}
 	v := l.vms[vm]
-	if v == nil || life > v.life {
-		v = &reporter{life: life, cells: map[cellKey]Cell{}}
+	if v == nil || incarnation > v.incarnation {
+		v = &vmCounts{incarnation: incarnation, cells: map[cellKey]Cell{}}
 		l.vms[vm] = v
 	}
-	if life < v.life || r.RecordRevision < v.seen {
-		return // overtaken on the way
+	if incarnation < v.incarnation || r.RecordRevision < v.seen {
+		return // a later report has overtaken this one
 	}
 	v.seen, v.others = r.RecordRevision, r.OtherCalls
 	for i := range r.Cells {
@@ -171,7 +175,7 @@
 	}
 }
 
-// since returns what a cell has grown by.
+// since returns the difference between a cell and an earlier state of it.
 func (c *Cell) since(before *Cell) Cell {
 	out := *c
 	out.Calls -= before.Calls
@@ -185,8 +189,8 @@
 	return out
 }
 
-// Drained tells whether a VM goes by the record of a revision or a later one and has no call
-// left at other versions than the canary.
+// Drained reports whether a VM routes by the record of the given revision or a later one and
+// has no call left at versions other than the canary.
 func (l *Ledger) Drained(vm ids.VM, revision objectapi.Revision) bool {
 	v := l.vms[vm]
 	return v != nil && v.seen >= revision && v.others == 0
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -15,22 +15,22 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Gate decides on one VM to which version of a service's software a call goes, and counts how
-// calls end. It holds a record for each service, and while a canary runs a cell for each route
-// and canary target that this VM has sent to. Safe for concurrent use. A nil one lets
-// everything through.
+// Gate decides on one VM which version of a service's software a call goes to, and counts the
+// results of calls. It keeps a record for each service and, during a rollout, a cell for each
+// route and canary target that this VM has sent calls to. Safe for concurrent use. A nil Gate
+// admits every call and counts nothing.
 type Gate struct {
 	Log *eventlog.Log
 
 	mu       sync.Mutex
-	services map[string]*gated
+	services map[string]*serviceGate
 }
 
-// gated is what the gate keeps of one service.
-type gated struct {
+// serviceGate is the state of one service.
+type serviceGate struct {
 	record  Record
 	version objectapi.Revision
-	at      time.Time // when this VM took the record in
+	at      time.Time // when this VM applied the record
 	calls   map[ids.SoftwareVersion]int
 	counts  counts
 }
@@ -38,15 +38,15 @@
 var _ follow.Handler = (*Gate)(nil)
 
 // Listed implements follow.Handler.
-func (g *Gate) Listed(objects []objectapi.Object, _ follow.At, _ bool) { g.take(objects) }
+func (g *Gate) Listed(objects []objectapi.Object, _ follow.At, _ bool) { g.applyObjects(objects) }
 
 // Changed implements follow.Handler.
-func (g *Gate) Changed(events []objectapi.Object, _ follow.At) { g.take(events) }
+func (g *Gate) Changed(events []objectapi.Object, _ follow.At) { g.applyObjects(events) }
 
 // Unchanged implements follow.Handler.
 func (g *Gate) Unchanged(follow.At) {}
 
-func (g *Gate) take(objects []objectapi.Object) {
+func (g *Gate) applyObjects(objects []objectapi.Object) {
 	for _, o := range objects {
 		var r Record
 		if o.Deleted || !strings.HasPrefix(o.Key, Prefix) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// Apply puts a record of the store in force, unless a later one is.
+// Apply puts a record of the store in force, unless a record of the same or a later version
+// already is. A record with another order or canary resets the counts.
 func (g *Gate) Apply(r Record, version objectapi.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,21 +82,22 @@
 		Str("by", string(r.By)).Uint64("revision", uint64(version)).Send()
 }
 
-// service returns what is kept of a service. The lock is held.
-func (g *Gate) service(name string) *gated {
+// service returns the state of a service and creates it if there is none. The caller holds
+// g.mu.
+func (g *Gate) service(name string) *serviceGate {
 	if g.services == nil {
-		g.services = map[string]*gated{}
+		g.services = map[string]*serviceGate{}
 	}
 	s := g.services[name]
 	if s == nil {
-		s = &gated{calls: map[ids.SoftwareVersion]int{}}
+		s = &serviceGate{calls: map[ids.SoftwareVersion]int{}}
 		g.services[name] = s
 	}
 	return s
 }
 
-// State returns a service's record, the store's revision of it and for how long this VM has
-// had it; false: there is none.
+// State returns a service's record, its version in the store and the time since this VM
+// applied it. known is false if there is no record.
 func (g *Gate) State(service string) (r Record, version objectapi.Revision, since time.Duration, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,7 +108,7 @@
 	return s.record, s.version, clock.Since(s.at), true
 }
 
-// Records returns all records.
+// Records returns the records of all services, sorted by service.
 func (g *Gate) Records() []Record {
 	if g == nil {
 		return nil
@@ -123,16 +125,16 @@
 	return out
 }
 
-// ChoiceParams is what a choice goes by.
+// ChoiceParams describes a call for which Choices selects versions.
 type ChoiceParams struct {
-	// FirstAttempt tells that the call has not been sent anywhere yet: one that has failed is not
-	// put to the test again.
+	// FirstAttempt is set if the call has not been sent yet. Only first attempts go to a
+	// canary by its share, so that a call that failed is not risked again.
 	FirstAttempt bool
-	Seed         uint64
+	Seed         uint64 // selects the calls that go to the canary
 }
 
-// Choices returns the versions to which a call to a service may go, in the order in which they
-// are to be tried.
+// Choices returns the versions that a call to a service may go to, in order of preference. in
+// returns the state of the target at an index of v.
 func (g *Gate) Choices(service string, v *routing.View, in func(i int) routing.State, d ChoiceParams) []routing.SoftwareChoice {
 	g.mu.Lock()
 	s := g.services[service]
@@ -147,7 +149,7 @@
 		stable = listed.oldest(nil)
 	}
 	if r.Canary == "" || r.Share <= 0 {
-		return listed.only(&r, stable)
+		return listed.stableOrFallback(&r, stable)
 	}
 	canary := routing.SoftwareChoice{Version: r.Canary, Part: r.Part}
 	switch {
@@ -162,13 +164,13 @@
 	}
 }
 
-// fraction turns a seed into a number in [0, 1).
+// fraction maps a seed to a number in [0, 1).
 func fraction(seed uint64) float64 {
-	const golden = 0x9E3779B97F4A7C15 // consecutive seeds then lie evenly
+	const golden = 0x9E3779B97F4A7C15 // 2^64 divided by the golden ratio; spreads consecutive seeds evenly
 	return float64(seed*golden>>11) / (1 << 53)
 }
 
-// versions counts a service's targets that may take calls, by version.
+// versions holds the number of a service's targets that may take calls, by version.
 type versions map[ids.SoftwareVersion]int
 
 func count(service string, v *routing.View, in func(i int) routing.State) versions {
@@ -181,43 +183,44 @@
 	return out
 }
 
-// oldest returns the oldest version that is not passed over; empty: there is none.
-func (l versions) oldest(pass func(ids.SoftwareVersion) bool) ids.SoftwareVersion {
+// oldest returns the oldest version for which skip, if any, returns false; empty if there is
+// none.
+func (l versions) oldest(skip func(ids.SoftwareVersion) bool) ids.SoftwareVersion {
 	best, found := ids.SoftwareVersion(""), false
 	for v := range l {
-		if (pass == nil || !pass(v)) && (!found || Older(v, best)) {
+		if (skip == nil || !skip(v)) && (!found || Older(v, best)) {
 			best, found = v, true
 		}
 	}
 	return best
 }
 
-// only returns the version in service, and behind it those that serve when none of its targets
-// is left.
-func (l versions) only(r *Record, stable ids.SoftwareVersion) []routing.SoftwareChoice {
+// stableOrFallback returns the version in service, followed by the oldest other version that
+// was not rolled back if the version in service has no target left.
+func (l versions) stableOrFallback(r *Record, stable ids.SoftwareVersion) []routing.SoftwareChoice {
 	out := []routing.SoftwareChoice{{Version: stable}}
 	if l[stable] > 0 {
 		return out
 	}
-	pass := func(v ids.SoftwareVersion) bool { return v == stable || r.barred(v) }
-	if v := l.oldest(pass); l[v] > 0 && !pass(v) {
+	skip := func(v ids.SoftwareVersion) bool { return v == stable || r.barred(v) }
+	if v := l.oldest(skip); l[v] > 0 && !skip(v) {
 		out = append(out, routing.SoftwareChoice{Version: v})
 	}
 	return out
 }
 
-// Admission is one call's leave to go to a version.
+// Admission allows one call to go to a target of a version. Not safe for concurrent use.
 type Admission struct {
-	gate    *Gate
-	service string
-	version ids.SoftwareVersion
-	order   OrderID
-	canary  bool
-	ended   bool
+	gate     *Gate
+	service  string
+	version  ids.SoftwareVersion
+	order    OrderID
+	canary   bool
+	released bool
 }
 
-// Admit lets a call go to a target of a version; false: the record has changed and no longer
-// allows it. End must be called on a pass.
+// Admit admits a call to a target of a version. It returns false if the record has changed and
+// no longer allows the version. The caller must call Release on the admission.
 func (g *Gate) Admit(service string, version ids.SoftwareVersion) (*Admission, bool) {
 	if g == nil {
 		return nil, true
@@ -233,12 +236,12 @@
 	return &Admission{gate: g, service: service, version: version, order: r.Order, canary: r.Canary != "" && version == r.Canary}, true
 }
 
-// Release notes that nothing of the call is left at its target. A second call does nothing.
+// Release records that the call has left its target. Further calls have no effect.
 func (p *Admission) Release() {
-	if p == nil || p.ended {
+	if p == nil || p.released {
 		return
 	}
-	p.ended = true
+	p.released = true
 	p.gate.mu.Lock()
 	defer p.gate.mu.Unlock()
 	s := p.gate.service(p.service)
@@ -247,7 +250,8 @@
 	}
 }
 
-// RecordAnswer counts how a call ended that its target answered.
+// RecordAnswer counts the result of a call that its target answered, unless the order has
+// changed since Admit.
 func (p *Admission) RecordAnswer(route string, target ids.Target, a Answer) {
 	if p == nil {
 		return
@@ -261,7 +265,8 @@
 	s.counts.add(route, target, p.canary, a)
 }
 
-// Retiring tells whether a target's version is about to stop: nothing new may be begun there.
+// Retiring reports whether a version is about to be stopped, so that no new work may start at
+// its targets.
 func (g *Gate) Retiring(service string, version ids.SoftwareVersion) bool {
 	if g == nil {
 		return false
@@ -275,8 +280,8 @@
 	return s.record.barred(version) || s.record.Stage == Promoting && version != s.record.Canary
 }
 
-// Reports returns what this VM has to tell the VMs that act, by the VM: whatever has changed
-// since it was last told, or all of it.
+// Reports returns the reports that this VM sends, by receiving VM. They hold the cells that
+// have changed since the last call, or all cells.
 func (g *Gate) Reports(all bool) map[ids.VM][]Report {
 	if g == nil {
 		return nil
@@ -288,7 +293,7 @@
 		if s.record.Canary == "" {
 			continue
 		}
-		r := Report{Service: s.record.Service, Order: s.record.Order, RecordRevision: s.version, Cells: s.counts.told(all)}
+		r := Report{Service: s.record.Service, Order: s.record.Order, RecordRevision: s.version, Cells: s.counts.export(all)}
 		for v, n := range s.calls {
 			if v != s.record.Canary {
 				r.OtherCalls += n
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// Verdict is what the evidence says of a canary.
+// Verdict is the result of comparing a canary with the version in service.
 type Verdict uint8
 
-// The verdicts.
 const (
-	Undecided Verdict = iota // not enough is known
+	Undecided Verdict = iota // too little evidence so far
 	Good
 	Bad
 )
@@ -21,63 +20,70 @@
 
 // Judge compares a canary with the version in service. It does no I/O and reads no clock.
 type Judge interface {
-	// Observe takes in how calls ended that were counted since the cell was last seen.
+	// Observe adds the calls counted in a cell since the last time it was observed.
 	Observe(c Cell, now time.Time)
-	// SetLoaded says that from now on targets get as much work as they would have in service.
+	// SetLoaded marks that from now on canary targets get as much work as in service.
 	SetLoaded()
-	// Verdict returns what the evidence says.
+	// Verdict returns the verdict on the evidence so far.
 	Verdict() Finding
 }
 
-// Finding is a verdict and what it rests on.
+// Finding is a verdict and the evidence behind it.
 type Finding struct {
 	Verdict
-	Route     uint32  // the route on which the canary is worst, by the hash of its name; zero: all together
-	Failed    float64 // how strongly failures speak against it, as a log likelihood ratio
-	Slow      float64 // the same of slow answers
-	Calls     uint32  // answers of the canary
-	Tentative Verdict // what the evidence would say if there were no more to come; never Open
+	Route     uint32  // hash of the name of the route on which the canary is worst; zero: all routes together
+	Failed    float64 // log likelihood ratio of the evidence from failures against the canary
+	Slow      float64 // log likelihood ratio of the evidence from slow answers
+	Calls     uint32  // number of answers of the canary
+	Tentative Verdict // verdict if no more evidence were to come; never Undecided
 }
 
 const (
-	// referenceMemory is within how long the reference forgets all but a 1/e: both versions
-	// are compared at the same time, so that a burst is held against neither.
-	referenceMemory = 3 * time.Second
-	// referenceLeast is how many answers of the version in service make a reference.
-	referenceLeast = 10
-	// priorCalls and priorFailed stand for what is known of a route before that.
+	// referenceDecay is the time in which older counts of the reference decay to 1/e, so that
+	// both versions are compared at the same time and a burst counts against neither.
+	referenceDecay = 3 * time.Second
+	// minReferenceAnswers is the number of timed answers of the version in service that the
+	// comparison of times needs.
+	minReferenceAnswers = 10
+	// priorCalls and priorFailed are the prior of a route's failure rate: 0.5 of 10 calls.
 	priorCalls, priorFailed = 10, 0.5
 
-	// A version counts as bad on a route if it fails failedMore of the calls more than the one
-	// in service; up to failedSame more is taken for chance.
-	failedMore, failedSame = 0.18, 0.03
-	// The same of answers that are slower than all but a tenth of those of the version in
-	// service, and a half octave beyond.
-	slowMore, slowSame = 0.30, 0.05
-	slowTail           = 0.1
-
-	// badAt is the log likelihood ratio at which a canary is bad: one in a thousand.
-	badAt = 7
-	// goodAt is that at which it is good on a route, and leansBadAt that from which little
-	// evidence counts against it where no more is to come.
-	goodAt     = -3
-	leansBadAt = 2.3
-	// suspectAt is that from which a target may be broken by itself; less is chance.
-	suspectAt = 1.5
-	// targetMost bounds what one target says against its version, so that a target that is
-	// broken is not taken for a version that is.
-	targetMost = badAt / 2.
-	// spared is one in how many targets is left out, the worst ones first, for the same reason.
-	spared = 4
-	// severalTargets is from how many targets more than one is loaded at a time.
+	// A version is bad on a route if its failure rate exceeds that of the version in service
+	// by badFailExcess. An excess of up to goodFailExcess counts as chance.
+	badFailExcess, goodFailExcess = 0.18, 0.03
+	// The same limits for the fraction of slow answers. An answer is slow if it takes half an
+	// octave more than the slowest tenth (slowTail) of the answers of the version in service.
+	badSlowExcess, goodSlowExcess = 0.30, 0.05
+	slowTail                      = 0.1
+
+	// badThreshold is the log likelihood ratio at which a canary is bad. Chance gives such a
+	// ratio about once in a thousand (e^-7).
+	badThreshold = 7
+	// goodThreshold is the log likelihood ratio at which a canary is good on a route.
+	goodThreshold = -3
+	// tentativeBadThreshold is the log likelihood ratio from which the tentative verdict is
+	// bad, since no more evidence is to come.
+	tentativeBadThreshold = 2.3
+	// suspectThreshold is the log likelihood ratio from which a single target counts as
+	// suspect. Lower values are chance.
+	suspectThreshold = 1.5
+	// maxPerTarget bounds the evidence of one target against its version, so that one broken
+	// target does not make its version bad.
+	maxPerTarget = badThreshold / 2.
+	// trimDivisor is the divisor that gives the number of targets to leave out of a sum, the
+	// worst ones first, for the same reason: one in four.
+	trimDivisor = 4
+	// severalTargets is the number of targets from which more than one is loaded at a time.
 	severalTargets = 4
-	// routeLeast is the part of a service's calls from which a route must speak for the canary.
-	routeLeast = 0.05
+	// minRouteShare is the fraction of a service's calls from which the evidence on a route is
+	// required for the verdict good.
+	minRouteShare = 0.05
 )
 
-// Sequential judges after every answer: by a cumulative sum that forgets good answers, so that
-// a version which turns bad later is found as soon, and by a sequential test for good. It
-// holds two sums for each route and canary target.
+// Sequential updates its verdict with every answer. A CUSUM (cumulative sum), which does not
+// carry credit for earlier good answers, detects a bad version, also one that turns bad later.
+// An SPRT (sequential probability ratio test) detects a good one. Sequential keeps these sums
+// for each route and canary target. Not safe for concurrent use.
 type Sequential struct {
 	routes map[uint32]*routeEvidence
 	calls  uint32
@@ -86,30 +92,31 @@
 
 var _ Judge = (*Sequential)(nil)
 
-// routeEvidence is what is known of one route.
+// routeEvidence is the evidence on one route.
 type routeEvidence struct {
 	reference reference
 	targets   map[uint32]*targetEvidence
 	timed     uint32
-	// failed and slow are cumulative sums over targets that were well until they were loaded.
+	// failed and slow are joint CUSUMs over the targets that were not suspect before they
+	// were loaded.
 	failed, slow float64
 }
 
-// targetEvidence is what speaks against one canary target.
+// targetEvidence is the evidence on one canary target.
 type targetEvidence struct {
 	failed, slow sums
-	// suspect tells that the target was bad before it was loaded.
+	// suspect is set if the target looked bad before it was loaded.
 	suspect bool
 }
 
-// sums are what one kind of evidence comes to.
+// sums are the log likelihood sums of one kind of evidence.
 type sums struct {
-	worst  float64 // a cumulative sum, which forgets what is good
-	loaded float64 // the same since the target was loaded
-	all    float64 // the sum of the sequential test
+	cusum       float64 // cumulative sum, never below zero
+	loadedCUSUM float64 // cumulative sum since the target was loaded
+	sprt        float64 // sum of the sequential probability ratio test
 }
 
-// reference is how calls ended lately at the version in service.
+// reference holds decaying counts of the results of calls at the version in service.
 type reference struct {
 	calls, failed, timed float64
 	times                [buckets]float64
@@ -117,7 +124,7 @@
 }
 
 func (r *reference) add(c *Cell, now time.Time) {
-	keep := math.Exp(-max(now.Sub(r.at), 0).Seconds() / referenceMemory.Seconds())
+	keep := math.Exp(-max(now.Sub(r.at), 0).Seconds() / referenceDecay.Seconds())
 	r.at = now
 	r.calls, r.failed, r.timed = r.calls*keep+float64(c.Calls), r.failed*keep+float64(c.Failed), r.timed*keep
 	for i := range r.times {
@@ -129,11 +136,11 @@
 	}
 }
 
-// failRate is the part of calls that fail at the version in service.
+// failRate is the fraction of calls that fail at the version in service.
 func (r *reference) failRate() float64 { return (r.failed + priorFailed) / (r.calls + priorCalls) }
 
-// slowFrom returns the first class of time that counts as slow, and the part of the answers of
-// the version in service that are in it or beyond.
+// slowFrom returns the first bucket that counts as slow, and the fraction of the answers of the
+// version in service that fall into it or a later one.
 func (r *reference) slowFrom() (from int, part float64) {
 	above := 0.0
 	from = buckets
@@ -141,7 +148,7 @@
 		from--
 		above += r.times[from]
 	}
-	from++ // half an octave more
+	from++ // half an octave beyond the tail
 	above = 0
 	for i := from; i < buckets; i++ {
 		above += r.times[i]
@@ -149,7 +156,8 @@
 	return from, above / r.timed
 }
 
-// allRoutes stands for all routes together: what is bad on several of them is found sooner so.
+// allRoutes is the id of all routes together. The joint evidence detects a version that is bad
+// on several routes sooner.
 const allRoutes = 0
 
 // Observe implements Judge.
@@ -186,8 +194,8 @@
 		r.targets[c.Target] = t
 	}
 	ref := &r.reference
-	r.add(t, &t.failed, &r.failed, newTest(ref.failRate(), failedSame, failedMore), loaded, c.Failed, c.Calls)
-	if ref.timed < referenceLeast {
+	r.add(t, &t.failed, &r.failed, newTest(ref.failRate(), goodFailExcess, badFailExcess), loaded, c.Failed, c.Calls)
+	if ref.timed < minReferenceAnswers {
 		return
 	}
 	from, part := ref.slowFrom()
@@ -199,26 +207,27 @@
 		}
 	}
 	r.timed += timed
-	r.add(t, &t.slow, &r.slow, newTest(part, slowSame, slowMore), loaded, slow, timed)
+	r.add(t, &t.slow, &r.slow, newTest(part, goodSlowExcess, badSlowExcess), loaded, slow, timed)
 }
 
-// add adds so many hits of so many calls to a target's sums, and to that of its route.
+// add adds hits (failed or slow calls) out of calls to the sums of a target and to the joint
+// sum of its route.
 func (r *routeEvidence) add(t *targetEvidence, s *sums, joint *float64, p test, loaded bool, hits, calls uint32) {
-	s.all = clampSum(s.all + p.ratio(hits, calls))
-	s.worst = p.sum(s.worst, hits, calls)
+	s.sprt = clampSPRT(s.sprt + p.logLikelihood(hits, calls))
+	s.cusum = p.cusum(s.cusum, hits, calls)
 	if !loaded {
-		t.suspect = t.suspect || s.worst >= suspectAt
+		t.suspect = t.suspect || s.cusum >= suspectThreshold
 		return
 	}
-	if !t.suspect || r.mostSuspect() {
-		s.loaded = p.sum(s.loaded, hits, calls)
-		*joint = p.sum(*joint, hits, calls)
+	if !t.suspect || r.majoritySuspect() {
+		s.loadedCUSUM = p.cusum(s.loadedCUSUM, hits, calls)
+		*joint = p.cusum(*joint, hits, calls)
 	}
 }
 
-// mostSuspect tells whether most targets were bad before they were loaded: then it is not they
-// that are broken.
-func (r *routeEvidence) mostSuspect() bool {
+// majoritySuspect reports whether most targets were suspect before they were loaded. Then the
+// fault lies with the version and not with single targets.
+func (r *routeEvidence) majoritySuspect() bool {
 	n := 0
 	for _, t := range r.targets {
 		if t.suspect {
@@ -231,27 +240,31 @@
 // SetLoaded implements Judge.
 func (s *Sequential) SetLoaded() { s.loaded = true }
 
-// clampSum keeps the sum of a sequential test near its bounds, so that what comes later counts.
-func clampSum(x float64) float64 { return min(max(x, 2*goodAt), badAt) }
+// clampSPRT keeps the sum of a sequential test near its thresholds, so that later evidence can
+// still change the result.
+func clampSPRT(x float64) float64 { return min(max(x, 2*goodThreshold), badThreshold) }
 
-// test compares two parts of calls that end in a way: one that is usual, and one that is bad.
-type test struct{ hit, miss float64 } // log likelihood ratios of one call
+// test is a likelihood ratio test of two hit rates: a good one and a bad one. hit and miss are
+// the log likelihood ratios of one call.
+type test struct{ hit, miss float64 }
 
-func newTest(usual, same, more float64) test {
-	p0 := min(usual+same, 0.97-more)
-	p1 := p0 + more
+// newTest returns a test for the good rate base+goodExcess and a bad rate badExcess above it.
+func newTest(base, goodExcess, badExcess float64) test {
+	p0 := min(base+goodExcess, 0.97-badExcess)
+	p1 := p0 + badExcess
 	return test{hit: math.Log(p1 / p0), miss: math.Log((1 - p1) / (1 - p0))}
 }
 
-// ratio is what so many hits of so many calls say.
-func (p test) ratio(hits, calls uint32) float64 {
+// logLikelihood returns the log likelihood ratio of hits out of calls.
+func (p test) logLikelihood(hits, calls uint32) float64 {
 	return float64(hits)*p.hit + float64(calls-min(hits, calls))*p.miss
 }
 
-// sum adds them to a cumulative sum, the misses first: in which order they came is not known.
-func (p test) sum(s float64, hits, calls uint32) float64 {
+// cusum adds hits out of calls to a cumulative sum. It adds the misses first, since the order
+// of the calls is unknown.
+func (p test) cusum(s float64, hits, calls uint32) float64 {
 	s = max(s+float64(calls-min(hits, calls))*p.miss, 0)
-	return min(s+float64(hits)*p.hit, badAt)
+	return min(s+float64(hits)*p.hit, badThreshold)
 }
 
 // Verdict implements Judge.
@@ -260,22 +273,22 @@
 	all := s.route(allRoutes).reference.calls
 	good := s.calls > 0
 	for id, r := range s.routes {
-		failed := against(r.targets, r.failed, func(t *targetEvidence) *sums { return &t.failed })
-		slow := against(r.targets, r.slow, func(t *targetEvidence) *sums { return &t.slow })
-		allFailed := most(r.targets, func(t *targetEvidence) float64 { return t.failed.all })
-		allSlow := most(r.targets, func(t *targetEvidence) float64 { return t.slow.all })
+		failed := evidenceAgainst(r.targets, r.failed, func(t *targetEvidence) *sums { return &t.failed })
+		slow := evidenceAgainst(r.targets, r.slow, func(t *targetEvidence) *sums { return &t.slow })
+		allFailed := trimmedSum(r.targets, func(t *targetEvidence) float64 { return t.failed.sprt })
+		allSlow := trimmedSum(r.targets, func(t *targetEvidence) float64 { return t.slow.sprt })
 		if max(failed, slow) >= max(f.Failed, f.Slow) {
 			f.Route, f.Failed, f.Slow = id, failed, slow
 		}
-		if max(allFailed, allSlow) > leansBadAt || max(failed, slow) > leansBadAt+oneTarget(r.targets) {
+		if max(allFailed, allSlow) > tentativeBadThreshold || max(failed, slow) > tentativeBadThreshold+singleTargetAllowance(r.targets) {
 			f.Tentative = Bad
 		}
-		if r.reference.calls >= routeLeast*all && (allFailed > goodAt || r.timed > 0 && allSlow > goodAt) {
+		if r.reference.calls >= minRouteShare*all && (allFailed > goodThreshold || r.timed > 0 && allSlow > goodThreshold) {
 			good = false
 		}
 	}
 	switch {
-	case max(f.Failed, f.Slow) >= badAt:
+	case max(f.Failed, f.Slow) >= badThreshold:
 		f.Verdict, f.Tentative = Bad, Bad
 	case good:
 		f.Verdict = Good
@@ -283,48 +296,50 @@
 	return f
 }
 
-// oneTarget is what one of several targets may say without speaking against the version.
-func oneTarget(targets map[uint32]*targetEvidence) float64 {
+// singleTargetAllowance is the evidence that one of several targets may contribute without
+// counting against the version.
+func singleTargetAllowance(targets map[uint32]*targetEvidence) float64 {
 	if len(targets) < severalTargets {
 		return 0
 	}
-	return targetMost
+	return maxPerTarget
 }
 
-// against is what one kind of evidence says against the version: by targets, whether they are loaded
-// or not, and by those that are loaded. One target of several says too little.
-func against(targets map[uint32]*targetEvidence, joint float64, kind func(*targetEvidence) *sums) float64 {
+// evidenceAgainst returns the evidence of one kind against the version: the larger of the joint
+// sum over loaded targets and the trimmed sum over all targets. maxPerTarget keeps one target
+// of several from deciding.
+func evidenceAgainst(targets map[uint32]*targetEvidence, joint float64, kind func(*targetEvidence) *sums) float64 {
 	loaded, total := 0, 0.0
 	for _, t := range targets {
-		if x := kind(t).loaded; x > 0 {
+		if x := kind(t).loadedCUSUM; x > 0 {
 			loaded++
-			total += min(x, targetMost)
+			total += min(x, maxPerTarget)
 		}
 	}
 	if loaded > 1 || loaded == 1 && len(targets) >= severalTargets {
 		joint = min(joint, total)
 	}
-	return max(joint, most(targets, func(t *targetEvidence) float64 {
-		switch x := kind(t).worst; {
+	return max(joint, trimmedSum(targets, func(t *targetEvidence) float64 {
+		switch x := kind(t).cusum; {
 		case len(targets) == 1:
 			return x
-		case x < suspectAt:
-			return 0 // the small sums of many targets are chance
+		case x < suspectThreshold:
+			return 0 // small sums are chance; over many targets they would add up
 		default:
-			return min(x, targetMost)
+			return min(x, maxPerTarget)
 		}
 	}))
 }
 
-// most adds up what most targets say, the worst of several left out.
-func most(targets map[uint32]*targetEvidence, sum func(*targetEvidence) float64) float64 {
+// trimmedSum sums the evidence of the targets without the worst one in trimDivisor.
+func trimmedSum(targets map[uint32]*targetEvidence, sum func(*targetEvidence) float64) float64 {
 	all := make([]float64, 0, len(targets))
 	for _, t := range targets {
 		all = append(all, sum(t))
 	}
 	slices.Sort(all)
 	total := 0.0
-	for _, x := range all[:len(all)-len(all)/spared] {
+	for _, x := range all[:len(all)-len(all)/trimDivisor] {
 		total += x
 	}
 	return total
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -6,73 +6,78 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Bounds are what operators tolerate of a version that turns out bad.
+// Bounds limit the number of calls that a bad version may receive during an order's time to
+// Share times all calls plus Slack.
 type Bounds struct {
-	// Share and Slack bound the calls that it gets: a part of all calls of the order's time,
-	// and so many besides.
-	Share float64
-	Slack float64
+	Share float64 // fraction of all calls, 0 to 1
+	Slack float64 // number of calls
 }
 
 const (
-	// provingPart is the part of an order's time for which a canary is proven at least:
-	// versions may turn bad after some seconds.
-	provingPart = 0.25
-	// provingMost is the part at which the evidence that there is must do.
-	provingMost = 0.50
-	// loadingPart is the part in which some of its targets get the work that they would have in
-	// service, and loadingShare the part of the calls that go there.
-	loadingPart  = 0.12
+	// minProvingPart is the minimum length of the stage proving, as a fraction of the order's
+	// time. Versions may turn bad only after some seconds.
+	minProvingPart = 0.25
+	// maxProvingPart is the fraction of the order's time at which the tentative verdict ends
+	// the stage proving.
+	maxProvingPart = 0.50
+	// loadingPart is the length of the stage loading as a fraction of the order's time, for a
+	// share of loadingShare. In it a part of the targets gets the load it would have in service.
+	loadingPart = 0.12
+	// loadingShare is the fraction of the calls that load the canary's targets.
 	loadingShare = 0.25
-	// loadedLeast is how many targets are loaded at least where there are several.
-	loadedLeast = 2
-	// loadingTimeLeast is how long it takes at least until counts have been told and judged.
-	loadingTimeLeast = 800 * time.Millisecond
-	// loadingMost is how many times as long loading lasts where the evidence is against it.
-	loadingMost = 2
-	// exposedProving and exposedLoading are the parts of Bounds.Share that each may use.
-	exposedProving = 0.8
-	exposedLoading = 0.35
-	// slackUsed is the part of Bounds.Slack that proving may use where calls are few.
-	slackUsed = 0.4
-	// promotingMost is the part of an order's time at which the version is completed though VMs
-	// have not told that they are done, and waitingMost that at which an order ends for which
-	// there is nothing to go by.
-	promotingMost = 0.85
-	waitingMost   = 0.90
-	// raiseFrom keeps the share from being written anew for small changes.
-	raiseFrom = 1.5
+	// minLoadedTargets is the minimum number of loaded targets if there are several.
+	minLoadedTargets = 2
+	// minLoadingTime is the time that reporting and judging the counts takes at least.
+	minLoadingTime = 800 * time.Millisecond
+	// maxLoadingFactor is the factor by which the stage loading is extended at most while the
+	// tentative verdict is bad.
+	maxLoadingFactor = 2
+	// provingBudget and loadingBudget are the fractions of Bounds.Share that each stage may use.
+	provingBudget = 0.8
+	loadingBudget = 0.35
+	// provingSlack is the fraction of Bounds.Slack that the stage proving may use if there are
+	// few calls.
+	provingSlack = 0.4
+	// promotingDeadline is the fraction of the order's time at which the order completes even
+	// if VMs have not reported that they have drained.
+	promotingDeadline = 0.85
+	// noAnswerDeadline is the fraction of the order's time at which an order rolls back if its
+	// canary has answered no call.
+	noAnswerDeadline = 0.90
+	// minShareRaise is the smallest factor by which the share is raised, so that small changes
+	// cause no write.
+	minShareRaise = 1.5
 )
 
-// Facts are what a step goes by beside the record.
+// Facts are the inputs of a step beside the record.
 type Facts struct {
 	Self    ids.VM
-	Order   *Order // nil: none stands
+	Order   *Order // nil if there is no order
 	Elapsed time.Duration
 	Finding Finding
-	// Rate is how many calls a second the service gets.
+	// Rate is the service's load in calls per second.
 	Rate float64
-	// Versions are the service's targets that may take calls, by version.
+	// Versions is the number of the service's targets that may take calls, by version.
 	Versions map[ids.SoftwareVersion]int
-	// Warm is how many of the canary's are not slow after their start.
+	// Warm is the number of the canary's targets that have warmed up after their start.
 	Warm int
-	// Drained tells that no VM has calls left at other versions, as far as they are heard.
+	// Drained is set if no live VM has calls left at other versions.
 	Drained bool
-	// StableGone tells that no target of the version in service has been there for a while.
+	// StableGone is set if the version in service has had no target for stableGoneTimeout.
 	StableGone bool
 }
 
-// Step is the next state of a record, and what the status of the order is to say. Report is
-// Running where the status says enough.
+// Step is the next state of a record and of the status of its order.
 type Step struct {
 	Record Record
+	// Report is the end to write to the status; Running if the order has no end to write.
 	Report End
-	// Begin tells that the status is to say that the order is under way.
+	// Begin is set if the status is to be set to running.
 	Begin bool
 }
 
-// Next returns the next state of a service. It is a pure function; a step that is made twice
-// makes no difference.
+// Next returns the next state of a service. It is a pure function, and repeating a step has no
+// effect.
 func (b Bounds) Next(r Record, f Facts) Step {
 	r.By, r.Elapsed = f.Self, f.Elapsed
 	o := f.Order
@@ -104,13 +109,13 @@
 	}
 }
 
-// idle returns the record with no move under way.
+// idle returns the record without a rollout.
 func (r Record) idle() Record {
 	r.Canary, r.Stage, r.Share, r.Part, r.Entered = "", Idle, 0, 0, 0
 	return r
 }
 
-// settle takes over what the status says of an order.
+// settle applies the end that the status of an order gives.
 func (r Record) settle(o *Order) Record {
 	if r.Order != o.OrderID {
 		r.Reason = ""
@@ -136,7 +141,7 @@
 	return out
 }
 
-// begin takes up an order.
+// begin starts the rollout that an order asks for.
 func (b Bounds) begin(r Record, f Facts) Step {
 	r = r.idle()
 	r.Order, r.End, r.Reason, r.Elapsed = f.Order.OrderID, Running, "", 0
@@ -149,16 +154,16 @@
 	return Step{Record: r, Begin: true}
 }
 
-// provingShare is the part of the calls that prove a canary.
+// provingShare returns the fraction of the calls that go to a canary in the stage proving.
 func (b Bounds) provingShare(f Facts) float64 {
-	share := b.Share * exposedProving
-	if calls := f.Rate * f.Order.Within.Seconds() * provingMost; calls > 0 {
-		share = max(share, min(b.Slack*slackUsed/calls, loadingShare))
+	share := b.Share * provingBudget
+	if calls := f.Rate * f.Order.Within.Seconds() * maxProvingPart; calls > 0 {
+		share = max(share, min(b.Slack*provingSlack/calls, loadingShare))
 	}
 	return share
 }
 
-// advance moves an order that is under way on.
+// advance returns the next step of an order in progress.
 func (b Bounds) advance(r Record, f Facts) Step {
 	within := f.Order.Within
 	passed := func(since time.Duration, part float64) bool {
@@ -169,17 +174,17 @@
 	}
 	switch r.Stage {
 	case Proving:
-		if share := b.provingShare(f); share > r.Share*raiseFrom {
+		if share := b.provingShare(f); share > r.Share*minShareRaise {
 			r.Share = share
 		}
-		proven := f.Finding.Verdict == Good || passed(0, provingMost) && f.Finding.Tentative == Good && f.Finding.Calls > 0
+		proven := f.Finding.Verdict == Good || passed(0, maxProvingPart) && f.Finding.Tentative == Good && f.Finding.Calls > 0
 		switch {
-		case passed(0, provingPart) && proven && (2*f.Warm >= f.Versions[r.Canary] || passed(0, provingMost)):
+		case passed(0, minProvingPart) && proven && (2*f.Warm >= f.Versions[r.Canary] || passed(0, maxProvingPart)):
 			part := loadedPart(f.Versions[r.Canary])
 			return r.enter(Loading, part, part)
-		case passed(0, provingMost) && f.Finding.Calls > 0 && f.Finding.Tentative == Bad:
+		case passed(0, maxProvingPart) && f.Finding.Calls > 0 && f.Finding.Tentative == Bad:
 			return r.rollBack("its answers lean to worse than those of the version in service")
-		case passed(0, waitingMost):
+		case passed(0, noAnswerDeadline):
 			return r.rollBack("it has answered no call in time")
 		}
 	case Loading:
@@ -187,39 +192,40 @@
 		if loaded >= b.loadingTime(r.Share, within) && f.Finding.Tentative == Good {
 			return r.enter(Promoting, 1, 1)
 		}
-		if loaded >= loadingMost*b.loadingTime(r.Share, within) {
+		if loaded >= maxLoadingFactor*b.loadingTime(r.Share, within) {
 			return r.rollBack("its answers under load lean to worse than those of the version in service")
 		}
 	case Promoting:
-		if f.Drained || passed(0, promotingMost) {
+		if f.Drained || passed(0, promotingDeadline) {
 			return Step{Record: r, Report: Completed}
 		}
 	}
 	return Step{Record: r}
 }
 
-// loadedPart is the part of a canary's targets that are loaded: two at least where there are
-// several, so that one that is broken by itself is told apart.
+// loadedPart returns the fraction of a canary's targets that get load. If there are several,
+// it is at least two targets, so that one broken target can be told from a bad version.
 func loadedPart(targets int) float64 {
 	if targets < severalTargets {
 		return loadingShare
 	}
-	return max(loadingShare, loadedLeast/float64(targets))
+	return max(loadingShare, minLoadedTargets/float64(targets))
 }
 
-// loadingTime is for how long a share of the calls loads targets.
+// loadingTime returns the length of the stage loading for a share of the calls.
 func (b Bounds) loadingTime(share float64, within time.Duration) time.Duration {
-	part := min(loadingPart*loadingShare, b.Share*exposedLoading) / max(share, loadingShare)
-	return max(time.Duration(part*float64(within)), loadingTimeLeast)
+	part := min(loadingPart*loadingShare, b.Share*loadingBudget) / max(share, loadingShare)
+	return max(time.Duration(part*float64(within)), minLoadingTime)
 }
 
-// enter goes on to a stage.
+// enter returns the step into a stage.
 func (r Record) enter(s Stage, share, part float64) Step {
 	r.Stage, r.Share, r.Part, r.Entered = s, share, part, r.Elapsed
 	return Step{Record: r}
 }
 
-// rollBack ends an order. The record says so before the status does, so that no call follows.
+// rollBack ends an order. It changes the record first, so that no call goes to the canary after
+// the status says rolled back.
 func (r Record) rollBack(reason string) Step {
 	r.End, r.Reason = RolledBack, reason
 	r.Barred = append(without(r.Barred, r.Canary), r.Canary)
