--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -164,7 +164,7 @@
 				before, incarnation, held, c = before+sent, incarnation+1, nil, counts{}
 				sent = 0
 			default:
-				c.add("r", "t", true, Answer{Took: time.Millisecond})
+				c.add("r", "t", true, CallResult{Took: time.Millisecond})
 				sent++
 			}
 		}
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -13,8 +13,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Answer is the result of a call that its target answered.
-type Answer struct {
+// CallResult is the result of a call that its target answered.
+type CallResult struct {
 	// Failed is set if the target failed the call.
 	Failed bool
 	// Took is how long the target took, normalized by the predicted time where a prediction
@@ -75,7 +75,7 @@
 	changed map[cellKey]bool // since the last report
 }
 
-func (c *counts) add(route string, target ids.Target, canary bool, a Answer) {
+func (c *counts) add(route string, target ids.Target, canary bool, a CallResult) {
 	key := cellKey{route: uint32(xxh3.HashString(route)), canary: canary}
 	if canary {
 		key.target = uint32(routing.HashTarget(target))
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -250,9 +250,9 @@
 	}
 }
 
-// RecordAnswer counts the result of a call that its target answered, unless the order has
+// RecordResult counts the result of a call that its target answered, unless the order has
 // changed since Admit.
-func (p *Admission) RecordAnswer(route string, target ids.Target, a Answer) {
+func (p *Admission) RecordResult(route string, target ids.Target, a CallResult) {
 	if p == nil {
 		return
 	}
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -235,7 +235,7 @@
 }
 
 // run simulates one call.
-func (l *scenario) run(rng *rand.Rand, t time.Duration, toCanary bool, r Record) (a Answer, target ids.Target, routeIndex int, answered bool) {
+func (l *scenario) run(rng *rand.Rand, t time.Duration, toCanary bool, r Record) (a CallResult, target ids.Target, routeIndex int, answered bool) {
 	x := rng.Float64()
 	for x -= l.routes[0].part; x > 0 && routeIndex < len(l.routes)-1; x -= l.routes[routeIndex].part {
 		routeIndex++
@@ -264,9 +264,9 @@
 		}
 	}
 	if rng.Float64() < failed {
-		return Answer{Failed: true}, target, routeIndex, true
+		return CallResult{Failed: true}, target, routeIndex, true
 	}
-	return Answer{Took: time.Duration(took)}, target, routeIndex, true
+	return CallResult{Took: time.Duration(took)}, target, routeIndex, true
 }
 
 // simSeeds is the number of seeds per scenario, strategySeeds the number of seeds per scenario in
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -86,7 +86,7 @@
 // counted tells the gate how an attempt ended, if its target answered it.
 func (t *try) counted(err *outcome.Error) {
 	var refusal *Refusal
-	a := canary.Answer{}
+	a := canary.CallResult{}
 	switch {
 	case t.c.pass == nil:
 		return
@@ -100,7 +100,7 @@
 	if !a.Failed && t.c.calm {
 		a.Took = t.took()
 	}
-	t.c.pass.RecordAnswer(t.r.route.Name, t.c.target.ID, a)
+	t.c.pass.RecordResult(t.r.route.Name, t.c.target.ID, a)
 }
 
 // took is how long the target took, where that depends on the prompt as a multiple of what was
