--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -18,8 +18,8 @@
 // has been taken out of service meanwhile.
 const maxChoices = 4
 
-// choose picks a target among those that run a version which is in service. The pass, if there
-// is one, must be ended.
+// choose picks a target among those that run a version which is in service. The admission, if there
+// is one, must be released.
 func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Admission) {
 	f := r.f
 	if f.Software == nil {
--- a/internal/quarantine/attack_test.go
+++ b/internal/quarantine/attack_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestFleetUnderAttack has somebody end replicas with ever new requests, four a second, none
-// of which comes often enough to be quarantined. That is beyond what a quarantine by request
-// can end; what it must not do is turn others away whose requests were under way there.
+// TestFleetUnderAttack simulates an attacker who crashes replicas with ever new requests, four a
+// second, none of which comes often enough to be quarantined. A quarantine by request cannot stop
+// that attack, but it must not refuse other requests that were in progress on the replicas.
 func TestFleetUnderAttack(t *testing.T) {
 	s := fleetScenario{
 		vms: 6, domains: 2, fatal: 1, fatalTwice: true, fatalEvery: 250 * time.Millisecond, crashAfter: [2]int{20, 150},
@@ -15,18 +15,18 @@
 	}
 	const seeds = 10
 	var sum fleetResult
-	for _, r := range playFleets(s, seeds) {
+	for _, r := range simulateFleets(s, seeds) {
 		sum.ended += r.ended
 		sum.others += r.others
-		sum.wronged += r.wronged
+		sum.othersRefused += r.othersRefused
 		sum.popular += r.popular
-		sum.popWrong += r.popWrong
+		sum.popularRefused += r.popularRefused
 		sum.regular += r.regular
-		sum.regWrong += r.regWrong
+		sum.regularRefused += r.regularRefused
 	}
-	t.Logf("%d replicas ended in a minute; turned away for nothing: %d of %d unique calls, %d of %d popular ones, %d of %d of a caller that asks once a second",
-		sum.ended/seeds, sum.wronged, sum.others, sum.popWrong, sum.popular, sum.regWrong, sum.regular)
-	if sum.wronged > sum.others/500 || sum.popWrong > sum.popular/500 || sum.regWrong > sum.regular/20 {
-		t.Error("too many are turned away for nothing")
+	t.Logf("%d replicas ended in a minute; wrongly refused: %d of %d unique calls, %d of %d popular ones, %d of %d of a caller that asks once a second",
+		sum.ended/seeds, sum.othersRefused, sum.others, sum.popularRefused, sum.popular, sum.regularRefused, sum.regular)
+	if sum.othersRefused > sum.others/500 || sum.popularRefused > sum.popular/500 || sum.regularRefused > sum.regular/20 {
+		t.Error("too many calls were wrongly refused")
 	}
 }
--- a/internal/quarantine/watch.go
+++ b/internal/quarantine/detector.go
@@ -8,11 +8,11 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Liveness is what is known of a replica whose connection broke.
+// Liveness is the state of a replica whose connection broke.
 type Liveness uint8
 
-// The states of a replica. Only one that refuses connections has ended for sure: behind a
-// cut link nothing answers, and a replica that breaks off single answers goes on to listen.
+// Only a replica that refuses connections has certainly ended: over a broken link nothing
+// answers, and a replica that aborts single answers keeps listening.
 const (
 	Unknown Liveness = iota
 	Listening
@@ -22,7 +22,7 @@
 // String returns the state's name in logs.
 func (s Liveness) String() string { return [...]string{"unknown", "listens", "ended"}[s] }
 
-// Send is a send that broke off.
+// Send is a send whose connection broke before its answer was complete.
 type Send struct {
 	Target      ids.Target
 	Addr        string // ip:port
@@ -34,41 +34,42 @@
 type run struct {
 	Send
 	request Fingerprint
-	id      ids.Request // of the caller's attempt
+	id      ids.Request // id of the caller's attempt
 }
 
-// Detector finds out whether replicas have ended under the runs that broke off there, and
-// notes those that have. Safe for concurrent use.
+// Detector checks whether replicas have ended when runs break there, and records the crashes in
+// the ledger. Safe for concurrent use.
 type Detector struct {
 	Ledger *Ledger
-	// Check looks whether a replica still listens.
+	// Check reports whether a replica still listens.
 	Check func(ctx context.Context, t ids.Target, addr string) Liveness
 
 	mu   sync.Mutex
-	runs map[Replica][]run // by the replica that is being looked at
+	runs map[Replica][]run // broken runs, by the replica being checked
 }
 
-// checkWithin bounds one look: what peers are to know in time must be known before.
-const checkWithin = time.Second
+// checkTimeout bounds one check, since peers must learn of a crash in time.
+const checkTimeout = time.Second
 
-// broke looks whether the replica of a run has ended. It does not wait.
-func (w *Detector) broke(r run) {
+// checkReplica starts a check of a run's replica, unless one is in progress. It does not wait
+// for the result.
+func (w *Detector) checkReplica(r run) {
 	name := ReplicaOf(r.Target, r.Incarnation)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.runs == nil {
 		w.runs = map[Replica][]run{}
 	}
-	_, looking := w.runs[name]
+	_, checking := w.runs[name]
 	w.runs[name] = append(w.runs[name], r)
-	if !looking {
-		go w.look(name, r)
+	if !checking {
+		go w.check(name, r)
 	}
 }
 
-// look checks a replica once for all runs that broke off there meanwhile.
-func (w *Detector) look(name Replica, r run) {
-	ctx, cancel := context.WithTimeout(context.Background(), checkWithin)
+// check checks a replica once for all runs that break there before the check ends.
+func (w *Detector) check(name Replica, r run) {
+	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	state := w.Check(ctx, r.Target, r.Addr)
 	w.mu.Lock()
@@ -78,12 +79,12 @@
 	w.Ledger.Log.Belief("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
 		Str("state", state.String()).Int("broken_runs", len(runs)).Send()
 	if state == Ended {
-		w.ended(runs)
+		w.recordCrash(runs)
 	}
 }
 
-// ended notes that the replica of these runs has ended.
-func (w *Detector) ended(runs []run) {
+// recordCrash records the crash of a replica under these runs.
+func (w *Detector) recordCrash(runs []run) {
 	w.Ledger.Crashes.Add(1)
 	findings := make([]Finding, 0, len(runs))
 	for i := range runs {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -11,69 +11,69 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// A fleet in virtual time: VMs with a ledger each that send requests to replicas, and tell
-// each other what they saw in rounds whose messages get lost. Some requests crash the
-// replicas that run them, and replicas end by themselves, too.
+// This file simulates a fleet in virtual time. VMs with a ledger each send requests to replicas
+// and exchange reports in rounds, in which messages may get lost. Some requests crash the
+// replicas that run them, and replicas also end by themselves.
 
 const (
-	tick       = 5 * time.Millisecond
-	newsRound  = 150 * time.Millisecond
-	newsWay    = 20 * time.Millisecond
-	cascadeGap = 150 * time.Millisecond
-	checkTime  = 105 * time.Millisecond // until a VM knows that a replica has ended
-	inTouch    = 3 * time.Second        // a VM that has started is to know by then
-	attempts   = 2                      // of one call
-	tries      = 2                      // of a caller
+	tick           = 5 * time.Millisecond
+	reportRound    = 150 * time.Millisecond
+	reportDelay    = 20 * time.Millisecond
+	cascadeGap     = 150 * time.Millisecond
+	checkTime      = 105 * time.Millisecond // until a VM knows that a replica has ended
+	catchUpTime    = 3 * time.Second        // a VM that has started must know the quarantined requests by then
+	attempts       = 2                      // sends of one call
+	callerAttempts = 2                      // calls of a caller for one request
 )
 
 // fleetScenario is what happens to a fleet.
 type fleetScenario struct {
 	vms, domains int
 	tree         bool
-	lost         float64       // part of the messages
-	cut          [2]float64    // seconds between which domains don't hear each other
-	restartEvery time.Duration // a VM starts again, one after the other; zero: none
-	fatal        int           // requests that crash replicas
-	fatalEvery   time.Duration // the pause between two repeats of each
-	crashAfter   [2]int        // ms until the crash, least and most
-	fatalFrom    time.Duration // they come from then on
-	fatalTwice   bool          // no fatal request comes more than twice: others take its place
-	regular      bool          // one caller asks for the same thing once a second
-	endsEvery    time.Duration // a replica ends by itself; zero: none
+	lost         float64       // fraction of the messages
+	cut          [2]float64    // start and end of a partition between the domains, in seconds
+	restartEvery time.Duration // a VM restarts, one after the other; zero: none
+	fatal        int           // number of requests that crash replicas
+	fatalEvery   time.Duration // pause between two repeats of each
+	crashAfter   [2]int        // minimum and maximum of the time until the crash, in ms
+	fatalFrom    time.Duration // start of the fatal requests
+	fatalTwice   bool          // each fatal request comes at most twice, then a new one replaces it
+	regular      bool          // one caller repeats the same request once a second
+	endsEvery    time.Duration // pause between replicas that end by themselves; zero: none
 	allEndAt     float64       // all replicas end at once, in seconds; zero: never
-	cascadeAt    float64       // all end one after the other, 150 ms apart; zero: never
-	popular      int           // callers that share one request
+	cascadeAt    float64       // replicas end one after the other from then on, 150 ms apart, in seconds; zero: never
+	popular      int           // number of callers that share one request
 	seconds      int
 }
 
-// fleetResult is what became of it, over all fatal requests and callers.
+// fleetResult counts the results of a simulation over all fatal requests and callers.
 type fleetResult struct {
-	ended    int // replicas, under fatal requests
-	late     int // arrivals at replicas of one fatal request after it was to be known: most over all
-	others   int // calls of others
-	wronged  int // of these, refused since their request was quarantined
-	popular  int
-	popWrong int
-	regular  int // calls of the caller that asks once a second
-	regWrong int
+	ended          int // replicas that fatal requests ended
+	late           int // arrivals of a fatal request at replicas after all VMs must know it: maximum over the requests
+	others         int // calls with unique, harmless requests
+	othersRefused  int // those of them that were refused because of a quarantine
+	popular        int
+	popularRefused int
+	regular        int // calls of the caller that asks once a second
+	regularRefused int
 }
 
 type simRun struct {
-	request  Fingerprint
-	fatal    int // index of the fatal request; -1: none
-	vm       int
-	sent     time.Time
-	done     time.Time
-	left     int // attempts
-	triesNow int
-	popular  bool
-	regular  bool
+	request       Fingerprint
+	fatal         int // index of the fatal request; -1: none
+	vm            int
+	sent          time.Time
+	done          time.Time
+	left          int // attempts
+	callerAttempt int
+	popular       bool
+	regular       bool
 }
 
 type simReplica struct {
 	name Replica
 	runs []*simRun
-	back time.Time // it is away until then
+	back time.Time // no runs before then
 }
 
 type simMessage struct {
@@ -107,11 +107,11 @@
 	arrivals  [][]time.Time
 }
 
-func playFleet(s fleetScenario, seed uint64) fleetResult { return traceFleet(s, seed).res }
+func simulateFleet(s fleetScenario, seed uint64) fleetResult { return runFleet(s, seed).res }
 
-// playFleets plays as many fleets at a time as there are processors, and returns what became
-// of each, by seed.
-func playFleets(s fleetScenario, seeds int) []fleetResult {
+// simulateFleets simulates one fleet per seed, as many at a time as there are processors, and
+// returns the results by seed.
+func simulateFleets(s fleetScenario, seeds int) []fleetResult {
 	results := make([]fleetResult, seeds)
 	var all sync.WaitGroup
 	free := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -119,15 +119,15 @@
 		all.Go(func() {
 			free <- struct{}{}
 			defer func() { <-free }()
-			results[seed] = playFleet(s, uint64(seed))
+			results[seed] = simulateFleet(s, uint64(seed))
 		})
 	}
 	all.Wait()
 	return results
 }
 
-// traceFleet plays a fleet and returns it as it is at the end.
-func traceFleet(s fleetScenario, seed uint64) *fleetSim {
+// runFleet simulates a fleet and returns its final state.
+func runFleet(s fleetScenario, seed uint64) *fleetSim {
 	f := &fleetSim{fleetScenario: s, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1000, 0)}
 	f.now = f.start
 	f.ends, f.arrivals = make([][]time.Time, s.fatal), make([][]time.Time, s.fatal)
@@ -157,7 +157,7 @@
 
 func (f *fleetSim) ledger() *Ledger { return NewLedger(nil, func() time.Time { return f.now }) }
 
-// every tells whether a moment that comes at a pace falls into this tick.
+// every reports whether an event with period d falls into this tick.
 func (f *fleetSim) every(d time.Duration) bool {
 	return d > 0 && f.now.Sub(f.start)%d < tick && f.now != f.start
 }
@@ -167,7 +167,7 @@
 	f.finish()
 	for i := range f.fatal {
 		if f.now.Sub(f.start) >= f.fatalFrom && f.every(f.fatalEvery+time.Duration(i)*7*time.Millisecond) {
-			f.call(&simRun{request: named(f.fatalName(i)), fatal: i, triesNow: tries})
+			f.call(&simRun{request: named(f.fatalName(i)), fatal: i, callerAttempt: callerAttempts})
 		}
 	}
 	if f.every(25 * time.Millisecond) {
@@ -175,8 +175,8 @@
 		f.res.others++
 		f.call(&simRun{request: named(fmt.Sprint("own", f.names)), fatal: -1})
 	}
-	if f.every(newsRound) {
-		f.tell()
+	if f.every(reportRound) {
+		f.sendReports()
 	}
 	if f.every(f.endsEvery) {
 		f.end(f.replicas[f.rng.IntN(len(f.replicas))])
@@ -193,7 +193,7 @@
 		vm := int(f.now.Sub(f.start)/f.restartEvery) % f.vms
 		f.ledgers[vm] = f.ledger()
 		f.started[vm] = f.now
-		for o, l := range f.ledgers { // its first message
+		for o, l := range f.ledgers { // the restarted VM's first message reaches the peer
 			if o != vm && f.rng.Float64() >= f.lost {
 				l.ResendAll()
 			}
@@ -201,15 +201,15 @@
 	}
 	if f.regular && f.every(time.Second) {
 		f.res.regular++
-		f.call(&simRun{request: named("regular"), fatal: -1, regular: true, triesNow: tries})
+		f.call(&simRun{request: named("regular"), fatal: -1, regular: true, callerAttempt: callerAttempts})
 	}
 	if f.popularDue() {
 		f.res.popular++
-		f.call(&simRun{request: named("popular"), fatal: -1, popular: true, triesNow: tries})
+		f.call(&simRun{request: named("popular"), fatal: -1, popular: true, callerAttempt: callerAttempts})
 	}
 }
 
-// fatalName names the fatal request that comes next.
+// fatalName returns the name of the next fatal request.
 func (f *fleetSim) fatalName(i int) string {
 	if !f.fatalTwice {
 		return fmt.Sprint("fatal", i)
@@ -218,30 +218,31 @@
 	return fmt.Sprint("fatal", i, " ", f.fatalSent/2)
 }
 
-// popularDue lets the callers of the popular request ask ten times a second each.
+// popularDue reports whether a caller sends the popular request in this tick. Each of them sends
+// it ten times a second on average.
 func (f *fleetSim) popularDue() bool {
 	return f.popular > 0 && f.rng.Float64() < float64(f.popular)*10*tick.Seconds()
 }
 
-// call takes a caller's attempt in at a VM.
+// call starts a caller's call at a random VM.
 func (f *fleetSim) call(r *simRun) {
 	r.vm, r.left = f.rng.IntN(f.vms), attempts
-	r.triesNow++
+	r.callerAttempt++
 	f.send(r)
 }
 
-// rank is how many VMs come before the one of a run for a trial.
+// rank returns how many VMs precede the VM of a run for a trial.
 func (f *fleetSim) rank(r *simRun) int { return (r.vm + int(r.request[0])) % f.vms }
 
 func (f *fleetSim) send(r *simRun) {
 	if _, quarantined := f.ledgers[r.vm].Quarantined(r.request); quarantined && !f.ledgers[r.vm].Trial(r.request, f.rank(r)) {
 		switch {
 		case r.popular:
-			f.res.popWrong++
+			f.res.popularRefused++
 		case r.regular:
-			f.res.regWrong++
+			f.res.regularRefused++
 		case r.fatal < 0:
-			f.res.wronged++
+			f.res.othersRefused++
 		}
 		return
 	}
@@ -263,7 +264,7 @@
 	}
 	if r.fatal >= 0 {
 		work = f.crashAfter[0] + f.rng.IntN(f.crashAfter[1]-f.crashAfter[0]+1)
-		if f.now.Sub(f.started[r.vm]) >= inTouch {
+		if f.now.Sub(f.started[r.vm]) >= catchUpTime {
 			f.arrivals[r.fatal] = append(f.arrivals[r.fatal], f.now)
 		}
 	}
@@ -271,7 +272,7 @@
 	rep.runs = append(rep.runs, r)
 }
 
-// finish answers the runs that are done, and ends the replicas of those that are fatal.
+// finish answers the runs that are done, and ends the replicas whose done runs are fatal.
 func (f *fleetSim) finish() {
 	for _, rep := range f.replicas {
 		kept := rep.runs[:0]
@@ -296,7 +297,8 @@
 	}
 }
 
-// end ends a replica. What ran there is tried again at once; the VMs find the end out.
+// end ends a replica. Its runs are retried at once, and their VMs detect the crash after
+// checkTime.
 func (f *fleetSim) end(rep *simReplica) {
 	if f.now.Before(rep.back) {
 		return
@@ -318,13 +320,13 @@
 		switch {
 		case r.left > 0:
 			f.send(&again)
-		case r.triesNow < tries:
+		case r.callerAttempt < callerAttempts:
 			f.call(&again)
 		}
 	}
 }
 
-// deliver hands out what has arrived by now.
+// deliver delivers the crashes and messages that are due.
 func (f *fleetSim) deliver() {
 	var later []simFinding
 	for _, c := range f.findings {
@@ -346,9 +348,9 @@
 	f.messages = waiting
 }
 
-// neighbours are the VMs that one speaks to. In a tree the first of each domain is its
-// root, and those speak to each other.
-func (f *fleetSim) neighbours(vm int) []int {
+// peersOf returns the VMs that a VM sends reports to. In a tree the first VM of each domain is its
+// root, and the roots send to each other.
+func (f *fleetSim) peersOf(vm int) []int {
 	var out []int
 	domain, root := vm%f.domains, vm < f.domains
 	for o := range f.vms {
@@ -362,10 +364,10 @@
 	return out
 }
 
-func (f *fleetSim) tell() {
+func (f *fleetSim) sendReports() {
 	sec := f.now.Sub(f.start).Seconds()
 	for vm := range f.vms {
-		to := f.neighbours(vm)
+		to := f.peersOf(vm)
 		what := f.ledgers[vm].DueReports(len(to))
 		if len(what) == 0 {
 			continue
@@ -373,16 +375,16 @@
 		for _, o := range to {
 			apart := sec >= f.cut[0] && sec < f.cut[1] && o%f.domains != vm%f.domains
 			if !apart && f.rng.Float64() >= f.lost {
-				f.messages = append(f.messages, simMessage{o, ids.VM(fmt.Sprint(vm)), f.now.Add(newsWay), what})
+				f.messages = append(f.messages, simMessage{o, ids.VM(fmt.Sprint(vm)), f.now.Add(reportDelay), what})
 			}
 		}
 	}
 }
 
-// TestFleetBound plays a fleet in which requests crash replicas, under all that may go wrong
-// besides, and asks for what callers and operators rely on: no such request reaches more
-// than three replicas later than three seconds after the third has ended, and hardly
-// anybody else is turned away.
+// TestFleetBound simulates fleets with requests that crash replicas, together with lost messages,
+// partitions, restarts and other crashes. It checks what callers and operators rely on: from three
+// seconds after its third crash on, a fatal request reaches at most three more replicas, and at
+// most one in 500 of the other calls is refused.
 func TestFleetBound(t *testing.T) {
 	base := fleetScenario{vms: 6, domains: 2, fatal: 1, fatalEvery: 250 * time.Millisecond, crashAfter: [2]int{20, 150}, popular: 12, seconds: 14}
 	for _, c := range []struct {
@@ -396,9 +398,9 @@
 		{"tree of 30", func(s *fleetScenario) { s.vms, s.domains, s.tree = 30, 3, true }, 3},
 		{"a third of the messages lost", func(s *fleetScenario) { s.lost = 0.33 }, 3},
 		{"tree, a third lost", func(s *fleetScenario) { s.vms, s.domains, s.tree, s.lost = 30, 3, true, 0.33 }, 3},
-		{"domains cut off, each side by itself", func(s *fleetScenario) { s.cut = [2]float64{0, 14} }, 3},
-		{"cut that heals", func(s *fleetScenario) { s.cut = [2]float64{0, 4} }, 3},
-		{"VMs start again in turn", func(s *fleetScenario) { s.restartEvery = 700 * time.Millisecond }, 3},
+		{"domains partitioned", func(s *fleetScenario) { s.cut = [2]float64{0, 14} }, 3},
+		{"partition that heals", func(s *fleetScenario) { s.cut = [2]float64{0, 4} }, 3},
+		{"VMs restart in turn", func(s *fleetScenario) { s.restartEvery = 700 * time.Millisecond }, 3},
 		{"slow crashes", func(s *fleetScenario) { s.crashAfter = [2]int{300, 900} }, 3},
 		{"fast repeats", func(s *fleetScenario) { s.fatalEvery = 40 * time.Millisecond }, 3},
 		{"rare repeats", func(s *fleetScenario) { s.fatalEvery, s.seconds = 3*time.Second, 40 }, 3},
@@ -412,24 +414,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := base
 			c.change(&s)
-			const seeds = 10 // 40 were played by hand, with the same verdict
+			const seeds = 10 // a manual run with 40 seeds gave the same verdict
 			var sum fleetResult
 			worst, most := 0, 0
-			for seed, r := range playFleets(s, seeds) {
+			for seed, r := range simulateFleets(s, seeds) {
 				worst, most = max(worst, r.late), max(most, r.ended)
 				sum.ended += r.ended
 				sum.others += r.others
-				sum.wronged += r.wronged
+				sum.othersRefused += r.othersRefused
 				sum.popular += r.popular
-				sum.popWrong += r.popWrong
+				sum.popularRefused += r.popularRefused
 				if r.late > c.late {
-					t.Errorf("seed %d: a request reached %d replicas after it was to be known, %d are allowed", seed, r.late, c.late)
+					t.Errorf("seed %d: a fatal request reached %d replicas after all VMs had to know it, allowed are %d", seed, r.late, c.late)
 				}
 			}
-			t.Logf("replicas ended: %.1f in the mean, %d at most; late arrivals: %d at most; turned away for nothing: %d of %d calls, %d of %d popular ones",
-				float64(sum.ended)/seeds, most, worst, sum.wronged, sum.others, sum.popWrong, sum.popular)
-			if sum.wronged > sum.others/500 || sum.popWrong > sum.popular/500 {
-				t.Errorf("too many are turned away for nothing")
+			t.Logf("replicas ended: %.1f on average, %d at most; late arrivals: %d at most; wrongly refused: %d of %d calls, %d of %d popular ones",
+				float64(sum.ended)/seeds, most, worst, sum.othersRefused, sum.others, sum.popularRefused, sum.popular)
+			if sum.othersRefused > sum.others/500 || sum.popularRefused > sum.popular/500 {
+				t.Errorf("too many calls were wrongly refused")
 			}
 		})
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -8,30 +8,31 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// Step is the step of a refusal for what a request did to replicas.
+// Step is the outcome step of refusals by quarantine.
 const Step = "quarantine"
 
-// Guard stands before the sends of a VM. Its zero value, and nil, let everything through.
+// Guard refuses quarantined requests before a VM sends them. The zero value and a nil Guard
+// refuse nothing.
 type Guard struct {
 	Detector *Detector
-	// Rank tells how many living VMs come before this one for what one VM does for all, by
-	// a name. Nil: this VM is alone.
+	// Rank returns how many live VMs precede this one for a task, given by name, that one VM
+	// does for all. Nil means that this VM is the only one.
 	Rank func(name ids.Target) int
 }
 
-// Call is one call of a caller, over all its sends. Not safe for concurrent use. The zero
-// value is not guarded.
+// Call is one call of a caller with all its sends. Not safe for concurrent use. The zero value
+// refuses nothing.
 type Call struct {
-	guard   *Guard
-	id      ids.Request
-	request Request
-	print   *Fingerprint // nil: it was not needed yet
+	guard       *Guard
+	id          ids.Request
+	request     Request
+	fingerprint *Fingerprint // nil until first needed
 }
 
-// Call begins a call. The body must not change while it lasts.
+// Call returns a guarded call. The request's body must not change until the call ends.
 func (g *Guard) Call(id ids.Request, r Request) Call { return Call{guard: g, id: id, request: r} }
 
-// ledger returns what is remembered of requests; nil: nothing is.
+// ledger returns the guard's ledger, or nil if there is none.
 func (c *Call) ledger() *Ledger {
 	if c.guard == nil || c.guard.Detector == nil {
 		return nil
@@ -39,34 +40,35 @@
 	return c.guard.Detector.Ledger
 }
 
-// Fingerprint names the request over its repeats.
+// Fingerprint returns the fingerprint of the call's request, computing it on the first use.
 func (c *Call) Fingerprint() Fingerprint {
-	if c.print == nil {
+	if c.fingerprint == nil {
 		p := c.request.Fingerprint()
-		c.print = &p
+		c.fingerprint = &p
 	}
-	return *c.print
+	return *c.fingerprint
 }
 
-// FingerprintText returns the fingerprint as text if it was needed so far, for logs; empty: it was
-// not.
+// FingerprintText returns the fingerprint as text for logs, or an empty string if it has not
+// been computed yet.
 func (c *Call) FingerprintText() string {
-	if c.print == nil {
+	if c.fingerprint == nil {
 		return ""
 	}
-	return c.print.String()
+	return c.fingerprint.String()
 }
 
-// Refusal refuses a call whose request crashes replicas, or returns nil. It is asked before
-// a replica is chosen: the bounds on repeats count within one call, and such a request that
-// came again under a new id each time ended 48 replicas in six seconds, 3 to 10 with it.
-// first is set before the first send of a call, which may be a trial.
+// Refusal returns the refusal of a call whose request crashes replicas, or nil. Call it before
+// choosing a replica. first must be set before the first send of a call, which may be a trial.
+//
+// The limits on retries apply within one call only: a crashing request that came under a new id
+// each time ended 48 replicas in six seconds without this check, and 3 to 10 with it.
 func (c *Call) Refusal(first bool) *outcome.Error {
 	return c.refusal(first, (*Ledger).TrialDue)
 }
 
-// RefusalAtSend refuses as Refusal does, when a replica is chosen. A trial is used up by it; one
-// that no replica could take is not.
+// RefusalAtSend does the same as Refusal, after a replica has been chosen. It uses up a trial
+// if it allows one, which Refusal does not, so that a call without a replica costs no trial.
 func (c *Call) RefusalAtSend(first bool) *outcome.Error {
 	return c.refusal(first, (*Ledger).Trial)
 }
@@ -91,24 +93,24 @@
 	return c.guard.Rank(ids.Target(c.Fingerprint().String()))
 }
 
-// Answered notes that a replica answered the call with a status, and lives. A failure of
-// its own says nothing: it may not have come as far as the fault.
+// Answered records that a replica answered the call with a status. It ignores statuses from 500
+// up, since a call that failed may not have reached the fault.
 func (c *Call) Answered(status int) {
 	if ledger := c.ledger(); status < http.StatusInternalServerError && ledger != nil {
 		ledger.Answered(c.Fingerprint())
 	}
 }
 
-// ReportBroken starts a check whether the replica of a send that broke off has ended with it.
-// ended is set if that is known.
+// ReportBroken starts a check whether the replica of a broken send has ended. ended must be set
+// if the caller knows that it has. ReportBroken does not wait for the check.
 func (c *Call) ReportBroken(s Send, ended bool) {
 	if c.ledger() == nil {
 		return
 	}
 	r := run{Send: s, request: c.Fingerprint(), id: c.id}
 	if ended {
-		c.guard.Detector.ended([]run{r})
+		c.guard.Detector.recordCrash([]run{r})
 		return
 	}
-	c.guard.Detector.broke(r)
+	c.guard.Detector.checkReplica(r)
 }
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -12,15 +12,15 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Replica names one incarnation of a target, the same at all VMs.
+// Replica identifies one incarnation of a target. All VMs derive the same value.
 type Replica uint64
 
-// ReplicaOf returns the name of an incarnation.
+// ReplicaOf returns the identifier of an incarnation of a target.
 func ReplicaOf(t ids.Target, inc ids.Incarnation) Replica {
 	return Replica(xxh3.HashStringSeed(string(t), uint64(inc)))
 }
 
-// next names an incarnation that came after this one and is not known by its number.
+// next returns the identifier of an incarnation that followed r and whose number is unknown.
 func (r Replica) next() Replica {
 	return Replica(xxh3.Hash(binary.BigEndian.AppendUint64(nil, uint64(r))))
 }
@@ -28,46 +28,47 @@
 // Crash is the end of a replica while it ran a request.
 type Crash struct {
 	Replica Replica
-	Sent    time.Time // of the run that ended with it
+	Sent    time.Time // when the run that ended with the replica was sent
 	Ended   time.Time
 }
 
-// Case is what speaks against one request.
+// Case is the evidence against one request.
 type Case struct {
 	Request Fingerprint
-	// Answered is set when the request was answered since the VMs remember it: it does not
-	// crash whatever runs it.
+	// Answered is set if the request has been answered since the VMs first recorded it, so
+	// that it does not crash every replica that runs it.
 	Answered bool
-	// Quarantined is set when it was found already, by this VM or another.
+	// Quarantined is set if this VM or another already quarantined the request.
 	Quarantined bool
 	Crashes     []Crash // in the order of Ended
 }
 
-// Limits of the judgement.
 const (
-	// crashesNeeded is how many crashes quarantine a request. Two are too few: of a stream
-	// and its one retry both replicas may end by themselves, or under a request beside it.
+	// crashesNeeded is the number of crashes that quarantines a request. Two are too few: the
+	// replicas of a stream and of its one retry may both end by themselves, or because of
+	// another request.
 	crashesNeeded = 3
-	// crashesIfAnswered is the same for a request that was answered before, and did not crash
-	// its replica then: it is under way wherever replicas end, if it comes often.
+	// crashesIfAnswered is the same number for a request that was answered before without
+	// crashing its replica. A frequent request is in progress wherever replicas end.
 	crashesIfAnswered = 12
-	// crashesTogether is the time within which crashes are one event: what ends all replicas
-	// of a service at once ends a run at the first, and its repeat at the next. Counted one
-	// by one they quarantined a request of twelve callers in each of 40 fleets.
-	crashesTogether = 50 * time.Millisecond
-	// crashesApart is the time between two crashes that are separate events though the
-	// later run was sent before the earlier crash.
-	crashesApart = 300 * time.Millisecond
+	// sameEventWindow is the time within which several crashes are one event. A cause that
+	// ends all replicas of a service at once breaks a run at one replica and its retry at
+	// the next. Counting each crash quarantined a request of twelve callers in each of 40
+	// fleets.
+	sameEventWindow = 50 * time.Millisecond
+	// separateEventGap is the time between two crashes from which they are separate events
+	// even if the later run was sent before the earlier crash.
+	separateEventGap = 300 * time.Millisecond
 )
 
-// Judge returns the requests that are found to crash replicas by what is new, beside those
-// that were found before.
+// Judge returns the requests that crash replicas according to the cases, without those already
+// quarantined.
 //
-// Whatever was under way on a replica that crashes loses its run, and is then tried again
-// together with the request that did it. So a crash counts against one request only: the
-// first of which there are enough is taken for the cause of all that it had until then, and
-// the others are judged by what that leaves. Of two with the same crashes one is found; if
-// it was the wrong one, the next crash tells the other, and a trial lets the first go.
+// Every request in progress on a crashing replica loses its run and is retried together with the
+// request that caused the crash. So a crash counts against one request only: the request that
+// first has enough crashes is taken for the cause of all its crashes, and the other requests are
+// judged by the rest. Of two requests with the same crashes Judge finds one. If it is the wrong
+// one, the next crash identifies the other, and a trial lifts the quarantine of the first.
 func Judge(cases []Case) []Fingerprint {
 	explained := map[Replica]bool{}
 	var open []Case
@@ -86,7 +87,7 @@
 		var best score
 		for i := range open {
 			s := scoreOf(&open[i], explained)
-			if !s.since.IsZero() && (first < 0 || s.compare(best) < 0) {
+			if !s.reachedAt.IsZero() && (first < 0 || s.compare(best) < 0) {
 				first, best = i, s
 			}
 		}
@@ -108,21 +109,21 @@
 	return crashesNeeded
 }
 
-// score orders cases: the one that was found first comes first, and of those found by the
-// same crash the one with the most. One that was ever answered comes behind all that were
-// not, since it is under way wherever those crash replicas.
+// score orders cases by the time at which they had enough crashes; at the same time the case
+// with the most crashes comes first. Requests that were ever answered come after all others,
+// since they are in progress wherever the others crash replicas.
 type score struct {
-	answered int       // 1: it was answered
-	since    time.Time // of the crash by which there were enough; zero: there are not
-	all      int       // crashes that nothing else explains
-	request  Fingerprint
+	answered  int       // 1 if the request was answered, else 0
+	reachedAt time.Time // time of the crash that completed the needed number; zero if there are too few
+	crashes   int       // crashes that no other request explains
+	request   Fingerprint
 }
 
 func (s score) compare(o score) int {
-	return cmp.Or(cmp.Compare(s.answered, o.answered), s.since.Compare(o.since), -cmp.Compare(s.all, o.all), bytes.Compare(s.request[:], o.request[:]))
+	return cmp.Or(cmp.Compare(s.answered, o.answered), s.reachedAt.Compare(o.reachedAt), -cmp.Compare(s.crashes, o.crashes), bytes.Compare(s.request[:], o.request[:]))
 }
 
-// scoreOf counts the crashes that nothing else explains.
+// scoreOf returns the score of a case by the crashes that no other request explains.
 func scoreOf(c *Case, explained map[Replica]bool) score {
 	s := score{request: c.Request}
 	if c.Answered {
@@ -134,21 +135,21 @@
 		if explained[crash.Replica] {
 			continue
 		}
-		s.all++
+		s.crashes++
 		if counted > 0 && !separate(last, crash) {
 			continue
 		}
 		counted++
 		last = crash
 		if counted == c.needed() {
-			s.since = crash.Ended
+			s.reachedAt = crash.Ended
 		}
 	}
 	return s
 }
 
-// separate tells whether a crash is another event than an earlier one.
+// separate reports whether a crash and an earlier one are separate events.
 func separate(earlier, crash Crash) bool {
 	gap := crash.Ended.Sub(earlier.Ended)
-	return gap >= crashesApart || gap >= crashesTogether && !crash.Sent.Before(earlier.Ended)
+	return gap >= separateEventGap || gap >= sameEventWindow && !crash.Sent.Before(earlier.Ended)
 }
--- a/internal/quarantine/judge_test.go
+++ b/internal/quarantine/judge_test.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// named makes the fingerprint of a request that a test names.
+// named returns the fingerprint of the request with a name.
 func named(name string) Fingerprint { return (&Request{Body: []byte(name)}).Fingerprint() }
 
-// replicaNamed makes the name of a replica that a test names.
+// replicaNamed returns the identifier of the replica with a name.
 func replicaNamed(name string) Replica { return Replica(named(name)[0])<<8 | Replica(named(name)[1]) }
 
-// TestJudge reads cases, one a line:
+// TestJudge reads cases from testdata, one per line:
 //
 //	NAME [answered] REPLICA@SENT-ENDED ...
 //
-// with times in milliseconds, and prints which requests are quarantined.
+// with times in milliseconds, and prints the requests that Judge returns.
 func TestJudge(t *testing.T) {
 	start := time.Unix(1000, 0)
 	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -14,78 +14,79 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// What a ledger remembers.
 const (
-	// Retention is how long crashes count, and a request is kept from replicas, after its
-	// last crash. Then it is tried again, and one crash is enough to quarantine it anew: a
+	// Retention is the time after a request's last crash in which its crashes count and its
+	// quarantine holds. After that it may run again, and one crash quarantines it anew: a
 	// request that never stops coming costs about one replica in this time.
 	Retention = 10 * time.Minute
-	// forgottenAfter is when nothing is left of it.
-	forgottenAfter = 2 * Retention
-	// trialAfter is when a quarantined request is sent once to see whether it crashes its
-	// replica: replicas are back after some seconds, and a request that many callers share
-	// is not to be turned away for long because all replicas ended one after the other.
+	// evictAfter is the time after which a ledger drops a case.
+	evictAfter = 2 * Retention
+	// trialAfter is the time after which a quarantined request is sent once, as a trial, to
+	// see whether it crashes its replica. Replicas are back after some seconds, and a request
+	// that many callers share must not be refused for long because all replicas ended one
+	// after the other.
 	trialAfter = 10 * time.Second
-	// maxTrials bounds those sends of a request that was never answered. Two sides of a cut
-	// make one each, and a VM that has not heard yet one more; the fleet may send three. One
-	// that was answered before is tried again and again, trialAfter apart, and needs more
-	// crashes: while somebody ended eight replicas a second with ever new requests, one of
-	// each second was turned away 191 times in 590; now 34 times in 690 (TestFleetUnderAttack).
+	// maxTrials bounds the trials of a request that was never answered. Both sides of a
+	// network partition may each make one, and a VM that has not received the report yet
+	// another, so that the fleet may make three. A request that was answered before is tried
+	// without limit, trialAfter apart, and needs more crashes to be quarantined. Without that,
+	// while an attacker ended eight replicas a second with ever new requests, a request that
+	// came once a second was refused 191 of 590 times; now 34 of 690 (TestFleetUnderAttack).
 	maxTrials = 1
-	// maxCases bounds the requests that are remembered. A replica takes those that it runs
-	// and that wait there with it, some tens at once. Beyond, those with the fewest crashes
-	// are forgotten first, so an attacker has to end replicas to push another one out.
+	// maxCases bounds the cases in a ledger. A crashing replica adds the requests that it runs
+	// and those waiting there, some tens at once. Beyond the limit the ledger evicts the cases
+	// with the fewest crashes first, so that an attacker has to end replicas to displace one.
 	maxCases = 512
-	// answeredPlaces is how many answered requests a VM remembers, at 8 bytes: those of the
-	// last seven minutes at 10 requests a second.
-	answeredPlaces = 4096
-	// maxCrashes bounds the crashes that are remembered of one request; the oldest go first.
-	// With maxCases a ledger takes 549 KB at most (TestSize).
+	// answeredSlots is the number of answered requests that a VM remembers, at 8 bytes each:
+	// those of the last seven minutes at 10 requests a second.
+	answeredSlots = 4096
+	// maxCrashes bounds the crashes kept per request; the oldest are dropped first. With
+	// maxCases cases a ledger takes at most 549 KB (TestSize).
 	maxCrashes = 16
 )
 
-// Ledger remembers which requests replicas crashed under, as this VM saw it or peers told.
-// It is merged with those of peers in any order and any number of times. Safe for
-// concurrent use.
+// Ledger records which requests were in progress when replicas crashed, as seen by this VM or
+// reported by peers. Merging reports is commutative and idempotent. Safe for concurrent use.
 type Ledger struct {
-	// Log gets a line for each crash under a request, and when one is quarantined or let go.
+	// Log receives a line for each crash under a request and for each quarantine that starts,
+	// is tried or is lifted.
 	Log *eventlog.Log
 
 	now func() time.Time
 
-	mu       sync.Mutex
-	cases    map[Fingerprint]*entry
-	retellAt time.Time
-	retold   Fingerprint // the last one that was told again
+	mu         sync.Mutex
+	cases      map[Fingerprint]*entry
+	resendAt   time.Time
+	lastResent Fingerprint // the quarantined request resent last
 
-	known atomic.Int64 // cases
+	caseCount atomic.Int64 // length of cases, readable without the lock
 
-	// answered holds requests that this VM saw answered, each at the place that its
-	// fingerprint names, so that one takes the place of another now and then.
-	answered [answeredPlaces]uint64
+	// answered is a hash table without chaining of the requests that this VM saw answered. A
+	// request overwrites another one with the same slot.
+	answered [answeredSlots]uint64
 
-	// Crashes counts the ends of replicas that this VM saw under requests, each once.
+	// Crashes counts the crashes of replicas that this VM saw under requests, each once.
 	Crashes atomic.Int64
 }
 
-// entry is a case and how it is told.
+// entry is a case and the state of its reports to peers.
 type entry struct {
 	crashes []Crash
-	// quarantined is set once any VM finds that the request crashes replicas, and holds
-	// until it is answered: VMs that see a part of the crashes, or see them in another
-	// order, must not differ about it.
+	// quarantined is set once any VM finds that the request crashes replicas, and holds until
+	// the request is answered. VMs that see only some of the crashes, or see them in another
+	// order, must agree on it.
 	quarantined bool
-	// answers grows when the request is answered: the crashes from before count no more.
+	// answers increases when the request is answered after crashes. Reports with a lower
+	// value are outdated, and so are their crashes.
 	answers uint32
-	// trials are the sends that were let through since it was quarantined, to find out
-	// whether that is for nothing.
+	// trials is the number of trials since the request was quarantined.
 	trials  uint32
-	triedAt time.Time // the last of them, as this VM knows
+	triedAt time.Time // the latest trial that this VM knows of
 	changed time.Time
-	copies  int // how often peers are still to be told of it
+	copies  int // number of rounds in which the entry is still to be reported
 }
 
-// NewLedger returns an empty ledger. now is nil for that of package clock.
+// NewLedger returns an empty ledger. A nil now means clock.Now.
 func NewLedger(log *eventlog.Log, now func() time.Time) *Ledger {
 	if now == nil {
 		now = clock.Now
@@ -93,11 +94,12 @@
 	return &Ledger{Log: log, now: now, cases: map[Fingerprint]*entry{}}
 }
 
-// Empty tells whether nothing is remembered: no request need be looked up then.
-func (l *Ledger) Empty() bool { return l == nil || l.known.Load() == 0 }
+// Empty reports whether the ledger, which may be nil, has no cases. Then no request needs a
+// look-up.
+func (l *Ledger) Empty() bool { return l == nil || l.caseCount.Load() == 0 }
 
-// Quarantined tells whether a request must not be sent to replicas, and how many have
-// crashed under it.
+// Quarantined reports whether a request must not be sent to replicas, and how many replicas
+// have crashed under it.
 func (l *Ledger) Quarantined(f Fingerprint) (crashes int, quarantined bool) {
 	if l.Empty() {
 		return 0, false
@@ -105,22 +107,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.cases[f]
-	if e == nil || !e.quarantined || l.now().Sub(e.last()) >= Retention {
+	if e == nil || !e.quarantined || l.now().Sub(e.lastCrash()) >= Retention {
 		return 0, false
 	}
 	return len(e.crashes), true
 }
 
-// TrialDue tells whether a quarantined request may be sent once. rank is how many living VMs
-// come before this one for that; each waits for those before it, which may not get the
-// request.
+// TrialDue reports whether a quarantined request may be sent once as a trial. rank is the number
+// of live VMs that precede this one for the trial. Each VM waits trialAfter longer than the one
+// before it, since that one may not receive the request.
 func (l *Ledger) TrialDue(f Fingerprint, rank int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.trialDue(f, rank)
 }
 
-// Trial is TrialDue, and notes that the request is sent.
+// Trial does the same as TrialDue, and records the trial if it is due.
 func (l *Ledger) Trial(f Fingerprint, rank int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,21 +136,21 @@
 	return true
 }
 
-// trialDue is TrialDue. The lock is held.
+// trialDue implements TrialDue. The caller holds l.mu.
 func (l *Ledger) trialDue(f Fingerprint, rank int) bool {
 	e := l.cases[f]
 	if e == nil || e.answers == 0 && e.trials >= maxTrials {
 		return false
 	}
 	wait := time.Duration(rank+1) * trialAfter
-	return l.now().Sub(e.last()) >= wait && l.now().Sub(e.triedAt) >= wait
+	return l.now().Sub(e.lastCrash()) >= wait && l.now().Sub(e.triedAt) >= wait
 }
 
-// Counts returns how many requests are remembered, and how many of them are quarantined.
+// Counts returns the number of cases, and how many of them are quarantined.
 func (l *Ledger) Counts() (cases, quarantined int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.cases), len(l.quarantined())
+	return len(l.cases), len(l.listQuarantined())
 }
 
 // Finding is a crash under a request.
@@ -157,7 +159,8 @@
 	Crash   Crash
 }
 
-// Crashed notes that a replica ended while it ran these requests.
+// Crashed records that replicas ended while they ran requests, and quarantines the requests that
+// caused it.
 func (l *Ledger) Crashed(findings ...Finding) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,22 +172,23 @@
 	l.judge("")
 }
 
-// Answered notes that a replica answered a request: it does not crash whatever runs it.
+// Answered records that a replica answered a request. This clears the crashes of the request and
+// lifts its quarantine.
 func (l *Ledger) Answered(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	place, rest := f.place()
-	l.answered[place] = rest
+	slot, tag := f.answeredSlot()
+	l.answered[slot] = tag
 	e := l.cases[f]
 	if e == nil || len(e.crashes) == 0 {
 		return
 	}
-	l.acquit(f, e, e.answers+1, "")
+	l.clear(f, e, e.answers+1, "")
 	e.changed, e.copies = l.now(), ownCopies
 }
 
-// acquit drops all that speaks against a request. The lock is held.
-func (l *Ledger) acquit(f Fingerprint, e *entry, answers uint32, from ids.VM) {
+// clear drops the evidence against a request. The caller holds l.mu.
+func (l *Ledger) clear(f Fingerprint, e *entry, answers uint32, from ids.VM) {
 	was := e.quarantined
 	e.crashes, e.quarantined, e.trials, e.answers = nil, false, 0, answers
 	if was {
@@ -192,7 +196,7 @@
 	}
 }
 
-// Sweep forgets what is too old.
+// Sweep drops cases without activity for evictAfter.
 func (l *Ledger) Sweep() {
 	if l.Empty() {
 		return
@@ -200,41 +204,41 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for f, e := range l.cases {
-		if l.now().Sub(e.newest()) >= forgottenAfter {
-			l.forget(f)
+		if l.now().Sub(e.lastActivity()) >= evictAfter {
+			l.remove(f)
 		}
 	}
 }
 
-// entry returns the entry of a request, a new one if there is none. The lock is held.
+// entry returns the entry of a request and creates it if there is none. The caller holds l.mu.
 func (l *Ledger) entry(f Fingerprint) *entry {
 	if e := l.cases[f]; e != nil {
 		return e
 	}
 	if len(l.cases) >= maxCases {
-		l.forget(l.least())
+		l.remove(l.evictionCandidate())
 	}
 	e := &entry{changed: l.now()}
-	if place, rest := f.place(); l.answered[place] == rest {
+	if slot, tag := f.answeredSlot(); l.answered[slot] == tag {
 		e.answers = 1
 	}
 	l.cases[f] = e
-	l.known.Store(int64(len(l.cases)))
+	l.caseCount.Store(int64(len(l.cases)))
 	return e
 }
 
-// place returns where an answered request is remembered, and as what.
-func (f Fingerprint) place() (place int, rest uint64) {
-	return int(binary.BigEndian.Uint16(f[:]) % answeredPlaces), binary.BigEndian.Uint64(f[2:])
+// answeredSlot returns the slot of a request in Ledger.answered and the tag stored there.
+func (f Fingerprint) answeredSlot() (slot int, tag uint64) {
+	return int(binary.BigEndian.Uint16(f[:]) % answeredSlots), binary.BigEndian.Uint64(f[2:])
 }
 
-func (l *Ledger) forget(f Fingerprint) {
+func (l *Ledger) remove(f Fingerprint) {
 	delete(l.cases, f)
-	l.known.Store(int64(len(l.cases)))
+	l.caseCount.Store(int64(len(l.cases)))
 }
 
-// least returns the request that is forgotten first. The lock is held.
-func (l *Ledger) least() Fingerprint {
+// evictionCandidate returns the request to drop first. The caller holds l.mu.
+func (l *Ledger) evictionCandidate() Fingerprint {
 	var least Fingerprint
 	var found *entry
 	for f, e := range l.cases {
@@ -245,7 +249,8 @@
 	return least
 }
 
-// compare orders entries by what would be lost with them.
+// compare orders entries by their value for the ledger, the least valuable first: those not
+// quarantined, then those with fewer crashes, then those that changed longest ago.
 func (e *entry) compare(o *entry) int {
 	switch {
 	case e.quarantined && !o.quarantined:
@@ -256,18 +261,18 @@
 	return cmp.Or(cmp.Compare(len(e.crashes), len(o.crashes)), e.changed.Compare(o.changed))
 }
 
-// add takes a crash in; false: it was known.
+// add adds a crash. It returns false if the crash was known.
 func (e *entry) add(c Crash) bool {
 	for {
 		known := e.crashOf(c.Replica)
 		if known == nil {
 			break
 		}
-		if !c.Sent.After(known.Ended.Add(agesDiffer)) {
+		if !c.Sent.After(known.Ended.Add(maxAgeError)) {
 			return false
 		}
-		// The replica has started again under its name, and this VM took it for the
-		// incarnation before.
+		// The replica has restarted, and the VM that saw the crash did not know its new
+		// incarnation yet.
 		c.Replica = c.Replica.next()
 	}
 	e.crashes = append(e.crashes, c)
@@ -278,11 +283,11 @@
 	return true
 }
 
-// agesDiffer is by how much VMs differ about when something was: ages in messages grow on
-// their way.
-const agesDiffer = 100 * time.Millisecond
+// maxAgeError bounds the difference between VMs in the time of an event: the ages in a message
+// do not include its delay.
+const maxAgeError = 100 * time.Millisecond
 
-// crashOf returns what is known of a replica's end; nil: nothing.
+// crashOf returns the crash of a replica, or nil if there is none.
 func (e *entry) crashOf(r Replica) *Crash {
 	for i := range e.crashes {
 		if e.crashes[i].Replica == r {
@@ -292,25 +297,26 @@
 	return nil
 }
 
-// last returns when the last crash was; the zero time: there is none.
-func (e *entry) last() time.Time {
+// lastCrash returns the time of the last crash, or the zero time if there is none.
+func (e *entry) lastCrash() time.Time {
 	if len(e.crashes) == 0 {
 		return time.Time{}
 	}
 	return e.crashes[len(e.crashes)-1].Ended
 }
 
-// newest returns when the request was last heard of. Crashes go by their own time, not by
-// when a peer told of them: else VMs would remind each other of them for ever.
-func (e *entry) newest() time.Time {
+// lastActivity returns the time of the last crash, or of the last change if there is none. It
+// does not use the time at which a peer reported a crash, since VMs would then renew each
+// other's cases forever.
+func (e *entry) lastActivity() time.Time {
 	if len(e.crashes) == 0 {
 		return e.changed
 	}
-	return e.last()
+	return e.lastCrash()
 }
 
-// judge looks whether further requests are to be quarantined, and tells whether any are.
-// from is the VM whose words changed the ledger; empty: this one. The lock is held.
+// judge quarantines further requests according to Judge, and reports whether there are any.
+// from is the VM whose report changed the ledger, empty for this VM. The caller holds l.mu.
 func (l *Ledger) judge(from ids.VM) (found bool) {
 	cases := make([]Case, 0, len(l.cases))
 	for f, e := range l.cases {
@@ -323,15 +329,15 @@
 	return found
 }
 
-// quarantine keeps a request from replicas. The lock is held.
+// quarantine quarantines a request. The caller holds l.mu.
 func (l *Ledger) quarantine(f Fingerprint, from ids.VM) {
 	e := l.cases[f]
 	e.quarantined, e.changed, e.copies = true, l.now(), max(e.copies, ownCopies)
 	l.logCase("quarantined", f, from)
 }
 
-// quarantined returns the requests that are kept from replicas. The lock is held.
-func (l *Ledger) quarantined() []Fingerprint {
+// listQuarantined returns the quarantined requests in order. The caller holds l.mu.
+func (l *Ledger) listQuarantined() []Fingerprint {
 	var out []Fingerprint
 	for f, e := range l.cases {
 		if e.quarantined {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -13,14 +13,14 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// fakeClock is a clock that tests set.
+// fakeClock is a clock that a test advances.
 type fakeClock struct{ now time.Time }
 
 func newClock() *fakeClock { return &fakeClock{now: time.Unix(1000, 0)} }
 
 func (c *fakeClock) ledger() *Ledger { return NewLedger(nil, func() time.Time { return c.now }) }
 
-// crash lets a replica end under a request, a second after the one before.
+// crash advances the clock by a second and records the crash of a replica under a request.
 func (c *fakeClock) crash(l *Ledger, request, replica string) {
 	c.now = c.now.Add(time.Second)
 	l.Crashed(Finding{named(request), Crash{Replica: replicaNamed(replica), Sent: c.now.Add(-50 * time.Millisecond), Ended: c.now}})
@@ -31,7 +31,7 @@
 	return yes
 }
 
-// TestFingerprint tells requests apart that differ in any part, and no others.
+// TestFingerprint checks that requests have the same fingerprint exactly if all parts are equal.
 func TestFingerprint(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", URI: "/p?q=1", Body: []byte("body")}
 	same := base
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestQuarantineEnds follows one request: found, held, tried once, tried again when it is
-// old, found again by a single crash, and forgotten.
+// TestQuarantineEnds follows one request: quarantined after three crashes, one trial, free
+// after Retention, quarantined again by a single crash, and dropped.
 func TestQuarantineEnds(t *testing.T) {
 	c := newClock()
 	l := c.ledger()
@@ -71,31 +71,33 @@
 		t.Fatal("not quarantined after three crashes")
 	}
 	if l.Trial(named("q"), 0) {
-		t.Error("tried at once")
+		t.Error("a trial is allowed right after the last crash")
 	}
 	c.now = c.now.Add(trialAfter)
 	if l.Trial(named("q"), 1) {
-		t.Error("tried by a VM behind another one")
+		t.Error("a trial is allowed at the second VM as early as at the first")
 	}
 	if !l.Trial(named("q"), 0) || l.Trial(named("q"), 0) {
-		t.Error("not tried just once")
+		t.Error("not exactly one trial is allowed")
 	}
 	c.now = c.now.Add(Retention)
 	if quarantined(l, "q") {
-		t.Error("still quarantined long after the last crash")
+		t.Error("still quarantined when Retention has passed since the last crash")
 	}
 	c.crash(l, "q", "r9")
 	if !quarantined(l, "q") {
-		t.Error("a further crash does not quarantine it anew")
+		t.Error("another crash does not quarantine it again")
 	}
-	c.now = c.now.Add(forgottenAfter)
+	c.now = c.now.Add(evictAfter)
 	l.Sweep()
 	if !l.Empty() {
-		t.Error("not forgotten")
+		t.Error("not dropped after evictAfter")
 	}
 }
 
-// TestAnswerLiftsQuarantine lets a request that was quarantined beside others be answered.
+// TestAnswerLiftsQuarantine checks that an answer lifts the quarantine at all VMs, that outdated
+// reports do not restore it, and that the request then needs crashesIfAnswered crashes and gets
+// any number of trials.
 func TestAnswerLiftsQuarantine(t *testing.T) {
 	c := newClock()
 	l, peer := c.ledger(), c.ledger()
@@ -105,7 +107,7 @@
 	old := l.DueReports(1)
 	peer.Receive("a", old, false)
 	if !quarantined(peer, "q") {
-		t.Fatal("the peer does not hear of it")
+		t.Fatal("the report does not quarantine it at the peer")
 	}
 	l.Answered(named("q"))
 	peer.Receive("a", l.DueReports(1), false)
@@ -114,13 +116,13 @@
 	}
 	peer.Receive("a", old, false) // late
 	if quarantined(peer, "q") {
-		t.Error("old news quarantine it again")
+		t.Error("an outdated report quarantines it again")
 	}
 	for i := range crashesIfAnswered - 1 {
 		c.crash(l, "q", fmt.Sprint("s", i))
 	}
 	if quarantined(l, "q") {
-		t.Error("a request that was answered is quarantined too early")
+		t.Errorf("quarantined after %d crashes though it was answered before", crashesIfAnswered-1)
 	}
 	c.crash(l, "q", "last")
 	if !quarantined(l, "q") {
@@ -128,18 +130,18 @@
 	}
 	for i := range 3 {
 		if l.Trial(named("q"), 0) {
-			t.Errorf("tried again at once, time %d", i)
+			t.Errorf("trial %d is allowed right after the one before", i)
 		}
 		c.now = c.now.Add(trialAfter)
 		if !l.Trial(named("q"), 0) {
-			t.Errorf("a request that was answered before is not tried for the %d. time", i+1)
+			t.Errorf("trial %d of a request that was answered before is not allowed", i+1)
 		}
 	}
 }
 
-// TestStartsAgainUnknown crashes a target again and again that starts again under its name,
-// before the VMs know of the new incarnation: each end counts, at all VMs, and once.
-func TestStartsAgainUnknown(t *testing.T) {
+// TestCrashesOfRestartedTargetCount crashes a target that restarts, repeatedly and before the VMs
+// know its new incarnation. All VMs must count each crash exactly once.
+func TestCrashesOfRestartedTargetCount(t *testing.T) {
 	c := newClock()
 	a, b := c.ledger(), c.ledger()
 	for i, l := range []*Ledger{a, b, a} {
@@ -152,7 +154,7 @@
 		}
 		for _, l := range []*Ledger{a, b} {
 			if n := len(l.cases[named("q")].crashes); n != i+1 {
-				t.Fatalf("%d crashes are known after %d", n, i+1)
+				t.Fatalf("the ledger has %d crashes, want %d", n, i+1)
 			}
 		}
 	}
@@ -161,7 +163,7 @@
 	}
 }
 
-// TestLedgersAgree tells the same crashes in any order, twice, and by way of others.
+// TestLedgersAgree sends the same reports in any order and repeatedly to several ledgers.
 func TestLedgersAgree(t *testing.T) {
 	c := newClock()
 	var all []*Ledger
@@ -171,31 +173,31 @@
 	for i := range 3 {
 		c.crash(all[i], "q", fmt.Sprint("r", i))
 	}
-	var told [][]Report
+	var reports [][]Report
 	for _, l := range all[:3] {
-		told = append(told, l.DueReports(3))
+		reports = append(reports, l.DueReports(3))
 	}
 	for i, l := range all {
 		for _, from := range []int{2, 0, 2, 1, 0} {
 			if from != i {
-				l.Receive(ids.VM(fmt.Sprint(from)), told[from], false)
+				l.Receive(ids.VM(fmt.Sprint(from)), reports[from], false)
 			}
 		}
 		if !quarantined(l, "q") {
-			t.Errorf("ledger %d does not know", i)
+			t.Errorf("ledger %d does not quarantine the request", i)
 		}
 	}
 }
 
-// TestNewsOfOldCrashes tells a VM again and again of what another remembers: it is
-// forgotten when it is old, wherever it was heard last.
-func TestNewsOfOldCrashes(t *testing.T) {
+// TestPeersDoNotRenewOldCrashes lets two ledgers exchange reports continuously. Both must drop a
+// case when it is old, though each receives reports of it from the other.
+func TestPeersDoNotRenewOldCrashes(t *testing.T) {
 	c := newClock()
 	l, peer := c.ledger(), c.ledger()
 	for i := range 3 {
 		c.crash(l, "q", fmt.Sprint("r", i))
 	}
-	for range 3 * int(forgottenAfter/time.Minute) {
+	for range 3 * int(evictAfter/time.Minute) {
 		c.now = c.now.Add(time.Minute)
 		peer.Receive("l", l.DueReports(1), true)
 		l.Receive("peer", peer.DueReports(1), true)
@@ -203,13 +205,13 @@
 		peer.Sweep()
 	}
 	if !l.Empty() || !peer.Empty() {
-		t.Error("two ledgers remind each other for ever")
+		t.Error("two ledgers keep renewing each other's cases")
 	}
 }
 
-// TestRemembersAtMost fills a ledger with requests that crashed a replica each: what is
-// quarantined stays, and no more is remembered than the bound.
-func TestRemembersAtMost(t *testing.T) {
+// TestLedgerIsBounded adds more requests with a crash than a ledger holds. It must keep the
+// quarantined request and stay within maxCases and maxCrashes.
+func TestLedgerIsBounded(t *testing.T) {
 	c := newClock()
 	l := c.ledger()
 	for i := range 3 {
@@ -219,21 +221,21 @@
 		l.Crashed(Finding{named(fmt.Sprint("other", i)), Crash{Replica: Replica(i), Sent: c.now, Ended: c.now}})
 	}
 	if cases, _ := l.Counts(); cases > maxCases {
-		t.Errorf("%d requests are remembered", cases)
+		t.Errorf("the ledger has %d cases, allowed are %d", cases, maxCases)
 	}
 	if !quarantined(l, "q") {
-		t.Error("a quarantined request was pushed out by others")
+		t.Error("a quarantined request was evicted")
 	}
 	for i := range 4 * maxCrashes {
 		c.crash(l, "q", fmt.Sprint("t", i))
 	}
 	if n := len(l.cases[named("q")].crashes); n > maxCrashes {
-		t.Errorf("%d crashes are remembered", n)
+		t.Errorf("the ledger has %d crashes of a request, allowed are %d", n, maxCrashes)
 	}
 }
 
-// TestBadNews hears reports that make no sense.
-func TestBadNews(t *testing.T) {
+// TestInvalidReports checks that a ledger ignores reports without a valid crash.
+func TestInvalidReports(t *testing.T) {
 	c := newClock()
 	l := c.ledger()
 	many := make([]ReportedCrash, 1000)
@@ -247,22 +249,22 @@
 		{Request: named("d"), Quarantined: true, Answers: 7},
 	}, true)
 	if !l.Empty() {
-		t.Error("reports without a crash that counts are remembered")
+		t.Error("the ledger has cases without a valid crash")
 	}
 }
 
-// TestWatch breaks runs off at a replica that has ended, at one that goes on and at one that
-// nobody can tell of: only the first is held against the requests, and one look serves all.
-func TestWatch(t *testing.T) {
+// TestDetector breaks runs at a replica that has ended, at one that still listens and at one in
+// an unknown state. Only the first counts against the requests, and one check serves all runs.
+func TestDetector(t *testing.T) {
 	for _, c := range []struct {
 		state Liveness
 		cases int
 	}{{Ended, 2}, {Listening, 0}, {Unknown, 0}} {
 		t.Run(c.state.String(), func(t *testing.T) {
-			var looks atomic.Int64
+			var checks atomic.Int64
 			release := make(chan struct{})
 			w := &Detector{Ledger: NewLedger(nil, nil), Check: func(context.Context, ids.Target, string) Liveness {
-				looks.Add(1)
+				checks.Add(1)
 				<-release
 				return c.state
 			}}
@@ -277,15 +279,15 @@
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(10 * time.Millisecond)
-			if n, _ := w.Ledger.Counts(); n != c.cases || looks.Load() != 1 {
-				t.Errorf("%d requests are suspected after %d looks", n, looks.Load())
+			if n, _ := w.Ledger.Counts(); n != c.cases || checks.Load() != 1 {
+				t.Errorf("the ledger has %d cases after %d checks, want %d after 1", n, checks.Load(), c.cases)
 			}
 		})
 	}
 }
 
-// BenchmarkNothingCrashes is what a call with a body of 18 KB costs while nothing is
-// remembered: a look before each send, and its fingerprint when it is answered.
+// BenchmarkNothingCrashes measures a call with a body of 18 KB while the ledger is empty: a check
+// before each send, and its fingerprint when it is answered.
 func BenchmarkNothingCrashes(b *testing.B) {
 	guard := &Guard{Detector: &Detector{Ledger: NewLedger(nil, nil)}}
 	body := make([]byte, 18<<10)
@@ -299,8 +301,8 @@
 	}
 }
 
-// BenchmarkSomethingCrashed is what each call costs while requests are remembered: the
-// fingerprint of a body of 18 KB, and the look-up.
+// BenchmarkSomethingCrashed measures a call while the ledger has cases: the fingerprint of a body
+// of 18 KB, and the look-up.
 func BenchmarkSomethingCrashed(b *testing.B) {
 	l := NewLedger(nil, nil)
 	l.Crashed(Finding{named("q"), Crash{Replica: 1, Ended: time.Now()}})
@@ -312,7 +314,7 @@
 	}
 }
 
-// BenchmarkJudgeFull is what a crash costs a ledger that is full.
+// BenchmarkJudgeFull measures recording a crash in a full ledger.
 func BenchmarkJudgeFull(b *testing.B) {
 	c := newClock()
 	l := c.ledger()
--- a/internal/quarantine/merge_test.go
+++ b/internal/quarantine/merge_test.go
@@ -16,10 +16,9 @@
 	m.Run()
 }
 
-// TestLedgersConverge draws crashes, answers and trials at several VMs, and messages that come
-// late, twice, in any order or not at all. Once all have told each other all, they agree on
-// what is quarantined and on what is held against each request, and more words change
-// nothing. A request that was never held against anything is never quarantined.
+// TestLedgersConverge generates crashes and answers at several VMs, and reports that
+// arrive late, twice, in any order or not at all. After all ledgers have exchanged snapshots, they
+// must agree on the quarantined requests. A request without a crash must not be quarantined.
 func TestLedgersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -55,23 +54,23 @@
 		}
 		for range 2 * vms {
 			for i, l := range all {
-				told := l.Snapshot()
+				snapshot := l.Snapshot()
 				for j, o := range all {
 					if i != j {
-						o.Receive(ids.VM(fmt.Sprint(i)), told, false)
+						o.Receive(ids.VM(fmt.Sprint(i)), snapshot, false)
 					}
 				}
 			}
 		}
-		for _, request := range append(requests, "never held against anything") {
+		for _, request := range append(requests, "never crashed") {
 			_, want := all[0].Quarantined(named(request))
 			for i, l := range all[1:] {
 				if _, got := l.Quarantined(named(request)); got != want {
 					t.Errorf("%s: quarantined at VM 0: %v, at VM %d: %v", request, want, i+1, got)
 				}
 			}
-			if want && request == "never held against anything" {
-				t.Error("a request is quarantined that nothing was held against")
+			if want && request == "never crashed" {
+				t.Error("a request without a crash is quarantined")
 			}
 		}
 	})
--- a/internal/quarantine/tell.go
+++ b/internal/quarantine/reports.go
@@ -10,45 +10,46 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// What VMs tell each other. A request may come to any VM, so that each sees a part of the
-// crashes alone. What changes is told in several rounds, since messages get lost; what is
-// quarantined is told again and again, so that VMs that start, or were cut off, hear of it.
+// VMs exchange reports of their cases, since a request may reach any VM and each VM sees only a
+// part of the crashes. A VM reports each change in several rounds, since messages get lost. It
+// resends quarantined cases periodically, so that VMs that start, or were cut off, receive them.
 
 const (
-	// ownCopies is how many rounds tell what this VM saw itself: three of them lost leave
-	// the next crash to make up for it.
+	// ownCopies is the number of rounds in which a VM reports what it saw itself. If all three
+	// are lost, the report of the next crash makes up for it.
 	ownCopies = 3
-	// passedCopies is how many rounds pass on what was heard.
-	passedCopies = 2
-	// maxTold bounds the cases in one message, of 22 bytes each and 16 a crash.
-	maxTold = 24
-	// retoldPerSecond bounds the cases that a VM hears again, from all peers together:
+	// forwardedCopies is the number of rounds in which a VM forwards a report of a peer.
+	forwardedCopies = 2
+	// maxReported bounds the cases in one message. A case takes 22 bytes and 16 per crash.
+	maxReported = 24
+	// resendsPerSecond bounds the resent cases that a VM receives from all peers together:
 	// 0.7 KB/s with three crashes each.
-	retoldPerSecond = 10
-	// retellLeast is the least pause between two that one VM tells again.
-	retellLeast = 150 * time.Millisecond
+	resendsPerSecond = 10
+	// minResendPause is the minimum pause between two resent cases of one VM.
+	minResendPause = 150 * time.Millisecond
 )
 
-// Report is one case as it is told. Times are ages, since clocks differ.
+// Report is one case in a message. Times are ages, since clocks differ.
 type Report struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
 	Answers uint32
 	Trials  uint32
-	// Quarantined is set when a VM found that the request crashes replicas.
+	// Quarantined is set if a VM found that the request crashes replicas.
 	Quarantined bool
 	Crashes     []ReportedCrash
 }
 
-// ReportedCrash is one crash as it is told.
+// ReportedCrash is one crash in a message.
 type ReportedCrash struct {
 	_       struct{} `cbor:",toarray"`
 	Replica Replica
-	SentMs  int64 // ago
-	EndedMs int64 // ago
+	SentMs  int64 // age of Crash.Sent
+	EndedMs int64 // age of Crash.Ended
 }
 
-// DueReports returns what is to be told in this round, at a VM whose words reach so many peers.
+// DueReports returns the reports to send in this round. peers is the number of peers that
+// receive them; it sets the pause between resent cases.
 func (l *Ledger) DueReports(peers int) []Report {
 	if l.Empty() {
 		return nil
@@ -65,11 +66,11 @@
 	slices.SortFunc(due, func(a, b Fingerprint) int {
 		return cmp.Or(-cmp.Compare(len(l.cases[a].crashes), len(l.cases[b].crashes)), bytes.Compare(a[:], b[:]))
 	})
-	due = due[:min(len(due), maxTold)]
+	due = due[:min(len(due), maxReported)]
 	for _, f := range due {
 		l.cases[f].copies--
 	}
-	if f, ok := l.retell(now, peers); ok && !slices.Contains(due, f) {
+	if f, ok := l.nextResend(now, peers); ok && !slices.Contains(due, f) {
 		due = append(due, f)
 	}
 	out := make([]Report, 0, len(due))
@@ -79,21 +80,21 @@
 	return out
 }
 
-// ResendAll has all that is quarantined told in the next round: a peer has started, and knows
-// of none.
+// ResendAll makes all quarantined cases due in the next round, for a peer that has started and
+// knows of none.
 func (l *Ledger) ResendAll() {
 	if l.Empty() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, f := range l.quarantined() {
+	for _, f := range l.listQuarantined() {
 		l.cases[f].copies = max(l.cases[f].copies, 1)
 	}
 }
 
-// Snapshot returns what a VM that knows nothing is to be told: what is quarantined, and the
-// latest of the rest.
+// Snapshot returns reports for a VM that has no cases: the quarantined ones first, then those
+// with the most crashes, at most maxReported.
 func (l *Ledger) Snapshot() []Report {
 	if l.Empty() {
 		return nil
@@ -102,7 +103,7 @@
 	defer l.mu.Unlock()
 	all := slices.Collect(maps.Keys(l.cases))
 	slices.SortFunc(all, func(a, b Fingerprint) int { return -l.cases[a].compare(l.cases[b]) })
-	all = all[:min(len(all), maxTold)]
+	all = all[:min(len(all), maxReported)]
 	out := make([]Report, 0, len(all))
 	for _, f := range all {
 		out = append(out, l.cases[f].report(f, l.now()))
@@ -110,7 +111,7 @@
 	return out
 }
 
-// Pending tells whether something is to be told.
+// Pending reports whether cases are due for their next round, apart from resends.
 func (l *Ledger) Pending() bool {
 	if l.Empty() {
 		return false
@@ -125,20 +126,20 @@
 	return false
 }
 
-// retell returns the quarantined request whose turn it is to be told again. The lock is
-// held.
-func (l *Ledger) retell(now time.Time, peers int) (Fingerprint, bool) {
-	if now.Before(l.retellAt) {
+// nextResend returns the quarantined request to resend next, in cyclic order; false if the pause
+// is not over. The caller holds l.mu.
+func (l *Ledger) nextResend(now time.Time, peers int) (Fingerprint, bool) {
+	if now.Before(l.resendAt) {
 		return Fingerprint{}, false
 	}
-	all := l.quarantined()
+	all := l.listQuarantined()
 	if len(all) == 0 {
 		return Fingerprint{}, false
 	}
-	l.retellAt = now.Add(max(retellLeast, time.Duration(peers)*time.Second/retoldPerSecond))
-	i := slices.IndexFunc(all, func(f Fingerprint) bool { return bytes.Compare(f[:], l.retold[:]) > 0 })
-	l.retold = all[max(i, 0)]
-	return l.retold, true
+	l.resendAt = now.Add(max(minResendPause, time.Duration(peers)*time.Second/resendsPerSecond))
+	i := slices.IndexFunc(all, func(f Fingerprint) bool { return bytes.Compare(f[:], l.lastResent[:]) > 0 })
+	l.lastResent = all[max(i, 0)]
+	return l.lastResent, true
 }
 
 func (e *entry) report(f Fingerprint, now time.Time) Report {
@@ -151,9 +152,9 @@
 	return r
 }
 
-// Receive takes in what a peer tells. passOn is set where this VM stands between that peer
-// and others; elsewhere what is heard is not passed on, but for what this VM finds by it.
-func (l *Ledger) Receive(from ids.VM, reports []Report, passOn bool) {
+// Receive merges the reports of a peer. forward must be set if this VM forwards messages between
+// that peer and others. Otherwise it reports only what it finds itself with the new evidence.
+func (l *Ledger) Receive(from ids.VM, reports []Report, forward bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changed := false
@@ -163,8 +164,8 @@
 			continue
 		}
 		changed = true
-		if passOn {
-			e.copies = max(e.copies, passedCopies)
+		if forward {
+			e.copies = max(e.copies, forwardedCopies)
 		}
 	}
 	if changed {
@@ -172,16 +173,16 @@
 	}
 }
 
-// merge takes one report in, and returns the entry that it changed; nil: none. The lock is
-// held.
+// merge merges one report, and returns the entry that it changed, or nil if there is none. The
+// caller holds l.mu.
 func (l *Ledger) merge(r *Report, from ids.VM) *entry {
 	e, now := l.cases[r.Request], l.now()
 	if e == nil && len(r.Crashes) == 0 || e != nil && r.Answers < e.answers {
-		return nil // nothing is held against it here, or it was answered since
+		return nil // no evidence against the request, or it has been answered since
 	}
 	crashes := r.crashes(now)
 	if e == nil && len(crashes) == 0 {
-		return nil // all too old
+		return nil // all crashes are too old or invalid
 	}
 	if e == nil {
 		e = l.entry(r.Request)
@@ -189,7 +190,7 @@
 	}
 	changed := false
 	if r.Answers > e.answers {
-		l.acquit(r.Request, e, r.Answers, from)
+		l.clear(r.Request, e, r.Answers, from)
 		changed = true
 	}
 	if r.Trials > e.trials {
@@ -209,11 +210,11 @@
 	return e
 }
 
-// crashes returns the crashes of a report that still count, on this VM's clock.
+// crashes returns the valid crashes of a report that are not too old, in this VM's time.
 func (r *Report) crashes(now time.Time) []Crash {
 	var out []Crash
 	for _, c := range r.Crashes[:min(len(r.Crashes), maxCrashes)] {
-		if c.EndedMs >= 0 && c.SentMs >= c.EndedMs && c.SentMs < forgottenAfter.Milliseconds() {
+		if c.EndedMs >= 0 && c.SentMs >= c.EndedMs && c.SentMs < evictAfter.Milliseconds() {
 			out = append(out, Crash{Replica: c.Replica, Sent: ago(now, c.SentMs), Ended: ago(now, c.EndedMs)})
 		}
 	}
--- a/internal/quarantine/size_test.go
+++ b/internal/quarantine/size_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestSize fills a ledger to its bounds and compares what it takes with what docs/CAPACITY.md
-// says of it.
+// TestSize fills a ledger to its limits and compares its memory with the figure in
+// docs/CAPACITY.md.
 func TestSize(t *testing.T) {
 	const mostBytes = 600 << 10
 	var before, after runtime.MemStats
@@ -29,7 +29,7 @@
 	took := int(after.HeapAlloc) - int(before.HeapAlloc)
 	t.Logf("%d cases of %d crashes take %d KB", maxCases, maxCrashes, took>>10)
 	if took > mostBytes {
-		t.Errorf("they take %d bytes, %d are allowed", took, mostBytes)
+		t.Errorf("a full ledger takes %d bytes, allowed are %d", took, mostBytes)
 	}
 	runtime.KeepAlive(l)
 }
