--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -87,7 +87,7 @@
 // reportToGate reports the result of an attempt to the canary gate if the target answered it.
 func (t *try) reportToGate(err *outcome.Error) {
 	var refusal *Refusal
-	a := canary.Answer{}
+	a := canary.CallResult{}
 	switch {
 	case t.c.admission == nil:
 		return
@@ -101,7 +101,7 @@
 	if !a.Failed && t.c.representative {
 		a.Took = t.responseTime()
 	}
-	t.c.admission.RecordAnswer(t.r.route.Name, t.c.target.ID, a)
+	t.c.admission.RecordResult(t.r.route.Name, t.c.target.ID, a)
 }
 
 // responseTime returns how long the target took. For a prompt, whose time depends on its length,
