--- a/internal/cacheview/feed.go
+++ b/internal/cacheview/feed.go
@@ -15,7 +15,7 @@
 // Feed applies a batch of a target's events in order. It uses only events for prefixes that
 // the index already has entries for, which are the few blocks at level boundaries. It
 // returns true if events are missing; it then invalidates the target's earlier entries, and
-// answers and later events add new ones.
+// responses and later events add new ones.
 func (x *Index) Feed(t ids.Target, gen Generation, events []Event) (gap bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -1,15 +1,15 @@
 // Package cacheview estimates which target has which prompt prefixes in its KV cache.
 //
 // The estimates are never exact: engines evict within seconds, and their event feeds lose
-// events. A wrong estimate only affects the routing choice and never the correctness of an
-// answer. Three rules limit the error:
+// events. A wrong estimate only affects the routing choice and never the correctness of a
+// response. Three rules limit the error:
 //
 //   - An entry belongs to one epoch of its target. A new incarnation, another weights
 //     version or a gap in the target's events starts a new epoch, which invalidates all
 //     older entries at once, in constant time.
 //   - Prefix IDs are seeded with workspace and weights version (package prefix), so a lookup
 //     never finds another workspace's entries.
-//   - An answer's count of cached tokens overrides the estimate.
+//   - A response's count of cached tokens overrides the estimate.
 //
 // The index is a fixed table of 16-byte entries, so its memory is bounded by a setting and
 // not by traffic. The entries of a prefix are in one window of slots. If a window is full,
@@ -28,7 +28,7 @@
 )
 
 // Generation identifies an incarnation of a target together with its weights version. The
-// index ignores answers and events of any generation but the current one.
+// index ignores responses and events of any generation but the current one.
 type Generation uint64
 
 // GenerationOf returns the generation of an incarnation with a weights version.
@@ -255,7 +255,7 @@
 const noEntry = -1
 
 // Expect records that this VM sends a prompt to a target: later requests will find its
-// prefixes cached there. The caller passes the result to Answered, which confirms or
+// prefixes cached there. The caller passes the result to ApplyResponse, which confirms or
 // corrects the estimate. work is the expected prefill in tokens, which is reported to peers.
 func (x *Index) Expect(t ids.Target, levels []prefix.Level, work int32) Prior {
 	x.mu.Lock()
@@ -289,7 +289,8 @@
 }
 
 // queueEntry queues an entry for peers if it is new. It is not reported again: entries don't
-// expire, and a peer that missed the report gets the entry from its own answers.
+// expire, and a peer that missed the report gets the entry from responses to its own
+// requests.
 func (x *Index) queueEntry(id prefix.ID, n TargetNum, age int32) {
 	s := &x.targets[n]
 	if len(x.newEntries) < maxNewEntries && age == noEntry {
@@ -297,8 +298,9 @@
 	}
 }
 
-// ApplyResponse updates the entries by an answer: the target of that generation reused cached
-// tokens of the prompt, and has all of the prompt cached now. prior is the result of Expect.
+// ApplyResponse updates the entries by a response: the target of that generation reused
+// cached tokens of the prompt, and has all of the prompt cached now. prior is the result of
+// Expect.
 func (x *Index) ApplyResponse(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -317,7 +319,7 @@
 	}
 }
 
-// countPrediction counts an entry that an answer confirmed or refuted.
+// countPrediction counts an entry that a response confirmed or refuted.
 func (x *Index) countPrediction(age int32, hit bool) {
 	switch {
 	case age == noEntry:
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -10,8 +10,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// ApplySignals applies the signals that a target gave in its answer to a request sent at the
-// given time, and returns what they changed. An incarnation of zero stands for the known one.
+// ApplySignals applies the signals in a target's response to a request sent at the given
+// time, and returns what they changed. An incarnation of zero stands for the known one.
 func (f *Fleet) ApplySignals(id ids.Target, inc ids.Incarnation, s membership.Signals, sent time.Time) membership.SignalChange {
 	if inc == 0 {
 		inc = f.Members.Incarnation(id)
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -2,7 +2,7 @@
 // that they hold, and updates this VM's cache view.
 //
 // Feeds are delayed and lose events, so the cache view may be wrong either way: a stale
-// entry costs a prefill, a missing one a fetch. Neither makes an answer wrong.
+// entry costs a prefill, a missing one a fetch. Neither makes a response wrong.
 package kvfeed
 
 import (
@@ -133,7 +133,7 @@
 	var epoch, since uint64
 	lost := false
 	defer f.release(s)
-	f.setResponsive(s, false) // until the first answer
+	f.setResponsive(s, false) // until the first response
 	timing.Sleep(ctx, rand.N(feedPause))
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, feedWait+feedTimeout)
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -14,9 +14,9 @@
 	mu      sync.Mutex
 	targets map[ids.Target]*targetLoad
 
-	meanMiss float64
-	responses  int
-	overall  slowdown // over all targets
+	meanMiss  float64
+	responses int
+	overall   slowdown // over all targets
 
 	peers map[ids.VM]*peer
 }
@@ -128,13 +128,13 @@
 	}
 }
 
-// missGain is the weight of one answer in the smoothed miss ratio.
+// missGain is the weight of one response in the smoothed miss ratio.
 const missGain = 0.2
 
 // ObserveResponse updates the miss ratio, the fraction of prompt tokens that targets have to
-// compute, from one answer. Engines report their queues in prompt tokens, most of which
-// are cached. The ratio is kept for all targets together, since one VM sees too few answers
-// of each target.
+// compute, from one response. Engines report their queues in prompt tokens, most of which
+// are cached. The ratio is kept for all targets together, since one VM gets too few responses
+// from each target.
 func (t *Tracker) ObserveResponse(prompt, cached int32) {
 	if prompt <= 0 {
 		return
@@ -146,7 +146,7 @@
 }
 
 // missRatio returns the fraction of reported tokens that targets will have to compute; 1
-// before the first answer.
+// before the first response.
 func (t *Tracker) missRatio() float64 {
 	if t.responses == 0 {
 		return 1
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -32,7 +32,7 @@
 type FailureScorer struct{ Seconds float32 }
 
 // OldWeightsScorer returns a cost of Seconds for targets that run other weights than the
-// wanted ones: their answers are worth less, as if they came that much later.
+// wanted ones: their responses are worth less, as if they came that much later.
 type OldWeightsScorer struct{ Seconds float32 }
 
 // FetchScorer is PrefillScorer for targets that fetch KV cache from each other: it adds
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -21,7 +21,7 @@
 // The purposes.
 const (
 	Requests    Purpose = iota // callers' requests, sent to targets
-	Responses                    // answers of targets
+	Responses                  // responses of targets
 	Feeds                      // cache feeds of engines and KV stores, both directions
 	Orders                     // orders to engines and reads of their state, both directions
 	PeerUpdates                // updates sent to peers
