--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -30,18 +30,18 @@
 func (r *run) send(ctx context.Context, call *engine.Call, c choice, work *loadview.Work) error {
 	cn, err := r.open(ctx, call, r.d.Engine.Start)
 	if err != nil {
-		r.hungUp = upstream.HungUp(err)
+		r.hungUp = upstream.ClosedByReplica(err)
 		return err
 	}
 	if !r.p.Stream {
 		defer cn.close()
 		err = r.whole(call, cn.answer, work)
-		r.hungUp = upstream.HungUp(err)
+		r.hungUp = upstream.ClosedByReplica(err)
 		return err
 	}
 	s := &stream{r: r, call: call, conn: cn, verifier: relay.NewVerifier(call.Attempt), work: work}
 	err = s.relay()
-	r.hungUp = upstream.HungUp(err) // a resume that fails says less of how it ended
+	r.hungUp = upstream.ClosedByReplica(err) // a resume that fails says less of how it ended
 	for resumes := 0; err != nil && resumes < maxResumes && s.mayResume(ctx, err, c); resumes++ {
 		err = s.resume(ctx)
 	}
--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -53,37 +53,37 @@
 // Metrics are this VM's counters, published as "threadwall" by expvar.
 // docs/OPERATIONS.md explains each.
 type Metrics struct {
-	Requests    int64                     `json:"requests"`
-	Refused     int64                     `json:"refused"`
-	Shed        int64                     `json:"shed"` // of those refused, because engines were too busy
-	Failed      int64                     `json:"failed"`
-	Broken      int64                     `json:"streams_broken"`
-	InFlight    int64                     `json:"in_flight"`
-	Attempts    int64                     `json:"attempts"`
-	Retries     int64                     `json:"retries"`
-	BudgetEmpty int64                     `json:"retry_budget_empty"`
-	Unread      int64                     `json:"unread"`       // calls that were cut off since their callers did not read
-	AnswerBytes int64                     `json:"answer_bytes"` // held by answers that are read whole
-	Withdrawn   int64                     `json:"withdrawn"`    // sends that had not begun when their target's weights became too old
-	Events      int64                     `json:"stream_events"`
-	Fetches     int64                     `json:"kv_fetches"`
-	Saves       int64                     `json:"kv_saves"`
-	Dials       int64                     `json:"target_dials"`
-	Reuses      int64                     `json:"target_conn_reuses"`
-	Strays      int64                     `json:"stray_answers"`
-	ProofAgeMs  int64                     `json:"proof_age_ms"`
-	Latency     *forward.Histogram        `json:"latency"`
-	Prediction  *forward.PredictionErrors `json:"prediction"`
-	Rollout     RolloutMetrics            `json:"rollout"`
-	Late        *forward.LateCounts       `json:"late"`     // answers, by why they were late
-	Refusals    *forward.RefusalCounts    `json:"refusals"` // and failures, by code and step
-	Crashes     CrashMetrics              `json:"crashes"`
-	Allowances  []allowance.Status        `json:"allowances"`
-	Bytes       *traffic.Meter            `json:"bytes"`       // exchanged, by purpose
-	StoreCalls  *objectapi.Counted        `json:"store_calls"` // by method and kind
-	News        NewsMetrics               `json:"news"`
-	HeapBytes   int64                     `json:"heap_bytes"`
-	Goroutines  int                       `json:"goroutines"`
+	Requests      int64                     `json:"requests"`
+	Refused       int64                     `json:"refused"`
+	Shed          int64                     `json:"shed"` // of those refused, because engines were too busy
+	Failed        int64                     `json:"failed"`
+	Broken        int64                     `json:"streams_broken"`
+	InFlight      int64                     `json:"in_flight"`
+	Attempts      int64                     `json:"attempts"`
+	Retries       int64                     `json:"retries"`
+	BudgetEmpty   int64                     `json:"retry_budget_empty"`
+	Unread        int64                     `json:"unread"`       // calls that were cut off since their callers did not read
+	ResponseBytes int64                     `json:"answer_bytes"` // held by answers that are read whole
+	Withdrawn     int64                     `json:"withdrawn"`    // sends that had not begun when their target's weights became too old
+	Events        int64                     `json:"stream_events"`
+	Fetches       int64                     `json:"kv_fetches"`
+	Saves         int64                     `json:"kv_saves"`
+	Dials         int64                     `json:"target_dials"`
+	Reuses        int64                     `json:"target_conn_reuses"`
+	Strays        int64                     `json:"stray_answers"`
+	ProofAgeMs    int64                     `json:"proof_age_ms"`
+	Latency       *forward.Histogram        `json:"latency"`
+	Prediction    *forward.PredictionErrors `json:"prediction"`
+	Rollout       RolloutMetrics            `json:"rollout"`
+	Late          *forward.LateCounts       `json:"late"`     // answers, by why they were late
+	Refusals      *forward.RefusalCounts    `json:"refusals"` // and failures, by code and step
+	Crashes       CrashMetrics              `json:"crashes"`
+	Allowances    []allowance.Status        `json:"allowances"`
+	Bytes         *traffic.Meter            `json:"bytes"`       // exchanged, by purpose
+	StoreCalls    *objectapi.Counted        `json:"store_calls"` // by method and kind
+	News          NewsMetrics               `json:"news"`
+	HeapBytes     int64                     `json:"heap_bytes"`
+	Goroutines    int                       `json:"goroutines"`
 }
 
 // CrashMetrics tell of replicas that crashed while they ran requests.
@@ -100,20 +100,20 @@
 
 // NewsMetrics count the datagrams between VMs, and tell this VM's place in the tree.
 type NewsMetrics struct {
-	Sent     int64  `json:"sent"`
-	PassedOn int64  `json:"passed_on"` // of another domain's VM, to this domain
-	Heard    int64  `json:"heard"`
-	Rejected int64  `json:"rejected"`         // neither understood nor sent
-	Untold   int64  `json:"untold"`           // changes of caches that were too many to tell
-	Parent   ids.VM `json:"parent,omitempty"` // in the tree; empty: this VM is a root, or there is no tree
-	Children int    `json:"children"`
+	Sent      int64  `json:"sent"`
+	Forwarded int64  `json:"passed_on"` // of another domain's VM, to this domain
+	Received  int64  `json:"heard"`
+	Rejected  int64  `json:"rejected"`         // neither understood nor sent
+	Dropped   int64  `json:"untold"`           // changes of caches that were too many to tell
+	Parent    ids.VM `json:"parent,omitempty"` // in the tree; empty: this VM is a root, or there is no tree
+	Children  int    `json:"children"`
 }
 
 func (d *Daemon) newsMetrics() NewsMetrics {
 	x := d.news
 	parent, children := x.TreePosition()
 	return NewsMetrics{
-		Sent: x.Sent.Load(), PassedOn: x.Forwarded.Load(), Heard: x.Received.Load(), Rejected: x.Rejected.Load(), Untold: x.Dropped.Load(),
+		Sent: x.Sent.Load(), Forwarded: x.Forwarded.Load(), Received: x.Received.Load(), Rejected: x.Rejected.Load(), Dropped: x.Dropped.Load(),
 		Parent: parent, Children: children,
 	}
 }
@@ -159,7 +159,7 @@
 	return Metrics{
 		Requests: s.Requests.Load(), Refused: s.Refused.Load(), Shed: s.Shed.Load(), Failed: s.Failed.Load(), Broken: s.Broken.Load(),
 		InFlight: f.InFlight(), Attempts: s.Attempts.Load(), Retries: s.Retries.Load(), BudgetEmpty: s.BudgetEmpty.Load(), Withdrawn: s.Withdrawn.Load(),
-		Unread: s.Unread.Load(), AnswerBytes: f.ResponseBytes(),
+		Unread: s.Unread.Load(), ResponseBytes: f.ResponseBytes(),
 		Events: s.Events.Load(), Fetches: s.Fetches.Load(), Saves: s.Saves.Load(),
 		Dials: f.Upstream.Dials.Load(), Reuses: f.Upstream.Reuses.Load(), Strays: f.Upstream.Strays.Load(),
 		ProofAgeMs: d.Catalog.ProofAge(clock.Now()).Milliseconds(), Latency: &f.Latency, Prediction: &f.Prediction, Rollout: d.rolloutMetrics(),
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -115,7 +115,7 @@
 	current settings.Settings // as last read; Settings are those of the start
 	store   *objectapi.Counted
 	feeds   *kvfeed.Feeds
-	budgets *retry.Services
+	budgets *retry.ServiceBudgets
 	crashes *quarantine.Ledger
 	allowed *allowance.Limiter
 	// canaries is nil where operators order no versions of software.
@@ -198,7 +198,7 @@
 		Fleet: fleet.New(membership.New(s.VM, tuning), cacheview.New(beliefCapacity, nil),
 			loadview.New(), policy, nil),
 		store:   &objectapi.Counted{Store: o.Adapter.Store},
-		budgets: retry.NewServices(s.Edge.RetryRatio*budgetUse, s.Edge.RetryBurst*budgetUse, s.Edge.RetryWindow.D()),
+		budgets: retry.NewServiceBudgets(s.Edge.RetryRatio*budgetUse, s.Edge.RetryBurst*budgetUse, s.Edge.RetryWindow.D()),
 	}
 	d.Fleet.SetDefaultPrefillRate(prefillRate)
 	d.Fleet.SetFirstSeed(xxh3.HashString(string(s.VM)))
@@ -344,7 +344,7 @@
 			return eris.Wrapf(err, "listen on %s", l.addr)
 		}
 		if l.addr == d.Settings.Listen {
-			listener = sockets.Bounded(listener, callerBuffer)
+			listener = sockets.LimitWriteBuffer(listener, callerBuffer)
 		}
 		d.servers = append(d.servers, l.server)
 		d.run(l.addr, func() error { return l.server.Serve(listener) })
--- a/internal/edge/reload_test.go
+++ b/internal/edge/reload_test.go
@@ -57,7 +57,7 @@
 	}
 	bad = nil
 	d.reload()
-	if ttl, left := d.Forward.KeyTTL.Load(), d.budgets.Of("svc").Left(); ttl != int64(2*time.Second-keyMargin) || left != 20*budgetUse {
+	if ttl, left := d.Forward.KeyTTL.Load(), d.budgets.Of("svc").Remaining(); ttl != int64(2*time.Second-keyMargin) || left != 20*budgetUse {
 		t.Fatalf("proofs may be %v old, %v retries are allowed", time.Duration(ttl), left)
 	}
 	d.Log.Close()
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -116,7 +116,7 @@
 	Fleet    *fleet.Fleet
 	Upstream *upstream.Client
 	Dialect  Dialect
-	Budgets  *retry.Services
+	Budgets  *retry.ServiceBudgets
 	KV       *Planner
 	Weights  WantedWeights
 	Log      *eventlog.Log
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -58,7 +58,7 @@
 	}
 	r.f.Dialect.WriteSend(h, &s)
 	return &upstream.Request{
-		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Mine: r.isOwnResponse, Before: t.recheckSend,
+		Method: r.req.Method, URI: r.req.RequestURI, Host: r.req.Host, Header: h, Body: r.body, Matches: r.isOwnResponse, BeforeWrite: t.recheckSend,
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // writeHead sends the head of a response to the caller. length is the body's length in bytes;
 // negative means unknown.
-func (r *run) writeHead(a *upstream.Answer, length int) {
+func (r *run) writeHead(a *upstream.Response, length int) {
 	r.begun, r.status = true, a.Status
 	out := r.w.Header()
 	in := maps.Clone(a.Header)
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -190,7 +190,7 @@
 	fl.Refresh()
 	f := &Forwarder{
 		Catalog: &catalog.Current{}, Fleet: fl, Upstream: upstream.NewClient(2 * time.Second), Dialect: plainDialect{},
-		Budgets: retry.NewServices(1, 100, time.Second), KV: &Planner{Cache: fl.Cache}, Weights: noWeights{},
+		Budgets: retry.NewServiceBudgets(1, 100, time.Second), KV: &Planner{Cache: fl.Cache}, Weights: noWeights{},
 		ObserveWeights: func(ids.Target, ids.WeightsVersion) {}, Tuning: Tuning{MaxBodyMemory: 1 << 20, MaxInFlight: 100},
 	}
 	f.Catalog.Adopt(catalog.New(catalog.Declaration{Version: 1, Routes: []catalog.Route{r}}))
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -83,12 +83,12 @@
 		return
 	}
 	prompt := verdict.Prompt{Tokens: req.Tokens, Shared: req.Levels[len(req.Levels)-1].Tokens}
-	at := verdict.Places{Held: p.cachedTokens(c, snap, sc), Home: c.rendezvous}
+	at := verdict.Locations{Held: p.cachedTokens(c, snap, sc), Rendezvous: c.rendezvous}
 	at.Holder.Addr, at.Holder.Tokens = p.holder(c, snap, sc)
 	if store != nil {
 		at.Store = verdict.Source{Addr: store.Addr, Tokens: p.storedTokens(store, c.salt, m, parts)}
 	}
-	moves := verdict.Move(prompt, at)
+	moves := verdict.PlanTransfer(prompt, at)
 	c.fetch, c.work = moves.Fetch, moves.Work
 	if moves.Save && p.maySave(c.salt, m, parts) {
 		c.save = store.Addr
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -274,7 +274,7 @@
 }
 
 // checkHead returns an error if the head of a response shows a refusal or a failure.
-func (t *try) checkHead(a *upstream.Answer, reply Reply) *outcome.Error {
+func (t *try) checkHead(a *upstream.Response, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
 	case reply.Mismatch:
--- a/internal/forward/shed.go
+++ b/internal/forward/shed.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	a := verdict.Arrival{
-		Objective: r.route.Objective, Urgent: priority(r.route, r.workspace) == 0, Draw: rand.Float64(),
+		Objective: r.route.Objective, Urgent: priority(r.route, r.workspace) == 0, Jitter: rand.Float64(),
 		Usual: r.f.usual.observe(r.route.Name, (c.wait-c.queue).Seconds()*float64(c.rate)),
 	}
 	refusal, late := verdict.Late(a, verdict.Best{Queue: c.queue, Rate: float64(c.rate)})
@@ -26,7 +26,7 @@
 	}
 	r.f.Stats.Shed.Add(1)
 	return outcome.New(outcome.NotRun, outcome.CodeOverloaded, stepShed, string(c.target.ID),
-		"no engine can answer in time: predicted "+refusal.Predicted.String()+" until the first event at the best one").After(refusal.ComeBack)
+		"no engine can answer in time: predicted "+refusal.Predicted.String()+" until the first event at the best one").After(refusal.RetryAfter)
 }
 
 // usualWork keeps a moving average of the tokens that an engine computes for a prompt, by route
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -55,7 +55,7 @@
 		t.r.f.Fleet.Members.Silent(t.c.target.ID, t.sent, clock.Now())
 		t.r.f.Fleet.MarkDirty()
 	}
-	if t.r.repeatable() && t.r.f.Budgets.Of(t.r.service).Left() >= 1 {
+	if t.r.repeatable() && t.r.f.Budgets.Of(t.r.service).Remaining() >= 1 {
 		t.cancel(errStalled)
 	}
 }
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -16,7 +16,7 @@
 const bufferBytes = 512 << 10
 
 // relayBuffered passes on a response that is not an event stream.
-func (t *try) relayBuffered(a *upstream.Answer) *outcome.Error {
+func (t *try) relayBuffered(a *upstream.Response) *outcome.Error {
 	limit, release := t.r.bufferFor(a.Length())
 	defer release()
 	var buf bytes.Buffer
@@ -52,7 +52,7 @@
 }
 
 // relayRest passes on the part of a response beyond the buffer, as it arrives.
-func (t *try) relayRest(a *upstream.Answer) *outcome.Error {
+func (t *try) relayRest(a *upstream.Response) *outcome.Error {
 	chunk := make([]byte, chunkBytes)
 	for {
 		n, err := a.Body.Read(chunk)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -75,8 +75,8 @@
 	b.ratio, b.burst = ratio, burst
 }
 
-// Left returns how many retries are allowed now.
-func (b *Budget) Left() float64 {
+// Remaining returns how many retries are allowed now.
+func (b *Budget) Remaining() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.turn()
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -68,20 +68,20 @@
 		t.Fatalf("%d retries at once, want 25", allowed)
 	}
 	now = now.Add(11 * time.Second)
-	if left := b.Left(); left != 5 {
+	if left := b.Remaining(); left != 5 {
 		t.Fatalf("%v retries are left after a quiet window, want the burst", left)
 	}
 }
 
 // TestServicesShareTheBurst checks that the VMs' parts of a burst add up to it.
 func TestServicesShareTheBurst(t *testing.T) {
-	s := NewServices(0.2, 40, 10*time.Second)
+	s := NewServiceBudgets(0.2, 40, 10*time.Second)
 	s.SetVMs(8)
-	if left := s.Of("svc").Left(); left != 5 {
+	if left := s.Of("svc").Remaining(); left != 5 {
 		t.Fatalf("one of 8 VMs may retry %v times, want 5", left)
 	}
 	s.SetVMs(4)
-	if left := s.Of("svc").Left(); left != 10 {
+	if left := s.Of("svc").Remaining(); left != 10 {
 		t.Fatalf("one of 4 VMs may retry %v times, want 10", left)
 	}
 }
--- a/internal/retry/services.go
+++ b/internal/retry/services.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Services keeps one budget for each service, as this VM's share of one that all
+// ServiceBudgets keeps one budget for each service, as this VM's share of one that all
 // VMs have in common. Safe for concurrent use.
 //
 // In any window all VMs together make at most ratio retries a request plus
 // burst: each VM counts only the requests that it took in itself, and its part of
 // the burst is divided by how many VMs there are. A VM that is cut off keeps its
 // part, so a partition can't raise the sum.
-type Services struct {
+type ServiceBudgets struct {
 	window time.Duration
 
 	mu      sync.Mutex
@@ -22,14 +22,14 @@
 	budgets map[string]*Budget
 }
 
-// NewServices returns budgets of ratio retries a request, and burst more over all
+// NewServiceBudgets returns budgets of ratio retries a request, and burst more over all
 // VMs, in any window of time.
-func NewServices(ratio, burst float64, window time.Duration) *Services {
-	return &Services{ratio: ratio, burst: burst, window: window, vms: 1, budgets: map[string]*Budget{}}
+func NewServiceBudgets(ratio, burst float64, window time.Duration) *ServiceBudgets {
+	return &ServiceBudgets{ratio: ratio, burst: burst, window: window, vms: 1, budgets: map[string]*Budget{}}
 }
 
 // SetVMs tells how many VMs share the budgets.
-func (s *Services) SetVMs(n int) {
+func (s *ServiceBudgets) SetVMs(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms = max(n, 1)
@@ -37,7 +37,7 @@
 }
 
 // SetBounds changes what is allowed.
-func (s *Services) SetBounds(ratio, burst float64) {
+func (s *ServiceBudgets) SetBounds(ratio, burst float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ratio, s.burst = ratio, burst
@@ -45,16 +45,16 @@
 }
 
 // update passes the bounds on to the budgets. The lock is held.
-func (s *Services) update() {
+func (s *ServiceBudgets) update() {
 	for _, b := range s.budgets {
 		b.SetBounds(s.ratio, s.share())
 	}
 }
 
-func (s *Services) share() float64 { return s.burst / float64(s.vms) }
+func (s *ServiceBudgets) share() float64 { return s.burst / float64(s.vms) }
 
 // Of returns a service's budget.
-func (s *Services) Of(service string) *Budget {
+func (s *ServiceBudgets) Of(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[service]
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -216,7 +216,7 @@
 	switch {
 	case err == nil:
 		c.guarded.Answered(a.Status)
-	case upstream.HungUp(err) && ctx.Err() == nil && r.Fleet.Members.State(t.ID, clock.Now()) != routing.Leaving:
+	case upstream.ClosedByReplica(err) && ctx.Err() == nil && r.Fleet.Members.State(t.ID, clock.Now()) != routing.Leaving:
 		c.guarded.ReportBroken(quarantine.Send{Target: t.ID, Addr: t.Addr, Incarnation: t.Incarnation, Sent: sent, Broke: clock.Now()}, false)
 	}
 }
--- a/internal/sockets/bounded.go
+++ b/internal/sockets/bounded.go
@@ -2,9 +2,11 @@
 
 import "net"
 
-// Bounded returns a listener whose connections hold at most about so many bytes that the other
+// LimitWriteBuffer returns a listener whose connections hold at most about so many bytes that the other
 // side has not read. The kernel takes the number as a wish.
-func Bounded(l net.Listener, bytes int) net.Listener { return &bounded{Listener: l, bytes: bytes} }
+func LimitWriteBuffer(l net.Listener, bytes int) net.Listener {
+	return &bounded{Listener: l, bytes: bytes}
+}
 
 type bounded struct {
 	net.Listener
--- a/internal/upstream/check.go
+++ b/internal/upstream/check.go
@@ -12,9 +12,9 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// HungUp tells whether an exchange failed since the replica's side of the connection ended,
+// ClosedByReplica tells whether an exchange failed since the replica's side of the connection ended,
 // not since its bytes made no sense or this side gave up.
-func HungUp(err error) bool {
+func ClosedByReplica(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -51,16 +51,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells whether an answer belongs to this request.
-	Mine func(status int, h http.Header) bool
-	// Before is asked right before the first byte is written: what allowed the request may
+	// Matches tells whether an answer belongs to this request.
+	Matches func(status int, h http.Header) bool
+	// BeforeWrite is asked right before the first byte is written: what allowed the request may
 	// have run out while the connection was made. An error: nothing is written. Nil: it is
 	// allowed.
-	Before func() *outcome.Error
+	BeforeWrite func() *outcome.Error
 }
 
-// Answer is the head of an answer and its body. Close must be called.
-type Answer struct {
+// Response is the head of an answer and its body. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
@@ -137,13 +137,13 @@
 // error is an *outcome.Error. When ctx ends, the connection is closed, also
 // while the answer's body is read: that is how a replica learns that nobody
 // waits any more.
-func (c *Client) Send(ctx context.Context, to Replica, r *Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, to Replica, r *Request) (*Response, error) {
 	cn, err := c.connect(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	if r.Before != nil {
-		if refusal := r.Before(); refusal != nil {
+	if r.BeforeWrite != nil {
+		if refusal := r.BeforeWrite(); refusal != nil {
 			cn.pool.put(cn, clock.Now())
 			return nil, refusal
 		}
@@ -209,7 +209,7 @@
 const maxStrayBytes = 256 << 10
 
 // exchange writes the request and reads answers until one is its own.
-func (cn *conn) exchange(ctx context.Context, to Replica, r *Request, strays *atomic.Int64) (*Answer, error) {
+func (cn *conn) exchange(ctx context.Context, to Replica, r *Request, strays *atomic.Int64) (*Response, error) {
 	stop := context.AfterFunc(ctx, cn.kill)
 	w := cn.write(r)
 	reused := cn.used
@@ -224,9 +224,9 @@
 			stop()
 			return nil, w.failure(ctx, err, to)
 		}
-		if r.Mine(resp.StatusCode, resp.Header) {
+		if r.Matches(resp.StatusCode, resp.Header) {
 			body := &body{conn: cn, resp: resp, write: w, stop: stop}
-			return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body, Reused: reused, conn: cn}, nil
+			return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body, Reused: reused, conn: cn}, nil
 		}
 		strays.Add(1)
 		n, err := io.CopyN(io.Discard, resp.Body, maxStrayBytes)
@@ -353,17 +353,17 @@
 
 // Framed tells whether the answer says where its body ends. One that does not may end with
 // its connection, as it does when the replica crashes.
-func (a *Answer) Framed() bool {
+func (a *Response) Framed() bool {
 	resp := a.Body.(*body).resp
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
 // Length returns the answer's length, in bytes; -1: it does not say.
-func (a *Answer) Length() int64 { return a.Body.(*body).resp.ContentLength }
+func (a *Response) Length() int64 { return a.Body.(*body).resp.ContentLength }
 
 // Close ends the use of the answer. The connection is kept if both sides are
 // done with it, and closed otherwise. Further calls do nothing.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	b := a.Body.(*body)
 	if b.closed {
 		return
--- a/internal/verdict/late.go
+++ b/internal/verdict/late.go
@@ -31,8 +31,8 @@
 	// for the call's own size: by their own, 0.35 of the longest tenth of calls were served,
 	// against 0.84 of all.
 	Usual float64
-	// Draw is a random number in [0, 1).
-	Draw float64
+	// Jitter is a random number in [0, 1).
+	Jitter float64
 }
 
 // Best is what the best target promises.
@@ -43,8 +43,8 @@
 
 // Refusal says why a call is refused and when it should come back.
 type Refusal struct {
-	Predicted time.Duration // until the first event, at the best target
-	ComeBack  time.Duration
+	Predicted  time.Duration // until the first event, at the best target
+	RetryAfter time.Duration
 }
 
 // Late refuses a call that would be late at its best target.
@@ -60,5 +60,5 @@
 	if predicted < time.Duration(float64(a.Objective)*factor) {
 		return Refusal{}, false
 	}
-	return Refusal{Predicted: predicted, ComeBack: comeBack + time.Duration(a.Draw*float64(comeBackSpread))}, true
+	return Refusal{Predicted: predicted, RetryAfter: comeBack + time.Duration(a.Jitter*float64(comeBackSpread))}, true
 }
--- a/internal/verdict/moves.go
+++ b/internal/verdict/moves.go
@@ -5,12 +5,12 @@
 // them out within about ten seconds. A part that is held anywhere is moved and not computed
 // again, and a store beside the engines keeps a copy.
 
-// MinMove is the least that is worth a fetch or a save, in tokens. A transfer waits its turn
+// MinTransfer is the least that is worth a fetch or a save, in tokens. A transfer waits its turn
 // on both links behind those of whole prompts, which take 50 to 130 ms each. With 64, prompts
 // with 200 shared tokens waited up to 450 ms for moves that save 5 ms of computing. In time of
 // all prompts asked: 0.692 with 64, 0.700 with 512 (15 days with faults, standard error of the
 // difference 0.003).
-const MinMove = 512
+const MinTransfer = 512
 
 // Prompt is what a move is about, in tokens.
 type Prompt struct {
@@ -25,49 +25,49 @@
 	Tokens int32
 }
 
-// Places are where parts of a prompt are believed to be.
-type Places struct {
-	Held   int32  // at the chosen target
-	Holder Source // the other target that holds most
-	Home   string // address of the target to which all VMs send the prompt; empty: it is the chosen one
-	Store  Source
+// Locations are where parts of a prompt are believed to be.
+type Locations struct {
+	Held       int32  // at the chosen target
+	Holder     Source // the other target that holds most
+	Rendezvous string // address of the target to which all VMs send the prompt; empty: it is the chosen one
+	Store      Source
 }
 
-// Moves says what goes along with a call.
-type Moves struct {
+// TransferPlan says what goes along with a call.
+type TransferPlan struct {
 	Fetch string // address to fetch from; empty: nowhere
 	Save  bool   // to the store
 	Work  int32  // tokens that the target is left to compute
 }
 
-// Move plans the moves. A prefix that another target holds is fetched from there, unless the
+// PlanTransfer plans the moves. A prefix that another target holds is fetched from there, unless the
 // store holds more of it: where engines hold the common terms only, the rest of a contract
 // was computed again. Where nobody is believed to hold more, its home is asked, to which
 // other VMs send it, and then the store: a look-up that finds nothing takes a millisecond,
 // and a target fetches only what it lacks. Where the target is believed to hold all of it,
 // the store is named all the same: the belief may be wrong.
-func Move(p Prompt, at Places) Moves {
-	m := Moves{Work: max(p.Tokens-at.Held, 0)}
-	if at.Holder.Tokens-at.Held >= MinMove {
+func PlanTransfer(p Prompt, at Locations) TransferPlan {
+	m := TransferPlan{Work: max(p.Tokens-at.Held, 0)}
+	if at.Holder.Tokens-at.Held >= MinTransfer {
 		m.Fetch, m.Work = at.Holder.Addr, max(p.Tokens-at.Holder.Tokens, 0)
 	}
-	if at.Store.Addr == "" || p.Shared < MinMove {
+	if at.Store.Addr == "" || p.Shared < MinTransfer {
 		return m
 	}
 	stored := at.Store.Tokens
-	if stored-max(at.Holder.Tokens, at.Held) >= MinMove {
+	if stored-max(at.Holder.Tokens, at.Held) >= MinTransfer {
 		m.Fetch, m.Work = at.Store.Addr, max(p.Tokens-stored, 0)
 	}
 	if m.Fetch == "" {
-		if stored >= MinMove {
+		if stored >= MinTransfer {
 			m.Work = max(min(m.Work, p.Tokens-stored), 0)
 		}
 		m.Fetch = at.Store.Addr
-		if stored < p.Shared && at.Held < p.Shared && at.Home != "" {
-			m.Fetch = at.Home
+		if stored < p.Shared && at.Held < p.Shared && at.Rendezvous != "" {
+			m.Fetch = at.Rendezvous
 		}
 	}
-	m.Save = p.Shared-at.Held >= MinMove && savable(p.Tokens-p.Shared, p.Shared-stored)
+	m.Save = p.Shared-at.Held >= MinTransfer && savable(p.Tokens-p.Shared, p.Shared-stored)
 	return m
 }
 
@@ -83,4 +83,4 @@
 // held own parts, shared ones gave way after 8 s (median), and half of the saves found the
 // link taken: worth 0.514 against 0.526 (15 days with faults, standard error of the difference
 // 0.009), the part served in time the same.
-func savable(own, missing int32) bool { return missing >= MinMove && own <= missing }
+func savable(own, missing int32) bool { return missing >= MinTransfer && own <= missing }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -26,14 +26,14 @@
 		if refused != c.refused {
 			t.Errorf("%s: refused %v, predicted %v", c.name, refused, r.Predicted)
 		}
-		if refused && (r.ComeBack < comeBack || r.Predicted < c.queue) {
+		if refused && (r.RetryAfter < comeBack || r.Predicted < c.queue) {
 			t.Errorf("%s: %+v", c.name, r)
 		}
 	}
-	early, _ := Late(Arrival{Objective: aim, Draw: 0}, Best{Queue: time.Second})
-	late, _ := Late(Arrival{Objective: aim, Draw: 0.999}, Best{Queue: time.Second})
-	if late.ComeBack-early.ComeBack < comeBackSpread*9/10 {
-		t.Errorf("refused callers come back together: after %v and %v", early.ComeBack, late.ComeBack)
+	early, _ := Late(Arrival{Objective: aim, Jitter: 0}, Best{Queue: time.Second})
+	late, _ := Late(Arrival{Objective: aim, Jitter: 0.999}, Best{Queue: time.Second})
+	if late.RetryAfter-early.RetryAfter < comeBackSpread*9/10 {
+		t.Errorf("refused callers come back together: after %v and %v", early.RetryAfter, late.RetryAfter)
 	}
 }
 
@@ -45,27 +45,27 @@
 	for _, c := range []struct {
 		name string
 		p    Prompt
-		at   Places
-		want Moves
+		at   Locations
+		want TransferPlan
 	}{
-		{"held elsewhere", long, Places{Holder: Source{"b", 6300}}, Moves{Fetch: "b", Work: 2890}},
-		{"a part is held here", long, Places{Held: 2520, Holder: Source{"b", 6300}, Store: store(6300)}, Moves{Fetch: "b", Work: 2890}},
-		{"nowhere", long, Places{Home: "h", Store: store(0)}, Moves{Fetch: "h", Save: true, Work: 9190}},
-		{"nowhere, this is its home", long, Places{Store: store(0)}, Moves{Fetch: "store", Save: true, Work: 9190}},
-		{"in the store", long, Places{Home: "h", Store: store(6300)}, Moves{Fetch: "store", Work: 2890}},
-		{"a part in the store", long, Places{Home: "h", Store: store(2520)}, Moves{Fetch: "store", Save: true, Work: 6670}},
-		{"a part elsewhere, all in the store", long, Places{Holder: Source{"b", 2520}, Store: store(6300)}, Moves{Fetch: "store", Work: 2890}},
-		{"a part elsewhere, little more in the store", long, Places{Holder: Source{"b", 2520}, Store: store(3000)}, Moves{Fetch: "b", Save: true, Work: 6670}},
-		{"a part here, all in the store", long, Places{Held: 2520, Store: store(6300)}, Moves{Fetch: "store", Work: 2890}},
-		{"held here", long, Places{Held: 6300, Store: store(6300)}, Moves{Fetch: "store", Work: 2890}},
-		{"held here, not in the store", long, Places{Held: 6300, Store: store(0)}, Moves{Fetch: "store", Work: 2890}},
-		{"own part too long to save along", Prompt{Tokens: 20_000, Shared: 6300}, Places{Held: 6300, Store: store(0)}, Moves{Fetch: "store", Work: 13_700}},
-		{"the store lacks little", long, Places{Held: 6300, Store: store(6000)}, Moves{Fetch: "store", Work: 2890}},
-		{"no store", long, Places{Home: "h"}, Moves{Work: 9190}},
-		{"short, held elsewhere", short, Places{Holder: Source{"b", 198}, Home: "h", Store: store(198)}, Moves{Work: 826}},
-		{"short, held here", short, Places{Held: 198, Store: store(0)}, Moves{Work: 628}},
+		{"held elsewhere", long, Locations{Holder: Source{"b", 6300}}, TransferPlan{Fetch: "b", Work: 2890}},
+		{"a part is held here", long, Locations{Held: 2520, Holder: Source{"b", 6300}, Store: store(6300)}, TransferPlan{Fetch: "b", Work: 2890}},
+		{"nowhere", long, Locations{Rendezvous: "h", Store: store(0)}, TransferPlan{Fetch: "h", Save: true, Work: 9190}},
+		{"nowhere, this is its home", long, Locations{Store: store(0)}, TransferPlan{Fetch: "store", Save: true, Work: 9190}},
+		{"in the store", long, Locations{Rendezvous: "h", Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"a part in the store", long, Locations{Rendezvous: "h", Store: store(2520)}, TransferPlan{Fetch: "store", Save: true, Work: 6670}},
+		{"a part elsewhere, all in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"a part elsewhere, little more in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(3000)}, TransferPlan{Fetch: "b", Save: true, Work: 6670}},
+		{"a part here, all in the store", long, Locations{Held: 2520, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"held here", long, Locations{Held: 6300, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"held here, not in the store", long, Locations{Held: 6300, Store: store(0)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"own part too long to save along", Prompt{Tokens: 20_000, Shared: 6300}, Locations{Held: 6300, Store: store(0)}, TransferPlan{Fetch: "store", Work: 13_700}},
+		{"the store lacks little", long, Locations{Held: 6300, Store: store(6000)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"no store", long, Locations{Rendezvous: "h"}, TransferPlan{Work: 9190}},
+		{"short, held elsewhere", short, Locations{Holder: Source{"b", 198}, Rendezvous: "h", Store: store(198)}, TransferPlan{Work: 826}},
+		{"short, held here", short, Locations{Held: 198, Store: store(0)}, TransferPlan{Work: 628}},
 	} {
-		if got := Move(c.p, c.at); got != c.want {
+		if got := PlanTransfer(c.p, c.at); got != c.want {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
 		}
 	}
--- a/internal/yardstick/moves.go
+++ b/internal/yardstick/moves.go
@@ -75,7 +75,7 @@
 }
 
 // MovePolicy plans what moves along with a prompt.
-type MovePolicy func(verdict.Prompt, verdict.Places) verdict.Moves
+type MovePolicy func(verdict.Prompt, verdict.Locations) verdict.TransferPlan
 
 // MoveResult is what became of a load.
 type MoveResult struct {
@@ -223,21 +223,21 @@
 	return levels[len(levels)-1].Tokens
 }
 
-func (w *moveWorld) places(chosen int, in []routing.Input, levels []prefix.Level, now float64) verdict.Places {
-	at := verdict.Places{Held: in[chosen].Cached, Store: verdict.Source{Addr: storeAddr, Tokens: w.store.holds(levels, now)}}
+func (w *moveWorld) places(chosen int, in []routing.Input, levels []prefix.Level, now float64) verdict.Locations {
+	at := verdict.Locations{Held: in[chosen].Cached, Store: verdict.Source{Addr: storeAddr, Tokens: w.store.holds(levels, now)}}
 	for i, e := range w.engines {
 		if i != chosen && in[i].Cached > at.Holder.Tokens {
 			at.Holder = verdict.Source{Addr: e.addr, Tokens: in[i].Cached}
 		}
 	}
 	if home := w.scratch.Rendezvous(); home >= 0 && home != chosen {
-		at.Home = w.engines[home].addr
+		at.Rendezvous = w.engines[home].addr
 	}
 	return at
 }
 
 // run moves, computes and saves.
-func (w *moveWorld) run(now float64, e *moveEngine, p movePrompt, m verdict.Moves) {
+func (w *moveWorld) run(now float64, e *moveEngine, p movePrompt, m verdict.TransferPlan) {
 	begin, held := now, e.holds(p.levels, now)
 	if src := w.source(m.Fetch); src != nil {
 		if found := src.holds(p.levels, now); found > held {
--- a/internal/yardstick/moves_test.go
+++ b/internal/yardstick/moves_test.go
@@ -12,15 +12,15 @@
 
 // saveAlways is verdict.Move with a save along with every prompt of which the store lacks
 // anything.
-func saveAlways(p verdict.Prompt, at verdict.Places) verdict.Moves {
-	m := verdict.Move(p, at)
-	m.Save = p.Shared >= verdict.MinMove && at.Store.Tokens < p.Shared
+func saveAlways(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
+	m := verdict.PlanTransfer(p, at)
+	m.Save = p.Shared >= verdict.MinTransfer && at.Store.Tokens < p.Shared
 	return m
 }
 
 // moveAnything is verdict.Move with moves of whatever little is held elsewhere.
-func moveAnything(p verdict.Prompt, at verdict.Places) verdict.Moves {
-	m := verdict.Move(p, at)
+func moveAnything(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
+	m := verdict.PlanTransfer(p, at)
 	if m.Fetch == "" && at.Holder.Tokens > at.Held {
 		m.Fetch = at.Holder.Addr
 	} else if m.Fetch == "" && at.Store.Tokens > at.Held {
@@ -42,7 +42,7 @@
 	const seeds = 8
 	var d [seeds]float64
 	for seed := range d {
-		d[seed] = figure(ReplayMoves(l, without, uint64(seed+1))) - figure(ReplayMoves(l, verdict.Move, uint64(seed+1)))
+		d[seed] = figure(ReplayMoves(l, without, uint64(seed+1))) - figure(ReplayMoves(l, verdict.PlanTransfer, uint64(seed+1)))
 		mean += d[seed] / seeds
 	}
 	for _, x := range d {
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := ReplayMoves(l, verdict.Move, 3), ReplayMoves(l, verdict.Move, 3)
+	a, b := ReplayMoves(l, verdict.PlanTransfer, 3), ReplayMoves(l, verdict.PlanTransfer, 3)
 	if a.Moved != b.Moved || a.Again != b.Again || a.Quantile("long", 0.9) != b.Quantile("long", 0.9) {
 		t.Errorf("%+v and %+v of one seed", a, b)
 	}
