--- a/internal/retry/after.go
+++ b/internal/retry/after.go
@@ -9,19 +9,19 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// MaxAfter bounds what After returns. A target that asks for more is as good as gone.
+// MaxAfter bounds what After returns. A target that asks for more counts as gone.
 const MaxAfter = time.Hour
 
-// After reads for how long an answer's sender wants to be left alone (Retry-After, RFC 9110,
-// 10.2.3), in seconds, which may have a fraction, or until a date. Zero: it does not say, or
-// what it says can't be read.
+// After returns the delay that the Retry-After header of a response asks for (RFC 9110,
+// 10.2.3). The value is a number of seconds, which may have a fraction, or a date. Zero: the
+// header is missing or malformed.
 func After(h http.Header) time.Duration {
 	text := strings.TrimSpace(h.Get("Retry-After"))
 	if text == "" {
 		return 0
 	}
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-		if !(seconds > 0) { // NaN is none, too
+		if !(seconds > 0) { // true for NaN, too
 			return 0
 		}
 		return time.Duration(min(seconds, MaxAfter.Seconds()) * float64(time.Second))
@@ -30,10 +30,10 @@
 	if err != nil {
 		return 0
 	}
-	// By the sender's own clock where it tells it: that of this VM may have jumped.
-	said, err := http.ParseTime(h.Get("Date"))
+	// Prefers the sender's own clock (Date): the clock of this VM may have jumped.
+	sent, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
-		said = clock.Now()
+		sent = clock.Now()
 	}
-	return min(max(until.Sub(said), 0), MaxAfter)
+	return min(max(until.Sub(sent), 0), MaxAfter)
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry bounds how many attempts may be made beyond the first, so that a
-// failing domain is not buried under retries.
+// Package retry limits retries to a fraction of the requests, so that retries do not overload
+// a failure domain that is already failing, and parses the Retry-After header.
 package retry
 
 import (
@@ -9,14 +9,13 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// slots is into how many parts a window is cut: counts are exact to one of them.
-const slots = 20
+// windowSlots is the number of slots in a window; counts are exact to one slot.
+const windowSlots = 20
 
-// Budget allows, in any window of time, retries up to a fraction of the requests that
-// came in during that window, and a few more. When a failure domain goes, everything
-// that was under way there is retried at once: a budget that counts the requests of
-// the whole window covers that, where one that refills drop by drop does not. Safe for
-// concurrent use.
+// Budget allows, in any sliding window, retries up to a fraction of the requests of that
+// window, plus a burst. It counts over a whole window instead of refilling like a token
+// bucket: when a failure domain fails, all calls in flight there are retried at once, and the
+// requests of the window cover them. Safe for concurrent use.
 type Budget struct {
 	window time.Duration
 	now    func() time.Time
@@ -25,23 +24,22 @@
 	mu    sync.Mutex
 	ratio float64
 	burst float64
-	// Counts by slot, newest at number % len. The window is covered by slots parts for
-	// requests, and by one more for retries, so that it is never taken for longer than
-	// it is where that would allow more.
+	// Counts by slot; slot number n is at index n % len. Requests are summed over the last
+	// windowSlots slots and retries over one slot more, so that rounding never allows more retries
+	// than the exact window would.
 	newest   int64
-	requests [slots + 1]int
-	retries  [slots + 1]int
+	requests [windowSlots + 1]int
+	retries  [windowSlots + 1]int
 }
 
-// Defaults: one retry in ten requests of ten seconds, ten at once.
+// Defaults: one retry for ten requests within ten seconds, plus a burst of ten.
 const (
 	DefaultRatio  = 0.1
 	DefaultBurst  = 10
 	DefaultWindow = 10 * time.Second
 )
 
-// NewBudget returns a budget in which no retry was made yet. now is nil for that of package
-// clock.
+// NewBudget returns an unused budget. A nil now means clock.Now.
 func NewBudget(ratio, burst float64, window time.Duration, now func() time.Time) *Budget {
 	if now == nil {
 		now = clock.Now
@@ -49,26 +47,26 @@
 	return &Budget{ratio: ratio, burst: burst, window: window, now: now, start: now()}
 }
 
-// Deposit counts one first attempt.
+// Deposit counts one request, at its first attempt.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.requests[b.turn()]++
+	b.requests[b.advance()]++
 }
 
-// Withdraw takes one retry out of the budget, or returns false.
+// Withdraw takes one retry out of the budget. It returns false if the budget is empty.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	slot := b.turn()
-	if b.left() < 1 {
+	slot := b.advance()
+	if b.remaining() < 1 {
 		return false
 	}
 	b.retries[slot]++
 	return true
 }
 
-// SetBounds changes the fraction, and how many retries are allowed beyond it.
+// SetBounds changes the ratio of retries to requests, and the burst.
 func (b *Budget) SetBounds(ratio, burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,12 +77,12 @@
 func (b *Budget) Remaining() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn()
-	return b.left()
+	b.advance()
+	return b.remaining()
 }
 
-// left is Left. The lock is held and the slots are up to date.
-func (b *Budget) left() float64 {
+// remaining implements Remaining. The caller holds mu and has called advance.
+func (b *Budget) remaining() float64 {
 	requests, retries := 0, 0
 	oldest := (b.newest + 1) % int64(len(b.requests))
 	for i := range b.requests {
@@ -96,11 +94,11 @@
 	return b.ratio*float64(requests) + b.burst - float64(retries)
 }
 
-// turn empties the slots that have passed and returns the present one. The lock is
-// held.
-func (b *Budget) turn() int64 {
+// advance clears the slots that have expired and returns the index of the current one. The
+// caller holds mu.
+func (b *Budget) advance() int64 {
 	n := int64(len(b.requests))
-	number := int64(b.now().Sub(b.start) / (b.window / slots))
+	number := int64(b.now().Sub(b.start) / (b.window / windowSlots))
 	for i := max(b.newest+1, number-n+1); i <= number; i++ {
 		b.requests[i%n], b.retries[i%n] = 0, 0
 	}
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -14,10 +14,10 @@
 	m.Run()
 }
 
-// TestBudgetHoldsInAnyWindow draws requests and retries, and checks for every window
-// that ends with a retry that no more were allowed than its requests and the burst
-// cover. (A window that ends elsewhere has no more retries than the one that ends with
-// its last retry, which began earlier.)
+// TestBudgetHoldsInAnyWindow generates random requests and retries, and checks for each
+// window that ends with a retry that its retries do not exceed what its requests and the burst
+// allow. Windows that end elsewhere need no check: they hold no more retries than the window
+// that ends with their last retry.
 func TestBudgetHoldsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const ratio, window = 0.2, 10 * time.Second
@@ -44,16 +44,17 @@
 				continue
 			}
 			retries = append(retries, now)
-			if got, most := float64(count(retries)), ratio*float64(count(requests))+burst; got > most {
-				rt.Fatalf("%v retries in the last window, %v are covered", got, most)
+			if got, limit := float64(count(retries)), ratio*float64(count(requests))+burst; got > limit {
+				rt.Fatalf("%v retries in the last window, at most %v are allowed", got, limit)
 			}
 		}
 	})
 }
 
-// TestBudgetCoversADomainThatGoes checks that what a window of requests allows may be
-// used at one moment, and that it comes back with the window.
-func TestBudgetCoversADomainThatGoes(t *testing.T) {
+// TestBudgetCoversDomainFailure checks that all retries that a window of requests allows can
+// be made at once, as when a failure domain fails, and that the burst is available again a
+// window later.
+func TestBudgetCoversDomainFailure(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBudget(0.2, 5, 10*time.Second, func() time.Time { return now })
 	for range 100 {
@@ -68,20 +69,20 @@
 		t.Fatalf("%d retries at once, want 25", allowed)
 	}
 	now = now.Add(11 * time.Second)
-	if left := b.Remaining(); left != 5 {
-		t.Fatalf("%v retries are left after a quiet window, want the burst", left)
+	if remaining := b.Remaining(); remaining != 5 {
+		t.Fatalf("%v retries remain after a window without requests, want 5 (the burst)", remaining)
 	}
 }
 
-// TestServicesShareTheBurst checks that the VMs' parts of a burst add up to it.
+// TestServicesShareTheBurst checks that the VMs' shares of the burst add up to it.
 func TestServicesShareTheBurst(t *testing.T) {
 	s := NewServiceBudgets(0.2, 40, 10*time.Second)
 	s.SetVMs(8)
-	if left := s.Of("svc").Remaining(); left != 5 {
-		t.Fatalf("one of 8 VMs may retry %v times, want 5", left)
+	if remaining := s.Of("svc").Remaining(); remaining != 5 {
+		t.Fatalf("one of 8 VMs may retry %v times, want 5", remaining)
 	}
 	s.SetVMs(4)
-	if left := s.Of("svc").Remaining(); left != 10 {
-		t.Fatalf("one of 4 VMs may retry %v times, want 10", left)
+	if remaining := s.Of("svc").Remaining(); remaining != 10 {
+		t.Fatalf("one of 4 VMs may retry %v times, want 10", remaining)
 	}
 }
--- a/internal/retry/services.go
+++ b/internal/retry/services.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// ServiceBudgets keeps one budget for each service, as this VM's share of one that all
-// VMs have in common. Safe for concurrent use.
+// ServiceBudgets holds one budget per service: this VM's share of a budget for the whole
+// fleet. Safe for concurrent use.
 //
-// In any window all VMs together make at most ratio retries a request plus
-// burst: each VM counts only the requests that it took in itself, and its part of
-// the burst is divided by how many VMs there are. A VM that is cut off keeps its
-// part, so a partition can't raise the sum.
+// In any window all VMs together make at most ratio retries per request, plus burst: each VM
+// counts only the requests that it received itself, and burst is divided by the number of
+// VMs. A VM behind a network partition keeps its share, so a partition can't raise the sum.
 type ServiceBudgets struct {
 	window time.Duration
 
@@ -22,13 +21,13 @@
 	budgets map[string]*Budget
 }
 
-// NewServiceBudgets returns budgets of ratio retries a request, and burst more over all
-// VMs, in any window of time.
+// NewServiceBudgets returns budgets of ratio retries per request, plus burst over all VMs, in
+// any window.
 func NewServiceBudgets(ratio, burst float64, window time.Duration) *ServiceBudgets {
 	return &ServiceBudgets{ratio: ratio, burst: burst, window: window, vms: 1, budgets: map[string]*Budget{}}
 }
 
-// SetVMs tells how many VMs share the budgets.
+// SetVMs sets how many VMs share the budgets; values below 1 count as 1.
 func (s *ServiceBudgets) SetVMs(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +35,7 @@
 	s.update()
 }
 
-// SetBounds changes what is allowed.
+// SetBounds changes the ratio, and the burst of the whole fleet.
 func (s *ServiceBudgets) SetBounds(ratio, burst float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,16 +43,17 @@
 	s.update()
 }
 
-// update passes the bounds on to the budgets. The lock is held.
+// update applies the bounds to all budgets. The caller holds mu.
 func (s *ServiceBudgets) update() {
 	for _, b := range s.budgets {
 		b.SetBounds(s.ratio, s.share())
 	}
 }
 
+// share returns this VM's share of the burst. The caller holds mu.
 func (s *ServiceBudgets) share() float64 { return s.burst / float64(s.vms) }
 
-// Of returns a service's budget.
+// Of returns the budget of a service, and creates it at first use.
 func (s *ServiceBudgets) Of(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
