--- a/internal/verdict/share.go
+++ b/internal/verdict/share.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// The load: one workspace asks for more than its share while the engines are busy. It is
-// refused first, and everybody only when the wait is past all use; docs/design/limits.md
-// has the measurements.
+// Workload: one workspace demands more than its share while the engines are busy. Its calls are
+// refused first; the calls of all workspaces are refused only when the wait is too long to be
+// useful. docs/design/limits.md has the measurements.
 
-// Waits are the predicted waits from which calls are refused.
+// Waits holds the predicted waits beyond which calls are refused.
 type Waits struct {
-	Soft time.Duration // of workspaces at twice their fair share
-	Hard time.Duration // of everybody, at priority 0
-	Step float64       // lengthens Hard for each step of priority, as a factor
+	Soft time.Duration // for workspaces at twice their fair share
+	Hard time.Duration // for all workspaces, at priority 0
+	Step float64       // factor on Hard for each step of priority
 }
 
-// Longest is the longest predicted wait that is taken in. A workspace at or below its fair
-// share gets Hard; one above it less and less, down to Soft at twice its share. over is its
-// use as a multiple of its share.
+// Longest returns the longest predicted wait at which a call is admitted. It is Hard for a
+// workspace at or below its fair share, and falls linearly to Soft at twice its share. over is
+// the use of the workspace as a multiple of its share.
 func (w Waits) Longest(priority int, over float64) time.Duration {
 	hard := float64(w.Hard)
 	for range max(priority, -priority) {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,16 +1,15 @@
-// Package verdict decides what becomes of a call to a model: whether it is let in or told
-// to come back later (late.go, share.go), and which KV cache goes along with it (moves.go).
-// Where it runs is decided by package routing, which works the same way.
+// Package verdict holds the policies for calls to a model: whether a call is admitted or refused
+// with a retry delay (late.go, share.go), and which KV cache transfers go with it (moves.go).
+// Package routing chooses the target, in the same style.
 //
-// Everything here is a pure function of what is handed in: no I/O, no clock, no lock, no
-// state. Both request paths decide with it, packages dispatch (by way of admission) and
-// forward, and so does the model in package yardstick, so that a policy which is measured
-// there is the one that runs.
+// All functions are pure: no I/O, no clock, no lock, no state. Both request paths use them
+// (packages dispatch, through admission, and forward), and so does the model in package
+// yardstick, so that the policy measured there is the policy that runs.
 //
-// Each file names the load that its policy answers and why its limits are as they are.
+// Each file describes the workload that its policy handles and the reasons for its limits.
 package verdict
 
 import "time"
 
-// seconds converts a prediction of package routing.
+// seconds converts a prediction of package routing, in seconds, to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// TestLate checks who is refused behind which queue, and when the refused should come back.
+// TestLate checks which calls are refused at a given queue, and when they should be retried.
 func TestLate(t *testing.T) {
-	const aim = 600 * time.Millisecond
+	const objective = 600 * time.Millisecond
 	for _, c := range []struct {
 		name    string
 		a       Arrival
 		queue   time.Duration
 		refused bool
 	}{
-		{"idle", Arrival{Objective: aim, Usual: 3000}, 0, false},
-		{"in time", Arrival{Objective: aim, Usual: 3000}, 400 * time.Millisecond, false},
-		{"late", Arrival{Objective: aim, Usual: 3000}, 430 * time.Millisecond, true},
-		{"usually long prompts", Arrival{Objective: aim, Usual: 25_000}, 0, true},
-		{"urgent", Arrival{Objective: aim, Usual: 3000, Urgent: true}, time.Second, false},
-		{"urgent and far too late", Arrival{Objective: aim, Usual: 3000, Urgent: true}, 2 * time.Second, true},
+		{"idle", Arrival{Objective: objective, Usual: 3000}, 0, false},
+		{"on time", Arrival{Objective: objective, Usual: 3000}, 400 * time.Millisecond, false},
+		{"late", Arrival{Objective: objective, Usual: 3000}, 430 * time.Millisecond, true},
+		{"usually long prompts", Arrival{Objective: objective, Usual: 25_000}, 0, true},
+		{"urgent", Arrival{Objective: objective, Usual: 3000, Urgent: true}, time.Second, false},
+		{"urgent and far too late", Arrival{Objective: objective, Usual: 3000, Urgent: true}, 2 * time.Second, true},
 		{"no objective", Arrival{Usual: 3000}, time.Minute, false},
 	} {
 		r, refused := Late(c.a, Best{Queue: c.queue, Rate: 50_000})
 		if refused != c.refused {
 			t.Errorf("%s: refused %v, predicted %v", c.name, refused, r.Predicted)
 		}
-		if refused && (r.RetryAfter < comeBack || r.Predicted < c.queue) {
+		if refused && (r.RetryAfter < retryAfterMin || r.Predicted < c.queue) {
 			t.Errorf("%s: %+v", c.name, r)
 		}
 	}
-	early, _ := Late(Arrival{Objective: aim, Jitter: 0}, Best{Queue: time.Second})
-	late, _ := Late(Arrival{Objective: aim, Jitter: 0.999}, Best{Queue: time.Second})
-	if late.RetryAfter-early.RetryAfter < comeBackSpread*9/10 {
-		t.Errorf("refused callers come back together: after %v and %v", early.RetryAfter, late.RetryAfter)
+	early, _ := Late(Arrival{Objective: objective, Jitter: 0}, Best{Queue: time.Second})
+	late, _ := Late(Arrival{Objective: objective, Jitter: 0.999}, Best{Queue: time.Second})
+	if late.RetryAfter-early.RetryAfter < retryAfterSpread*9/10 {
+		t.Errorf("retry delays are not spread: %v and %v", early.RetryAfter, late.RetryAfter)
 	}
 }
 
-// TestMove plans what goes along with prompts like those of the load: long ones with 6,300
+// TestPlanTransfer plans transfers for prompts like those of the workload: long ones with 6,300
 // shared tokens of 9,190, and short ones with 198 of 826.
-func TestMove(t *testing.T) {
+func TestPlanTransfer(t *testing.T) {
 	long, short := Prompt{Tokens: 9190, Shared: 6300}, Prompt{Tokens: 826, Shared: 198}
 	store := func(tokens int32) Source { return Source{Addr: "store", Tokens: tokens} }
 	for _, c := range []struct {
@@ -49,17 +49,17 @@
 		want TransferPlan
 	}{
 		{"held elsewhere", long, Locations{Holder: Source{"b", 6300}}, TransferPlan{Fetch: "b", Work: 2890}},
-		{"a part is held here", long, Locations{Held: 2520, Holder: Source{"b", 6300}, Store: store(6300)}, TransferPlan{Fetch: "b", Work: 2890}},
+		{"partly held here, all elsewhere", long, Locations{Held: 2520, Holder: Source{"b", 6300}, Store: store(6300)}, TransferPlan{Fetch: "b", Work: 2890}},
 		{"nowhere", long, Locations{Rendezvous: "h", Store: store(0)}, TransferPlan{Fetch: "h", Save: true, Work: 9190}},
-		{"nowhere, this is its home", long, Locations{Store: store(0)}, TransferPlan{Fetch: "store", Save: true, Work: 9190}},
+		{"nowhere, this is the rendezvous target", long, Locations{Store: store(0)}, TransferPlan{Fetch: "store", Save: true, Work: 9190}},
 		{"in the store", long, Locations{Rendezvous: "h", Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
-		{"a part in the store", long, Locations{Rendezvous: "h", Store: store(2520)}, TransferPlan{Fetch: "store", Save: true, Work: 6670}},
-		{"a part elsewhere, all in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
-		{"a part elsewhere, little more in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(3000)}, TransferPlan{Fetch: "b", Save: true, Work: 6670}},
-		{"a part here, all in the store", long, Locations{Held: 2520, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"partly in the store", long, Locations{Rendezvous: "h", Store: store(2520)}, TransferPlan{Fetch: "store", Save: true, Work: 6670}},
+		{"partly elsewhere, all in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
+		{"partly elsewhere, little more in the store", long, Locations{Holder: Source{"b", 2520}, Store: store(3000)}, TransferPlan{Fetch: "b", Save: true, Work: 6670}},
+		{"partly here, all in the store", long, Locations{Held: 2520, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
 		{"held here", long, Locations{Held: 6300, Store: store(6300)}, TransferPlan{Fetch: "store", Work: 2890}},
 		{"held here, not in the store", long, Locations{Held: 6300, Store: store(0)}, TransferPlan{Fetch: "store", Work: 2890}},
-		{"own part too long to save along", Prompt{Tokens: 20_000, Shared: 6300}, Locations{Held: 6300, Store: store(0)}, TransferPlan{Fetch: "store", Work: 13_700}},
+		{"unshared suffix too long to save", Prompt{Tokens: 20_000, Shared: 6300}, Locations{Held: 6300, Store: store(0)}, TransferPlan{Fetch: "store", Work: 13_700}},
 		{"the store lacks little", long, Locations{Held: 6300, Store: store(6000)}, TransferPlan{Fetch: "store", Work: 2890}},
 		{"no store", long, Locations{Rendezvous: "h"}, TransferPlan{Work: 9190}},
 		{"short, held elsewhere", short, Locations{Holder: Source{"b", 198}, Rendezvous: "h", Store: store(198)}, TransferPlan{Work: 826}},
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestLongest checks the waits that workspaces are let in with.
+// TestLongest checks the longest waits at which calls of workspaces are admitted.
 func TestLongest(t *testing.T) {
 	w := Waits{Soft: 1500 * time.Millisecond, Hard: 6 * time.Second, Step: 1.25}
 	for _, c := range []struct {
--- a/internal/yardstick/moves_test.go
+++ b/internal/yardstick/moves_test.go
@@ -10,7 +10,7 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// saveAlways is verdict.Move with a save along with every prompt of which the store lacks
+// saveAlways is verdict.PlanTransfer with a save along with every prompt of which the store lacks
 // anything.
 func saveAlways(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
 	m := verdict.PlanTransfer(p, at)
@@ -18,7 +18,7 @@
 	return m
 }
 
-// moveAnything is verdict.Move with moves of whatever little is held elsewhere.
+// moveAnything is verdict.PlanTransfer with moves of whatever little is held elsewhere.
 func moveAnything(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
 	m := verdict.PlanTransfer(p, at)
 	if m.Fetch == "" && at.Holder.Tokens > at.Held {
