--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,15 +1,14 @@
-// Package outcome types what became of an attempt or a request.
+// Package outcome defines the outcomes and errors of requests and of their attempts.
 //
-// The three outcomes are kept apart from HTTP statuses on purpose: a status can
-// be produced by a target that ran the call, by one that refused it, and by a
-// broken connection in between. Only code that knows which of these happened
-// may choose an Outcome:
+// Outcomes are separate from HTTP statuses: the same status can come from a target that ran
+// the call, from a target that refused it, or from a connection that broke in between. Only
+// code that knows which of these happened may choose an Outcome:
 //
-//   - NotRun: no byte of the call can have reached a target, or the target
-//     itself said that it did not run it. Safe to run elsewhere.
+//   - NotRun: no byte of the call can have reached a target, or the target reported that it did
+//     not run the call. It is safe to run the call elsewhere.
 //   - Ran: the target answered the call.
-//   - Unknown: the call may have run. A call that may not be repeated is never
-//     run again after Unknown.
+//   - Unknown: the call may have run. After Unknown, a call that must not be repeated is never
+//     sent again.
 package outcome
 
 import (
@@ -20,18 +19,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// Outcome is the fate of an attempt or request.
+// Outcome states whether an attempt or a request ran at a target.
 type Outcome uint8
 
-// The outcomes. The zero value is Unknown: code that forgets to decide never
-// claims more than is known.
+// The outcomes. The zero value is Unknown, so that code which sets no outcome claims nothing.
 const (
 	Unknown Outcome = iota
 	NotRun
 	Ran
 )
 
-// String returns the form used in answers, logs and the time line.
+// String returns the form used in responses, logs and the timeline.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -43,10 +41,10 @@
 	}
 }
 
-// Code is a stable, machine-readable reason that callers see.
+// Code is a stable, machine-readable reason of a failure, sent to callers.
 type Code string
 
-// Codes that callers can meet. README and docs/OPERATIONS.md list them.
+// Codes sent to callers. README and docs/OPERATIONS.md list them.
 const (
 	CodeInvalidKey      Code = "invalid_api_key"
 	CodeBadRequest      Code = "invalid_request"
@@ -68,34 +66,34 @@
 	CodeInProgress      Code = "request_in_progress"
 	CodeOutcomeUnknown  Code = "outcome_unknown"
 	CodeNotReady        Code = "not_ready"
-	CodeQuarantined     Code = "quarantined" // targets crashed while they ran the same request
+	CodeQuarantined     Code = "quarantined" // targets crashed while running the same request
 )
 
-// Error is a failed request or attempt. It carries the step and the peer at
-// which the failure arose and what became of the call.
+// Error describes a failed request or attempt: the outcome, and the step and the peer at which
+// the failure occurred.
 type Error struct {
 	Outcome    Outcome
 	Code       Code
-	Step       string        // e.g. "admit", "claim", "dial", "relay"
-	Peer       string        // target, VM or store; empty if the VM itself
-	Message    string        // for the caller, one sentence
-	RetryAfter time.Duration // zero: no advice
+	Step       string        // for example "admit", "claim", "dial", "relay"
+	Peer       string        // target, VM or store; empty: this VM
+	Message    string        // one sentence for the caller
+	RetryAfter time.Duration // delay before a retry; zero: unspecified
 	cause      error
 }
 
-// New returns an Error with a stack of its origin.
+// New returns an Error without a cause.
 func New(o Outcome, code Code, step, peer, message string) *Error {
 	return &Error{Outcome: o, Code: code, Step: step, Peer: peer, Message: message}
 }
 
-// Wrap returns an Error that keeps cause for logs.
+// Wrap returns an Error that keeps cause, with a stack trace, for logs.
 func Wrap(cause error, o Outcome, code Code, step, peer, message string) *Error {
 	e := New(o, code, step, peer, message)
 	e.cause = eris.Wrapf(cause, "%s at %s", step, peer)
 	return e
 }
 
-// After sets when the caller should come back and returns e.
+// After sets the delay before a retry and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -113,11 +111,11 @@
 	return s
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Of returns err as *Error. An error of another type is reported as Unknown,
-// the only outcome that is always true.
+// Of returns the *Error in err's chain. It wraps an error without one as Unknown, the only
+// outcome that never claims too much.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
