--- a/internal/upstream/check.go
+++ b/internal/upstream/check.go
@@ -12,47 +12,50 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// ClosedByReplica tells whether an exchange failed since the replica's side of the connection ended,
-// not since its bytes made no sense or this side gave up.
+// ClosedByReplica reports whether an exchange failed because the replica closed or reset the
+// connection, as opposed to a malformed response or a cancellation on this side.
 func ClosedByReplica(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// checkPauses are the times before each look at a replica whose connection broke. A process
-// that dies may close its connections some milliseconds before its listener; only one that
-// still listens after the second look has survived.
-var checkPauses = []time.Duration{5 * time.Millisecond, 100 * time.Millisecond}
+// checkDelays are the delays before the checks of a replica whose connection broke. A dying
+// process may close its connections some milliseconds before its listener; only a process that
+// still listens at the second check counts as alive.
+var checkDelays = []time.Duration{5 * time.Millisecond, 100 * time.Millisecond}
 
-// Check finds out whether a replica still listens, by the connections to it that are idle
-// here or else by dialling. A replica that survived costs two dials at most.
+// Check finds out whether a replica still listens. An idle connection that is still open
+// suffices as proof; otherwise Check dials. A live replica costs at most two dials.
 func (c *Client) Check(ctx context.Context, to Replica) quarantine.Liveness {
 	return check(ctx, func() quarantine.Liveness {
-		if c.pool(to.ID).sound() {
+		if c.pool(to.ID).anyOpen() {
 			return quarantine.Listening
 		}
 		return dial(ctx, c.DialTimeout, to.Addr)
 	})
 }
 
-// CheckAddr finds out by dialling whether a replica still listens.
+// CheckAddr finds out whether a replica still listens, by dialing only. timeout bounds each
+// dial.
 func CheckAddr(ctx context.Context, timeout time.Duration, addr string) quarantine.Liveness {
 	return check(ctx, func() quarantine.Liveness { return dial(ctx, timeout, addr) })
 }
 
-func check(ctx context.Context, look func() quarantine.Liveness) quarantine.Liveness {
+// check calls probe after each of checkDelays, until the replica is found to have ended.
+func check(ctx context.Context, probe func() quarantine.Liveness) quarantine.Liveness {
 	state := quarantine.Unknown
-	for _, pause := range checkPauses {
-		if !timing.Sleep(ctx, pause) {
+	for _, delay := range checkDelays {
+		if !timing.Sleep(ctx, delay) {
 			return state
 		}
-		if state = look(); state == quarantine.Ended {
+		if state = probe(); state == quarantine.Ended {
 			return state
 		}
 	}
 	return state
 }
 
+// dial reports a replica as ended only if it refuses the connection.
 func dial(ctx context.Context, timeout time.Duration, addr string) quarantine.Liveness {
 	conn, err := sockets.Dialer(timeout).DialContext(ctx, "tcp", addr)
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Bounds of idle connections.
+// Limits on idle connections.
 const (
-	// maxIdle is how long a connection is kept where the replica does not say.
+	// maxIdle is the longest idle time of a connection.
 	maxIdle = 10 * time.Second
-	// idleMargin is taken off the time that a replica keeps a connection, which it
-	// states in whole seconds: a request must not cross its close.
+	// idleMargin is subtracted from the idle timeout that a replica announces, in whole
+	// seconds, so that no request is sent while the replica closes the connection.
 	idleMargin = 700 * time.Millisecond
 )
 
-// pool holds the idle connections to one replica, the last used on top, so that
-// few connections carry what they can and the rest grow old.
+// pool holds the idle connections to one replica as a stack, so that few connections carry
+// most requests and the others expire.
 type pool struct {
 	mu     sync.Mutex
 	idle   []*conn
 	closed bool
 }
 
-// take returns a sound idle connection, or nil.
+// take removes and returns a usable idle connection, or returns nil.
 func (p *pool) take(now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,38 +31,39 @@
 		last := len(p.idle) - 1
 		cn := p.idle[last]
 		p.idle = p.idle[:last]
-		if cn.fresh(now) && cn.quiet() {
+		if cn.fresh(now) && cn.usable() {
 			return cn
 		}
-		cn.kill()
+		cn.close()
 	}
 	return nil
 }
 
-// sound tells whether an idle connection is still open on the other side.
-func (p *pool) sound() bool {
+// anyOpen reports whether the replica still keeps an idle connection open.
+func (p *pool) anyOpen() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cn := range p.idle {
-		if cn.quiet() {
+		if cn.usable() {
 			return true
 		}
 	}
 	return false
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool, or closes it if the pool is closed.
 func (p *pool) put(cn *conn, now time.Time) {
-	cn.since = now
+	cn.idleSince = now
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		cn.kill()
+		cn.close()
 		return
 	}
 	p.idle = append(p.idle, cn)
 }
 
+// trim closes the connections that have been idle for too long.
 func (p *pool) trim(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,36 +72,37 @@
 		if cn.fresh(now) {
 			kept = append(kept, cn)
 		} else {
-			cn.kill()
+			cn.close()
 		}
 	}
 	clear(p.idle[len(kept):])
 	p.idle = kept
 }
 
+// close closes all idle connections; those put back later are closed, too.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, cn := range p.idle {
-		cn.kill()
+		cn.close()
 	}
 	p.idle = nil
 }
 
-// fresh tells whether the replica still keeps the connection open.
+// fresh reports whether the connection is within its idle time limit at now.
 func (cn *conn) fresh(now time.Time) bool {
 	limit := maxIdle
-	if cn.idleFor > 0 {
-		limit = min(limit, cn.idleFor-idleMargin)
+	if cn.idleTimeout > 0 {
+		limit = min(limit, cn.idleTimeout-idleMargin)
 	}
-	return now.Sub(cn.since) < limit
+	return now.Sub(cn.idleSince) < limit
 }
 
-// quiet tells whether the connection is open and nothing lies unread in it: bytes
-// that came while it was idle belong to no request.
-func (cn *conn) quiet() bool {
-	if cn.dead.Load() || cn.br.Buffered() > 0 {
+// usable reports whether the connection is open and holds no unread bytes: bytes received while
+// it was idle belong to no request.
+func (cn *conn) usable() bool {
+	if cn.closed.Load() || cn.br.Buffered() > 0 {
 		return false
 	}
 	sc, ok := cn.nc.(syscall.Conn)
@@ -111,12 +113,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = rerr == syscall.EAGAIN
+		empty = rerr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,19 +1,18 @@
-// Package upstream sends opaque requests to replicas over kept HTTP/1.1
-// connections, and says of each send what is known of its fate.
+// Package upstream sends opaque requests to replicas over persistent HTTP/1.1 connections and
+// reports the outcome of each.
 //
-// It exists beside net/http's client for what that client does not tell or does
-// by itself:
+// It replaces net/http's client because that client retries some requests by itself and does
+// not report whether a failed request was written:
 //
-//   - A request is written once. Nothing is ever replayed here: who may send
-//     again is the caller's decision.
-//   - A failure is NotRun only if no byte of the request was written. A kept
-//     connection that breaks after the write leaves the outcome Unknown.
-//   - A connection belongs to one incarnation of a replica and is dropped with
-//     it.
-//   - An answer that is not the request's (late, or extra) is read off and thrown
-//     away; the next one on the connection is looked at.
-//   - A connection goes back to the pool only if the request was written whole,
-//     the answer was read whole, and nothing lies behind it.
+//   - A request is written once and never replayed here; the caller decides whether to send it
+//     again.
+//   - A failure is NotRun only if no byte of the request was written. If a persistent connection
+//     breaks after the write, the outcome is Unknown.
+//   - A connection belongs to one incarnation of a replica and is closed with it.
+//   - A response that does not belong to the request (late or extra) is discarded, and the next
+//     response on the connection is read.
+//   - A connection returns to the pool only if the request was written completely, the response
+//     was read completely, and no further bytes follow.
 package upstream
 
 import (
@@ -38,46 +37,49 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Replica is one incarnation of a target and where it listens.
+// Replica is one incarnation of a target and its address.
 type Replica struct {
 	ID   ids.Target
 	Addr string // ip:port
 }
 
-// Request is one request as it goes out. It must not change while it is sent.
+// Request is an outgoing request. It must not change while it is sent.
 type Request struct {
 	Method string
-	URI    string // path and query, as the caller sent them
+	URI    string // path and query, exactly as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches tells whether an answer belongs to this request.
+	// Matches reports whether a response belongs to this request.
 	Matches func(status int, h http.Header) bool
-	// BeforeWrite is asked right before the first byte is written: what allowed the request may
-	// have run out while the connection was made. An error: nothing is written. Nil: it is
-	// allowed.
+	// BeforeWrite is called right before the first byte is written, since the permission for
+	// the request may have expired while the connection was established. If it returns an
+	// error, nothing is written. A nil function allows the request.
 	BeforeWrite func() *outcome.Error
 }
 
-// Response is the head of an answer and its body. Close must be called.
+// Response is the head of a response and its body. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	Reused bool // the connection had served requests before
+	Reused bool // the connection had carried requests before
 	conn   *conn
 }
 
 // Client holds the connections to all replicas. Safe for concurrent use.
 type Client struct {
-	// DialTimeout bounds connecting. It is set before the first send.
+	// DialTimeout bounds each dial. It must be set before the first Send.
 	DialTimeout time.Duration
-	// Meter counts the bytes of calls. Nil: nothing does. It is set before the first send.
+	// Meter counts the bytes of calls; nil disables counting. It must be set before the first
+	// Send.
 	Meter *traffic.Meter
 
 	mu    sync.Mutex
 	pools map[ids.Target]*pool
 
+	// Counts of dials, of reused connections, and of stray responses: those that belong to
+	// another request than the one in progress.
 	Dials, Reuses, Strays atomic.Int64
 }
 
@@ -86,8 +88,8 @@
 	return &Client{DialTimeout: dialTimeout, pools: map[ids.Target]*pool{}}
 }
 
-// Drop closes the idle connections of a replica that is gone; those in use are
-// closed when their answers end.
+// Drop closes the idle connections to a replica that is gone. Connections in use are closed
+// when their responses end.
 func (c *Client) Drop(id ids.Target) {
 	c.mu.Lock()
 	p := c.pools[id]
@@ -98,6 +100,7 @@
 	}
 }
 
+// pool returns the pool of a replica, and creates it if needed.
 func (c *Client) pool(id ids.Target) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +123,7 @@
 	}
 }
 
-// Trim closes connections that have been idle for too long.
+// Trim closes the connections that have been idle for too long.
 func (c *Client) Trim(now time.Time) {
 	c.mu.Lock()
 	pools := make([]*pool, 0, len(c.pools))
@@ -133,10 +136,9 @@
 	}
 }
 
-// Send writes a request to a replica and reads the head of its answer. The
-// error is an *outcome.Error. When ctx ends, the connection is closed, also
-// while the answer's body is read: that is how a replica learns that nobody
-// waits any more.
+// Send writes a request to a replica and reads the head of its response. The error is an
+// *outcome.Error. When ctx ends, the connection is closed, even while the body of the response
+// is read, which signals to the replica that the call is cancelled.
 func (c *Client) Send(ctx context.Context, to Replica, r *Request) (*Response, error) {
 	cn, err := c.connect(ctx, to)
 	if err != nil {
@@ -150,13 +152,13 @@
 	}
 	a, err := cn.exchange(ctx, to, r, &c.Strays)
 	if err != nil {
-		cn.kill()
+		cn.close()
 		return nil, err
 	}
 	return a, nil
 }
 
-// connect takes an idle connection or makes one.
+// connect reuses an idle connection or dials a new one.
 func (c *Client) connect(ctx context.Context, to Replica) (*conn, error) {
 	p := c.pool(to.ID)
 	if cn := p.take(clock.Now()); cn != nil {
@@ -167,50 +169,50 @@
 	d := sockets.Dialer(c.DialTimeout)
 	nc, err := d.DialContext(ctx, "tcp", to.Addr)
 	if err != nil {
-		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(to.ID), "the replica can't be reached")
+		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(to.ID), "could not connect to the replica")
 	}
 	if tcp, ok := nc.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(receiveBuffer) // without it the kernel's own bound holds
+		_ = tcp.SetReadBuffer(receiveBuffer) // on failure the kernel's default applies
 	}
 	nc = c.Meter.Conn(nc, traffic.Requests, traffic.Responses)
 	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), pool: p}, nil
 }
 
-// readBuffer is the size of a connection's reader, in bytes: a head and some
-// events. With a few hundred connections it stays within some MB.
+// readBuffer is the size of the buffered reader of a connection, in bytes. It holds a response
+// head and some events; a few hundred connections take a few MB.
 const readBuffer = 8 << 10
 
-// receiveBuffer is the kernel's read buffer of a connection, in bytes: what a replica sends while
-// the caller does not read counts as the VM's memory.
+// receiveBuffer is the size of the kernel's receive buffer of a connection, in bytes. Data that a
+// replica sends while the caller does not read counts towards the VM's memory.
 const receiveBuffer = 128 << 10
 
 // conn is one connection to a replica.
 type conn struct {
-	nc      net.Conn
-	br      *bufio.Reader
-	pool    *pool
-	used    bool
-	since   time.Time     // idle since
-	idleFor time.Duration // the replica keeps it open for so long; zero: it did not say
-	dead    atomic.Bool
+	nc          net.Conn
+	br          *bufio.Reader
+	pool        *pool
+	used        bool // has carried a request
+	idleSince   time.Time
+	idleTimeout time.Duration // announced by the replica; zero: unspecified
+	closed      atomic.Bool
 }
 
-func (cn *conn) kill() {
-	if cn.dead.CompareAndSwap(false, true) {
+// close closes the connection once; further calls do nothing.
+func (cn *conn) close() {
+	if cn.closed.CompareAndSwap(false, true) {
 		_ = cn.nc.Close()
 	}
 }
 
-// maxStrays bounds the answers of other requests that are read off before one's
-// own is given up.
+// maxStrays is the number of stray responses that are discarded before an exchange fails.
 const maxStrays = 2
 
-// maxStrayBytes bounds the body of an answer that is thrown away.
+// maxStrayBytes bounds the body of a response that is discarded.
 const maxStrayBytes = 256 << 10
 
-// exchange writes the request and reads answers until one is its own.
+// exchange writes the request and reads responses until one belongs to it.
 func (cn *conn) exchange(ctx context.Context, to Replica, r *Request, strays *atomic.Int64) (*Response, error) {
-	stop := context.AfterFunc(ctx, cn.kill)
+	stop := context.AfterFunc(ctx, cn.close)
 	w := cn.write(r)
 	reused := cn.used
 	cn.used = true
@@ -218,7 +220,7 @@
 		resp, err := http.ReadResponse(cn.br, &http.Request{Method: r.Method})
 		if err == nil && resp.StatusCode < http.StatusOK {
 			stray--
-			continue // an interim answer says nothing
+			continue // an interim response (1xx) does not count
 		}
 		if err != nil {
 			stop()
@@ -232,22 +234,22 @@
 		n, err := io.CopyN(io.Discard, resp.Body, maxStrayBytes)
 		if stray >= maxStrays || !errors.Is(err, io.EOF) || n == maxStrayBytes || resp.Close {
 			stop()
-			return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "read", string(to.ID), "the replica answered another request")
+			return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "read", string(to.ID), "the replica responded to another request")
 		}
 	}
 }
 
-// writing is a request on its way out.
-type writing struct {
+// requestWrite is the write of one request, in progress or done.
+type requestWrite struct {
 	done    chan struct{}
 	written atomic.Int64
-	err     error // valid when done is closed
+	err     error // valid once done is closed
 }
 
-// write sends the request in a goroutine of its own where the body is long, since
-// a replica may answer before it has read it.
-func (cn *conn) write(r *Request) *writing {
-	w := &writing{done: make(chan struct{})}
+// write sends the request. A long body is sent in a goroutine of its own, since a replica may
+// respond before it has read all of it.
+func (cn *conn) write(r *Request) *requestWrite {
+	w := &requestWrite{done: make(chan struct{})}
 	head := r.head()
 	if len(r.Body) <= directBody {
 		w.send(cn.nc, append(head, r.Body...))
@@ -257,11 +259,11 @@
 	return w
 }
 
-// directBody is the longest body that is written without a goroutine, in bytes:
-// it fits a socket's send buffer, so the write can't wait for the replica.
+// directBody is the longest body that is written without a goroutine, in bytes. It fits a
+// socket's send buffer, so the write does not block on the replica.
 const directBody = 16 << 10
 
-func (w *writing) send(to io.Writer, parts ...[]byte) {
+func (w *requestWrite) send(to io.Writer, parts ...[]byte) {
 	defer close(w.done)
 	for _, p := range parts {
 		n, err := to.Write(p)
@@ -273,8 +275,8 @@
 	}
 }
 
-// complete tells whether the whole request was written.
-func (w *writing) complete() bool {
+// complete reports whether the whole request was written.
+func (w *requestWrite) complete() bool {
 	select {
 	case <-w.done:
 		return w.err == nil
@@ -283,24 +285,24 @@
 	}
 }
 
-// failure types an exchange that ended without an answer.
-func (w *writing) failure(ctx context.Context, err error, to Replica) error {
+// failure returns the error of an exchange that ended without a response.
+func (w *requestWrite) failure(ctx context.Context, err error, to Replica) error {
 	select {
 	case <-w.done:
 		if w.err != nil && w.written.Load() == 0 {
-			return outcome.Wrap(w.err, outcome.NotRun, outcome.CodeUpstream, "write", string(to.ID), "nothing could be written to the replica")
+			return outcome.Wrap(w.err, outcome.NotRun, outcome.CodeUpstream, "write", string(to.ID), "could not write to the replica")
 		}
 	default:
 	}
 	if ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(to.ID), "no answer came from the replica")
+	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(to.ID), "no response from the replica")
 }
 
 // head renders the request line and the headers.
 func (r *Request) head() []byte {
-	b := make([]byte, 0, headRoom+len(r.URI))
+	b := make([]byte, 0, headCapacity+len(r.URI))
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.URI...)
@@ -311,7 +313,7 @@
 		for _, v := range values {
 			b = append(b, name...)
 			b = append(b, ": "...)
-			b = append(b, cleanValue.Replace(v)...)
+			b = append(b, lineBreaks.Replace(v)...)
 			b = append(b, "\r\n"...)
 		}
 	}
@@ -323,73 +325,72 @@
 	return append(b, "\r\n"...)
 }
 
-// headRoom is the usual size of a head, in bytes.
-const headRoom = 1 << 10
+// headCapacity is the usual size of a request head, in bytes.
+const headCapacity = 1 << 10
 
-// cleanValue keeps a header's value from ending its line.
-var cleanValue = strings.NewReplacer("\r", " ", "\n", " ")
+// lineBreaks replaces line breaks in header values, which would otherwise start a new header.
+var lineBreaks = strings.NewReplacer("\r", " ", "\n", " ")
 
-// body reads an answer's body and knows when it was read whole.
+// body reads the body of a response and records whether it was read to its end.
 type body struct {
-	conn  *conn
-	resp  *http.Response
-	write *writing
-	stop  func() bool
-	ended bool
-	// closed tells that the use of the answer has ended.
-	closed bool
+	conn   *conn
+	resp   *http.Response
+	write  *requestWrite
+	stop   func() bool
+	ended  bool
+	closed bool // Response.Close was called
 }
 
-// Read implements io.Reader. io.EOF means that the body is whole.
+// Read implements io.Reader. io.EOF marks the end of the body, which is the end of the connection
+// if the response is unframed.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if errors.Is(err, io.EOF) {
 		b.ended = true
 	} else if err != nil {
-		err = eris.Wrap(err, "read answer")
+		err = eris.Wrap(err, "read response")
 	}
 	return n, err
 }
 
-// Framed tells whether the answer says where its body ends. One that does not may end with
-// its connection, as it does when the replica crashes.
-func (a *Response) Framed() bool {
-	resp := a.Body.(*body).resp
+// Framed reports whether the response has a Content-Length or a transfer encoding. The body of an
+// unframed response ends with its connection, which may also mean that the replica crashed.
+func (r *Response) Framed() bool {
+	resp := r.Body.(*body).resp
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// Length returns the answer's length, in bytes; -1: it does not say.
-func (a *Response) Length() int64 { return a.Body.(*body).resp.ContentLength }
+// Length returns the Content-Length of the response, in bytes, or -1 if it has none.
+func (r *Response) Length() int64 { return r.Body.(*body).resp.ContentLength }
 
-// Close ends the use of the answer. The connection is kept if both sides are
-// done with it, and closed otherwise. Further calls do nothing.
-func (a *Response) Close() {
-	b := a.Body.(*body)
+// Close releases the response. The connection returns to the pool if the exchange is complete in
+// both directions, and is closed otherwise. Further calls do nothing.
+func (r *Response) Close() {
+	b := r.Body.(*body)
 	if b.closed {
 		return
 	}
 	b.closed = true
 	if !b.stop() {
-		b.conn.kill() // the context has ended; its function may still run
+		b.conn.close() // the context has ended; the function set by AfterFunc may still run
 		return
 	}
-	framed := a.Framed()
+	framed := r.Framed()
 	if !b.ended && b.resp.ContentLength == 0 {
 		b.ended = true
 	}
 	if !b.ended || !framed || b.resp.Close || !b.write.complete() || b.conn.br.Buffered() > 0 {
-		b.conn.kill()
+		b.conn.close()
 		return
 	}
-	b.conn.idleFor = keepAlive(a.Header)
+	b.conn.idleTimeout = keepAlive(r.Header)
 	b.conn.pool.put(b.conn, clock.Now())
 }
 
-// keepAlive reads how long the other side keeps an idle connection; zero: it did
-// not say.
+// keepAlive returns the idle timeout in the Keep-Alive header; zero: unspecified.
 func keepAlive(h http.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if s, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
 			return time.Duration(s) * time.Second
 		}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,7 +15,8 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// replica serves each connection by a script; n counts connections from 0.
+// replica starts a server that runs script for each connection; n is the connection's number,
+// from 0.
 func replica(t *testing.T, script func(n int, c net.Conn, in *bufio.Reader)) Replica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,8 +39,8 @@
 	return Replica{ID: "r1", Addr: l.Addr().String()}
 }
 
-// take reads one request and returns its id.
-func take(in *bufio.Reader) string {
+// readID reads one request and returns its Id header, or an empty string on an error.
+func readID(in *bufio.Reader) string {
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		return ""
@@ -48,7 +49,7 @@
 	return req.Header.Get("Id")
 }
 
-func say(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
+func writeString(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
 
 func request(id string, body []byte) *Request {
 	return &Request{
@@ -57,7 +58,7 @@
 	}
 }
 
-func whole(t *testing.T, c *Client, to Replica, r *Request) (string, error) {
+func roundTrip(t *testing.T, c *Client, to Replica, r *Request) (string, error) {
 	t.Helper()
 	a, err := c.Send(t.Context(), to, r)
 	if err != nil {
@@ -70,7 +71,7 @@
 
 func client() *Client { return NewClient(300 * time.Millisecond) }
 
-func TestNothingListensIsNotRun(t *testing.T) {
+func TestRefusedConnectionIsNotRun(t *testing.T) {
 	_, err := client().Send(t.Context(), Replica{ID: "r1", Addr: loopback.Addr()}, request("a", nil))
 	if got := outcome.Of(err).Outcome; got != outcome.NotRun {
 		t.Fatalf("got %v, want not-run: no connection was made", got)
@@ -78,26 +79,26 @@
 }
 
 func TestCloseAfterReadIsUnknown(t *testing.T) {
-	to := replica(t, func(_ int, _ net.Conn, in *bufio.Reader) { take(in) })
+	to := replica(t, func(_ int, _ net.Conn, in *bufio.Reader) { readID(in) })
 	_, err := client().Send(t.Context(), to, request("a", nil))
 	if got := outcome.Of(err).Outcome; got != outcome.Unknown {
 		t.Fatalf("got %v, want unknown: the replica had read the request", got)
 	}
 }
 
-// TestKeptConnectionNeverReplays closes a kept connection after it has read the
-// second request: nothing may send that request again.
-func TestKeptConnectionNeverReplays(t *testing.T) {
+// TestReusedConnectionNeverReplays closes a reused connection after the replica has read the
+// second request. The client must not send that request again.
+func TestReusedConnectionNeverReplays(t *testing.T) {
 	got := make(chan string, 10)
 	to := replica(t, func(n int, c net.Conn, in *bufio.Reader) {
-		got <- take(in)
-		say(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok")
-		if id := take(in); id != "" {
+		got <- readID(in)
+		writeString(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 2\r\n\r\nok")
+		if id := readID(in); id != "" {
 			got <- id
 		}
 	})
 	c := client()
-	if _, err := whole(t, c, to, request("a", nil)); err != nil {
+	if _, err := roundTrip(t, c, to, request("a", nil)); err != nil {
 		t.Fatal(err)
 	}
 	r := request("b", nil)
@@ -112,35 +113,35 @@
 	}
 }
 
-// TestStrayAnswerIsReadOff sends an answer of an earlier request first.
-func TestStrayAnswerIsReadOff(t *testing.T) {
+// TestStrayResponseIsDiscarded sends the response to an earlier request first.
+func TestStrayResponseIsDiscarded(t *testing.T) {
 	to := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
-		take(in)
-		say(c, "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nold")
-		say(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 3\r\n\r\nnew")
-		take(in)
+		readID(in)
+		writeString(c, "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nold")
+		writeString(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 3\r\n\r\nnew")
+		readID(in)
 	})
-	body, err := whole(t, client(), to, request("a", nil))
+	body, err := roundTrip(t, client(), to, request("a", nil))
 	if err != nil || body != "new" {
 		t.Fatalf("got %q, %v", body, err)
 	}
 }
 
-// TestExtraAnswerSpoilsTheConnection sends a second answer behind the first; the
-// next request goes out on another connection.
-func TestExtraAnswerSpoilsTheConnection(t *testing.T) {
+// TestExtraResponseClosesConnection sends a second response after the first. The next request
+// must use another connection.
+func TestExtraResponseClosesConnection(t *testing.T) {
 	conns := make(chan int, 10)
 	to := replica(t, func(n int, c net.Conn, in *bufio.Reader) {
 		conns <- n
-		id := take(in)
-		say(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nok")
+		id := readID(in)
+		writeString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nok")
 		time.Sleep(20 * time.Millisecond)
-		say(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nno")
-		take(in)
+		writeString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 2\r\n\r\nno")
+		readID(in)
 	})
 	c := client()
 	for _, id := range []string{"a", "b"} {
-		if body, err := whole(t, c, to, request(id, nil)); err != nil || body != "ok" {
+		if body, err := roundTrip(t, c, to, request(id, nil)); err != nil || body != "ok" {
 			t.Fatalf("got %q, %v", body, err)
 		}
 		time.Sleep(60 * time.Millisecond)
@@ -150,42 +151,42 @@
 	}
 }
 
-func TestCutBodyIsAnError(t *testing.T) {
-	for name, answer := range map[string]string{
+func TestTruncatedBodyIsAnError(t *testing.T) {
+	for name, response := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nId: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			to := replica(t, func(_ int, c net.Conn, in *bufio.Reader) { take(in); say(c, answer) })
-			if _, err := whole(t, client(), to, request("a", nil)); err == nil {
-				t.Fatal("a body that broke off was taken for whole")
+			to := replica(t, func(_ int, c net.Conn, in *bufio.Reader) { readID(in); writeString(c, response) })
+			if _, err := roundTrip(t, client(), to, request("a", nil)); err == nil {
+				t.Fatal("a truncated body was read without an error")
 			}
 		})
 	}
 }
 
-// TestUnframedAnswer ends with its connection: whole after a close, broken after a
-// reset.
-func TestUnframedAnswer(t *testing.T) {
+// TestUnframedResponse checks that a response without framing is complete after a close of the
+// connection and an error after a reset.
+func TestUnframedResponse(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		to := replica(t, func(_ int, c net.Conn, in *bufio.Reader) {
-			take(in)
-			say(c, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nall of it")
+			readID(in)
+			writeString(c, "HTTP/1.1 200 OK\r\nId: a\r\n\r\nall of it")
 			if reset {
 				time.Sleep(20 * time.Millisecond)
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 		})
-		body, err := whole(t, client(), to, request("a", nil))
+		body, err := roundTrip(t, client(), to, request("a", nil))
 		if reset == (err == nil) {
 			t.Fatalf("reset %v: got %q, %v", reset, body, err)
 		}
 	}
 }
 
-// TestEarlyAnswer answers before a long body is read: the answer counts, and no
-// other request may go where the rest of the body is due.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponse responds before a long request body is read. The response is valid, and no
+// other request may use the connection on which the rest of the body is still due.
+func TestEarlyResponse(t *testing.T) {
 	conns := make(chan int, 10)
 	to := replica(t, func(n int, c net.Conn, in *bufio.Reader) {
 		conns <- n
@@ -195,12 +196,12 @@
 				id = strings.TrimSpace(v)
 			}
 		}
-		say(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 5\r\n\r\nearly")
+		writeString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\nContent-Length: 5\r\n\r\nearly")
 		time.Sleep(200 * time.Millisecond) // the body stays unread
 	})
 	c := client()
 	for _, id := range []string{"a", "b"} {
-		if body, err := whole(t, c, to, request(id, make([]byte, 8<<20))); err != nil || body != "early" {
+		if body, err := roundTrip(t, c, to, request(id, make([]byte, 8<<20))); err != nil || body != "early" {
 			t.Fatalf("got %q, %v", body, err)
 		}
 	}
@@ -209,12 +210,12 @@
 	}
 }
 
-// TestCancelClosesTheConnection checks that a replica learns at once that nobody
-// waits any more.
+// TestCancelClosesTheConnection checks that a cancelled call closes its connection at once, so
+// that the replica notices.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
 	to := replica(t, func(_ int, _ net.Conn, in *bufio.Reader) {
-		take(in)
+		readID(in)
 		_, _ = in.ReadByte()
 		close(closed)
 	})
@@ -230,14 +231,14 @@
 	}
 }
 
-// TestIdleLimits checks that a connection is not used when the replica may be
-// about to close it.
+// TestIdleLimits checks that a connection is not reused when the replica may be about to close
+// it.
 func TestIdleLimits(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		keeps time.Duration
-		idle  time.Duration
-		fresh bool
+		timeout time.Duration // announced by the replica
+		idle    time.Duration
+		fresh   bool
 	}{
 		{0, 9 * time.Second, true},
 		{0, 11 * time.Second, false},
@@ -246,14 +247,14 @@
 		{time.Second, 200 * time.Millisecond, true},
 		{time.Second, 400 * time.Millisecond, false},
 	} {
-		cn := &conn{since: now.Add(-c.idle), idleFor: c.keeps}
+		cn := &conn{idleSince: now.Add(-c.idle), idleTimeout: c.timeout}
 		if cn.fresh(now) != c.fresh {
-			t.Errorf("kept for %v, idle for %v: fresh is %v", c.keeps, c.idle, !c.fresh)
+			t.Errorf("idle timeout %v, idle for %v: fresh is %v", c.timeout, c.idle, !c.fresh)
 		}
 	}
 }
 
-// TestHeaderCannotSplit checks that no header's value can begin another line.
+// TestHeaderCannotSplit checks that a header value cannot start another header.
 func TestHeaderCannotSplit(t *testing.T) {
 	r := request("a", nil)
 	r.Header.Set("Evil", "x\r\nContent-Length: 9")
