--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup takes SIGHUP from the moment at which the process is initialised: until a
-// handler stands, the signal ends the process, and a platform may change the settings of one
-// that it has just started.
+// Package hangup captures SIGHUP from the initialization of the process on. Until a handler is
+// installed the signal terminates the process, and a platform may signal new settings to a
+// process that it has just started.
 package hangup
 
 import (
@@ -9,10 +9,11 @@
 	"syscall"
 )
 
-// pending holds one signal: several that were not handled yet ask for the same.
+// pending buffers one signal: one reload serves all signals that are not handled yet.
 var pending = make(chan os.Signal, 1)
 
 func init() { signal.Notify(pending, syscall.SIGHUP) }
 
-// Signals delivers each SIGHUP since the start, or one for several.
+// Signals returns a channel that receives each SIGHUP since the process started. Signals that
+// arrive before the previous one is received are merged.
 func Signals() <-chan os.Signal { return pending }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -7,12 +7,10 @@
 	"time"
 )
 
-// A VM that was started and told at once that its settings have changed was gone, without a
-// line in its log: a daemon took SIGHUP only once its settings were read, 8 to 10 ms after the
-// process began, and until then the signal ends a process. The soak found it: one start, a stop, and
-// nothing after that in the log of a VM that had been started again (seed 221).
-
-// TestHangupAtStart gets the signal before anything has asked for it. It is kept until then.
+// TestHangupAtStart sends the signal before anything reads it; the signal must be kept until
+// then. It guards against a daemon that installed its handler only after it had read its settings,
+// 8 to 10 ms after the process started: a SIGHUP for changed settings in that time terminated a
+// restarted VM without a log line (soak, seed 221).
 func TestHangupAtStart(t *testing.T) {
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/internal/sockets/bounded.go
+++ b/internal/sockets/bounded.go
@@ -2,22 +2,23 @@
 
 import "net"
 
-// LimitWriteBuffer returns a listener whose connections hold at most about so many bytes that the other
-// side has not read. The kernel takes the number as a wish.
+// LimitWriteBuffer returns a listener whose TCP connections have a kernel send buffer of about the
+// given size, which bounds the data that the peer has not read. The kernel treats the size as a
+// hint.
 func LimitWriteBuffer(l net.Listener, bytes int) net.Listener {
-	return &bounded{Listener: l, bytes: bytes}
+	return &limitedListener{Listener: l, bytes: bytes}
 }
 
-type bounded struct {
+type limitedListener struct {
 	net.Listener
 	bytes int
 }
 
 // Accept implements net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
-	c, err := b.Listener.Accept()
+func (l *limitedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if tcp, ok := c.(*net.TCPConn); ok && err == nil {
-		_ = tcp.SetWriteBuffer(b.bytes) // without it the kernel's own bound holds
+		_ = tcp.SetWriteBuffer(l.bytes) // on failure the kernel's default applies
 	}
 	return c, err
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,9 +1,9 @@
-// Package sockets makes TCP connections whose silence is noticed.
+// Package sockets creates TCP connections that detect a dead peer.
 //
-// A connection can go silent without a reset: the other end lost power, or what lies
-// between forgot it. Nothing on it ever fails then, unless the kernel asks. So every
-// connection that this process makes probes its idle end, and gives up data that is
-// not acknowledged.
+// A connection can die without a reset: the peer lost power, or a middlebox dropped the state of
+// the connection. Reads and writes on it then never fail unless the kernel probes the peer. All
+// connections that this process dials therefore use keepalive probes, and fail when sent data
+// is not acknowledged in time.
 package sockets
 
 import (
@@ -14,18 +14,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times after which a silent connection breaks. They must be shorter than the time in
-// which a VM has to notice what the connection no longer tells it: a few seconds. A
-// link that loses some packets in a hundred still gets one of two probes through.
+// Limits after which the connection to a dead peer fails. They must be shorter than the few
+// seconds within which a VM has to notice a fault. Two probes allow for a link that loses a few
+// percent of its packets.
 const (
 	probeAfter = time.Second
 	probeEvery = time.Second
 	probes     = 2
-	// unacknowledged is how long sent data may wait for its acknowledgement.
-	unacknowledged = 2500 * time.Millisecond
+	// userTimeout is how long sent data may stay unacknowledged (TCP_USER_TIMEOUT).
+	userTimeout = 2500 * time.Millisecond
 )
 
-// Dialer returns a dialer of such connections. timeout bounds connecting.
+// Dialer returns a dialer for connections that detect a dead peer. timeout bounds each dial.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -33,7 +33,7 @@
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var err error
 			if ctl := c.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 			}); ctl != nil {
 				return ctl
 			}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSilenceIsBounded checks that the kernel is asked to notice a silent connection
-// within a few seconds, both while it is idle and while data is on its way.
-func TestSilenceIsBounded(t *testing.T) {
+// TestDeadPeerDetection checks the socket options that make the kernel detect a dead peer within
+// a few seconds, both on an idle connection and while sent data is unacknowledged.
+func TestDeadPeerDetection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 			}
 		}
 		if on, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE); err != nil || on == 0 {
-			t.Errorf("no keepalive: %d, %v", on, err)
+			t.Errorf("SO_KEEPALIVE is %d, %v", on, err)
 		}
 	})
 	if err != nil {
