--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -16,23 +16,23 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Status is the admin interface's answer about this VM.
+// Status is this VM's state, as the admin interface returns it at /status.
 type Status struct {
 	VM            ids.VM                    `json:"vm"`
 	FailureDomain ids.FailureDomain         `json:"failure_domain"`
 	Ready         bool                      `json:"ready"`
 	Reason        string                    `json:"reason,omitempty"`
 	Catalog       uint64                    `json:"catalog"`
-	StoreSource   string                    `json:"store_source"` // "store", or the VM that this one reads from
+	StoreSource   string                    `json:"store_source"` // "store", or the VM that this VM reads the store through
 	ProofAge      string                    `json:"proof_age"`
-	Fence         uint64                    `json:"fence,omitempty"` // while this VM gives orders
+	Fence         uint64                    `json:"fence,omitempty"` // fencing number, while this VM holds the lease
 	InFlight      int64                     `json:"in_flight"`
 	Targets       []membership.TargetStatus `json:"targets"`
-	Limits        []ratelimit.Status        `json:"limits,omitempty"` // rates that targets named
+	Limits        []ratelimit.Status        `json:"limits,omitempty"` // rate limits that targets announced
 	Canaries      []canary.Record           `json:"canaries,omitempty"`
 }
 
-// Status returns this VM's state at this moment.
+// Status returns this VM's current state.
 func (d *Daemon) Status() Status {
 	now := clock.Now()
 	ready, reason := d.ready.Ready()
@@ -50,21 +50,21 @@
 	return s
 }
 
-// Metrics are this VM's counters, published as "threadwall" by expvar.
+// Metrics holds this VM's counters, which expvar publishes as "threadwall".
 // docs/OPERATIONS.md explains each.
 type Metrics struct {
 	Requests      int64                     `json:"requests"`
 	Refused       int64                     `json:"refused"`
-	Shed          int64                     `json:"shed"` // of those refused, because engines were too busy
+	Shed          int64                     `json:"shed"` // of the refused ones: because engines were overloaded
 	Failed        int64                     `json:"failed"`
 	Broken        int64                     `json:"streams_broken"`
 	InFlight      int64                     `json:"in_flight"`
 	Attempts      int64                     `json:"attempts"`
 	Retries       int64                     `json:"retries"`
 	BudgetEmpty   int64                     `json:"retry_budget_empty"`
-	Unread        int64                     `json:"unread"`       // calls that were cut off since their callers did not read
-	ResponseBytes int64                     `json:"answer_bytes"` // held by answers that are read whole
-	Withdrawn     int64                     `json:"withdrawn"`    // sends that had not begun when their target's weights became too old
+	Unread        int64                     `json:"unread"`       // calls aborted because their callers did not read
+	ResponseBytes int64                     `json:"answer_bytes"` // memory of responses that are buffered completely
+	Withdrawn     int64                     `json:"withdrawn"`    // sends not yet started when their target's weights became too old
 	Events        int64                     `json:"stream_events"`
 	Fetches       int64                     `json:"kv_fetches"`
 	Saves         int64                     `json:"kv_saves"`
@@ -75,22 +75,22 @@
 	Latency       *forward.Histogram        `json:"latency"`
 	Prediction    *forward.PredictionErrors `json:"prediction"`
 	Rollout       RolloutMetrics            `json:"rollout"`
-	Late          *forward.LateCounts       `json:"late"`     // answers, by why they were late
-	Refusals      *forward.RefusalCounts    `json:"refusals"` // and failures, by code and step
+	Late          *forward.LateCounts       `json:"late"`     // late responses, by reason
+	Refusals      *forward.RefusalCounts    `json:"refusals"` // refusals and failures, by code and step
 	Crashes       CrashMetrics              `json:"crashes"`
 	Allowances    []allowance.Status        `json:"allowances"`
-	Bytes         *traffic.Meter            `json:"bytes"`       // exchanged, by purpose
+	Bytes         *traffic.Meter            `json:"bytes"`       // bytes exchanged, by purpose
 	StoreCalls    *objectapi.Counted        `json:"store_calls"` // by method and kind
 	News          NewsMetrics               `json:"news"`
 	HeapBytes     int64                     `json:"heap_bytes"`
 	Goroutines    int                       `json:"goroutines"`
 }
 
-// CrashMetrics tell of replicas that crashed while they ran requests.
+// CrashMetrics counts replicas that crashed while they ran requests.
 type CrashMetrics struct {
-	Seen        int64 `json:"seen"`        // by this VM
-	Requests    int   `json:"requests"`    // that are remembered for it, by this VM or a peer
-	Quarantined int   `json:"quarantined"` // of these, not sent to replicas any more
+	Seen        int64 `json:"seen"`        // crashes observed by this VM
+	Requests    int   `json:"requests"`    // requests on record for a crash observed by this VM or a peer
+	Quarantined int   `json:"quarantined"` // of these, no longer sent to replicas
 }
 
 func (d *Daemon) crashMetrics() CrashMetrics {
@@ -98,38 +98,39 @@
 	return CrashMetrics{Seen: d.crashes.Crashes.Load(), Requests: cases, Quarantined: quarantined}
 }
 
-// NewsMetrics count the datagrams between VMs, and tell this VM's place in the tree.
+// NewsMetrics counts the datagrams exchanged with other VMs, and holds this VM's position in the
+// distribution tree.
 type NewsMetrics struct {
 	Sent      int64  `json:"sent"`
-	Forwarded int64  `json:"passed_on"` // of another domain's VM, to this domain
+	Forwarded int64  `json:"passed_on"` // from VMs of other failure domains to VMs of this one
 	Received  int64  `json:"heard"`
-	Rejected  int64  `json:"rejected"`         // neither understood nor sent
-	Dropped   int64  `json:"untold"`           // changes of caches that were too many to tell
-	Parent    ids.VM `json:"parent,omitempty"` // in the tree; empty: this VM is a root, or there is no tree
+	Rejected  int64  `json:"rejected"`         // could not be decoded or sent
+	Dropped   int64  `json:"untold"`           // cache changes left out because there were too many
+	Parent    ids.VM `json:"parent,omitempty"` // empty: this VM is a root, or there is no tree
 	Children  int    `json:"children"`
 }
 
 func (d *Daemon) newsMetrics() NewsMetrics {
-	x := d.news
-	parent, children := x.TreePosition()
+	n := d.news
+	parent, children := n.TreePosition()
 	return NewsMetrics{
-		Sent: x.Sent.Load(), Forwarded: x.Forwarded.Load(), Received: x.Received.Load(), Rejected: x.Rejected.Load(), Dropped: x.Dropped.Load(),
+		Sent: n.Sent.Load(), Forwarded: n.Forwarded.Load(), Received: n.Received.Load(), Rejected: n.Rejected.Load(), Dropped: n.Dropped.Load(),
 		Parent: parent, Children: children,
 	}
 }
 
-// RolloutMetrics show how far the engines are behind the weights that operators name.
-// All VMs show the first three; orders are counted by the VM that gives them.
+// RolloutMetrics shows the progress of engines towards the weights that operators set. All VMs
+// report the first three fields; only the lease holder counts orders.
 type RolloutMetrics struct {
-	Behind     int    `json:"behind"`
-	BehindDown int    `json:"behind_down"` // of these, engines that answer nothing
-	LeftMs     int64  `json:"left_ms"`     // until the oldest weights in use may no longer be used; zero: all are new
-	Fence      uint64 `json:"fence"`       // while this VM gives orders
+	Behind     int    `json:"behind"`      // engines without the newest weights
+	BehindDown int    `json:"behind_down"` // of these, unresponsive engines
+	LeftMs     int64  `json:"left_ms"`     // time until the oldest weights in use expire; zero: all are new
+	Fence      uint64 `json:"fence"`       // fencing number, while this VM holds the lease
 	Orders     int64  `json:"orders"`
 	Done       int64  `json:"orders_done"`
 	Failed     int64  `json:"orders_failed"`
 	DrainMs    int64  `json:"orders_drain_ms"`
-	TotalMs    int64  `json:"orders_total_ms"` // draining included
+	TotalMs    int64  `json:"orders_total_ms"` // includes draining
 }
 
 func (d *Daemon) rolloutMetrics() RolloutMetrics {
@@ -151,7 +152,7 @@
 	return m
 }
 
-// Metrics returns the counters at this moment.
+// Metrics returns the current values of the counters.
 func (d *Daemon) Metrics() Metrics {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -163,15 +164,16 @@
 		Events: s.Events.Load(), Fetches: s.Fetches.Load(), Saves: s.Saves.Load(),
 		Dials: f.Upstream.Dials.Load(), Reuses: f.Upstream.Reuses.Load(), Strays: f.Upstream.Strays.Load(),
 		ProofAgeMs: d.Catalog.ProofAge(clock.Now()).Milliseconds(), Latency: &f.Latency, Prediction: &f.Prediction, Rollout: d.rolloutMetrics(),
-		Late: &f.Late, Refusals: &f.Refusals, Crashes: d.crashMetrics(), Allowances: d.allowed.Status(), Bytes: d.adapter.Meter, StoreCalls: d.store, News: d.newsMetrics(),
+		Late: &f.Late, Refusals: &f.Refusals, Crashes: d.crashMetrics(), Allowances: d.allowances.Status(), Bytes: d.adapter.Meter, StoreCalls: d.store, News: d.newsMetrics(),
 		HeapBytes: int64(mem.HeapAlloc), Goroutines: runtime.NumGoroutine(),
 	}
 }
 
-// published is the daemon whose metrics expvar shows; a later one in the same
-// process (tests) replaces an earlier one.
+// published is the daemon whose metrics expvar shows. In tests, a later daemon of the process
+// replaces an earlier one.
 var published atomic.Pointer[Daemon]
 
+// publish exposes the metrics of d through expvar.
 func publish(d *Daemon) {
 	if published.Swap(d) != nil || expvar.Get("threadwall") != nil {
 		return
--- a/internal/edge/admin_test.go
+++ b/internal/edge/admin_test.go
@@ -10,7 +10,7 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// TestMetricsShowPredictionErrors checks that operators see how wrong predictions were.
+// TestMetricsShowPredictionErrors checks that the metrics include the errors of predictions.
 func TestMetricsShowPredictionErrors(t *testing.T) {
 	d, err := New(settings.Settings{VM: "vm1", Edge: &settings.Edge{}}, Options{Adapter: Adapter{Store: objectapi.NewMemory()}, LogTo: io.Discard})
 	if err != nil {
@@ -31,10 +31,10 @@
 		t.Fatal(err)
 	}
 	n := int64(0)
-	for _, step := range shown.Prediction.Routes["chat"] {
-		n += step.Count
+	for _, bucket := range shown.Prediction.Routes["chat"] {
+		n += bucket.Count
 	}
 	if n != 1 {
-		t.Fatalf("the metrics show %d predictions of the route: %s", n, text)
+		t.Fatalf("the metrics show %d predictions of the route, want 1: %s", n, text)
 	}
 }
--- a/internal/edge/allowances.go
+++ b/internal/edge/allowances.go
@@ -5,13 +5,13 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// adopted puts the configuration in force that was read last.
-func (d *Daemon) adopted() {
+// applyCatalog applies the newest configuration to the allowances and the replicas.
+func (d *Daemon) applyCatalog() {
 	d.setAllowances()
 	d.Replicas.Publish()
 }
 
-// setAllowances puts the allowances of the configuration into force.
+// setAllowances applies the allowances of the configuration.
 func (d *Daemon) setAllowances() {
 	c := d.Catalog.Get()
 	if c == nil {
@@ -26,5 +26,5 @@
 			limits[w.Name] = l
 		}
 	}
-	d.allowed.SetLimits(limits)
+	d.allowances.SetLimits(limits)
 }
--- a/internal/edge/canaries.go
+++ b/internal/edge/canaries.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// tellCanariesEvery is how often a VM tells what it has counted of canaries.
-	tellCanariesEvery = 200 * time.Millisecond
-	// tellAllEvery is one in how many times it tells all of it, for datagrams that were lost.
-	tellAllEvery = 5
+	// canaryReportEvery is the interval at which a VM sends its counts of canary calls.
+	canaryReportEvery = 200 * time.Millisecond
+	// fullReportEvery is the number of reports per full report. Full reports make up for lost
+	// datagrams.
+	fullReportEvery = 5
 )
 
-// buildCanaries builds what tells versions of software apart, where the settings ask for it.
+// buildCanaries sets up canary releases of software versions if the settings enable them.
 func (d *Daemon) buildCanaries() {
 	e := d.Settings.Edge
 	if !e.Canaries {
@@ -31,13 +32,13 @@
 		Bounds: canary.Bounds{Share: e.CanaryShare, Slack: e.CanarySlack},
 		Decode: d.adapter.DecodeOrder, EncodeStatus: d.adapter.EncodeOrderStatus,
 		Held: func() bool { _, held := d.Lease.Held(); return held }, Targets: d.softwareTargets,
-		LiveVMs: d.livingNames, WeightsSettled: func() bool { _, quiet := d.Rollout.IdleSince(d.started); return quiet },
+		LiveVMs: d.liveVMNames, WeightsSettled: func() bool { _, idle := d.Rollout.IdleSince(d.started); return idle },
 	}
 	d.Rollout.Retired = func(rec platform.Record) bool { return gate.Retiring(rec.Service, rec.Software) }
 	d.news.OnCanaryReports = d.canaries.Receive
 }
 
-// softwareTargets returns what the controller needs of each target.
+// softwareTargets returns the known targets in the form that the canary controller needs.
 func (d *Daemon) softwareTargets() []canary.Target {
 	now := clock.Now()
 	var out []canary.Target
@@ -49,29 +50,30 @@
 	return out
 }
 
-// livingNames returns the VMs that are heard, this one included.
-func (d *Daemon) livingNames() []ids.VM {
+// liveVMNames returns the VMs that sent a message recently, and this one.
+func (d *Daemon) liveVMNames() []ids.VM {
 	var out []ids.VM
-	for vm := range d.vms.living().domain {
+	for vm := range d.vms.live().domain {
 		out = append(out, vm)
 	}
 	return out
 }
 
-// runCanaries moves services to the versions that operators order while this VM holds the lease.
+// runCanaries moves services to the software versions that operators ordered, while this VM holds
+// the lease.
 func (d *Daemon) runCanaries(ctx context.Context) {
 	if d.canaries != nil {
 		d.canaries.Run(ctx)
 	}
 }
 
-// tellCanaries tells the VM that acts what this one has counted.
-func (d *Daemon) tellCanaries(ctx context.Context) {
+// sendCanaryReports sends this VM's counts of canary calls to the VMs that evaluate them.
+func (d *Daemon) sendCanaryReports(ctx context.Context) {
 	if d.canaries == nil {
 		return
 	}
-	for n := 0; timing.Sleep(ctx, tellCanariesEvery); n++ {
-		for vm, reports := range d.Forward.Software.Reports(n%tellAllEvery == 0) {
+	for n := 0; timing.Sleep(ctx, canaryReportEvery); n++ {
+		for vm, reports := range d.Forward.Software.Reports(n%fullReportEvery == 0) {
 			d.news.SendCanaryReports(vm, reports)
 		}
 	}
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -13,78 +13,83 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Rhythms of duties that no setting governs.
+// Intervals of duties that have no setting.
 const (
 	refreshEvery = 100 * time.Millisecond
 	trimEvery    = time.Second
 	logEvery     = time.Second
 	sweepEvery   = 250 * time.Millisecond
 	forgetEvery  = 10 * time.Second
-	// holderEvery is how often the lease's holder renews, and others look.
+	// holderEvery is how often the lease holder renews the lease; otherEvery is the mean interval
+	// at which other VMs read it.
 	holderEvery = 700 * time.Millisecond
 	otherEvery  = 1400 * time.Millisecond
-	// candidates is how many VMs look often, so that one takes over soon; farEvery is
-	// how often the rest does, for the case that all of them are gone.
-	candidates = 5
-	farEvery   = 20 * time.Second
-	// roundEvery is how often the holder compares what is and what is wanted, and otherRoundEvery
-	// how often others look whether they hold the lease. A round takes one part in roundRest + 1
-	// of the time at most.
+	// candidates is the number of top-ranked VMs that read the lease every otherEvery, so that
+	// one of them takes over soon. The others read it every lowRankEvery, in case all
+	// candidates are gone.
+	candidates   = 5
+	lowRankEvery = 20 * time.Second
+	// roundEvery is how often the lease holder compares the actual state with the desired one;
+	// otherRoundEvery is how often other VMs check whether they hold the lease. The pause after
+	// a round is at least roundIdleFactor times its duration, so that rounds take at most
+	// 1/(roundIdleFactor+1) of the time.
 	roundEvery      = 100 * time.Millisecond
 	otherRoundEvery = 400 * time.Millisecond
-	roundRest       = 9
+	roundIdleFactor = 9
 )
 
-// leaseTuning gives the lease's times, so that the last order of one holder and the
-// first of the next are at least turn apart. An order leaves only if it arrives before
-// the holder stops (package rollout); margin and wait-out lie between that and the next.
-func leaseTuning(turn time.Duration) lease.Tuning {
+// leaseTuning returns the timing of the lease for orders, such that at least handover passes
+// between the last order of one holder and the first order of the next. An order is sent only if
+// it arrives before the holder stops (package rollout); Margin and WaitOut separate that from the
+// start of the next holder.
+func leaseTuning(handover time.Duration) lease.Tuning {
 	const margin = 600 * time.Millisecond
 	return lease.Tuning{
-		Duration: 2200 * time.Millisecond, Margin: margin, WaitOut: turn - margin + turnMargin,
-		HandoverDelay: turn + turnMargin, ReclaimOwn: true,
+		Duration: 2200 * time.Millisecond, Margin: margin, WaitOut: handover - margin + handoverMargin,
+		HandoverDelay: handover + handoverMargin, ReclaimOwn: true,
 	}
 }
 
-// turnMargin covers how late timers fire and how clocks of VMs drift apart in one turn.
-const turnMargin = 200 * time.Millisecond
+// handoverMargin allows for late timers and for the drift between the clocks of VMs during one
+// handover.
+const handoverMargin = 200 * time.Millisecond
 
-// dutyTable names every duty. Each runs in a goroutine of its own until its
-// context ends.
+// dutyTable returns all duties by name. Each runs in its own goroutine until its context ends.
 func (d *Daemon) dutyTable() map[string]func(context.Context) {
 	return map[string]func(context.Context){
 		"read-store":    d.reader.Run,
 		"register":      d.register,
-		"reload":        d.reloads,
-		"readiness":     d.judge,
+		"reload":        d.watchReload,
+		"readiness":     d.watchReadiness,
 		"trim":          every(trimEvery, func() { d.Forward.Upstream.Trim(clock.Now()) }),
 		"sweep":         every(sweepEvery, d.Replicas.Sweep),
-		"clock":         func(ctx context.Context) { clock.Watch(ctx, d.woke) },
-		"allowances":    every(allowance.SweepEvery, d.allowed.Sweep),
+		"clock":         func(ctx context.Context) { clock.Watch(ctx, d.onSuspension) },
+		"allowances":    every(allowance.SweepEvery, d.allowances.Sweep),
 		"forget":        every(forgetEvery, d.crashes.Sweep),
 		"log":           every(logEvery, d.Log.Tell),
-		"usage":         every(usageEvery, d.tellUsage),
+		"usage":         every(usageEvery, d.logUsage),
 		"feeds":         d.feeds.Run,
-		"retell":        d.retellCaches,
-		"watch":         every(watchEvery, d.watchReaders),
+		"retell":        d.resendCaches,
+		"watch":         every(checkReadersEvery, d.checkReaders),
 		"hear-news":     d.news.Receive,
 		"tell-news":     d.news.SendLoads,
 		"tell-kv":       d.news.SendCacheChanges,
 		"lease":         d.keepLease,
-		"orders":        d.giveOrders,
+		"orders":        d.sendOrders,
 		"canaries":      d.runCanaries,
-		"tell-canaries": d.tellCanaries,
+		"tell-canaries": d.sendCanaryReports,
 	}
 }
 
-// woke puts an end to what a suspension of this VM has outlived. Proofs, the lease and all
-// ages go by package clock and have run out by themselves.
-func (d *Daemon) woke(length time.Duration) {
+// onSuspension ends the calls that may not go on after a suspension of this VM. Proofs, the lease
+// and all ages use package clock, which counts suspensions, and have expired by themselves.
+func (d *Daemon) onSuspension(length time.Duration) {
 	ended := d.Forward.AfterSuspension()
 	d.Log.Belief("suspended").Int64("ms", length.Milliseconds()).Int("calls_over", ended).
 		Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
 }
 
+// every returns a duty that calls f once per period.
 func every(period time.Duration, f func()) func(context.Context) {
 	return func(ctx context.Context) {
 		for timing.Sleep(ctx, period) {
@@ -110,15 +115,15 @@
 	}
 }
 
-// leasePause is the time until this VM looks at the lease again. One that may take it
-// over before its next look wakes for that: each second without a holder is one less to
-// bring engines to new weights.
+// leasePause returns the time until this VM reads the lease again. If the lease may be taken over
+// before the next regular read, the pause ends then: each second without a holder shortens the
+// time in which engines must load new weights.
 func (d *Daemon) leasePause(holds bool) time.Duration {
 	switch {
 	case holds:
 		return holderEvery
 	case d.vms.rank(leaseName) >= candidates:
-		return farEvery/2 + rand.N(farEvery)
+		return lowRankEvery/2 + rand.N(lowRankEvery)
 	}
 	pause := otherEvery/2 + rand.N(otherEvery)
 	if due, ok := d.Lease.Takeover(); ok && due > 0 {
@@ -127,55 +132,56 @@
 	return pause
 }
 
-// leaseSleep waits for so long, or until a holder says that it has stopped.
+// leaseSleep waits for pause. If a holder reports that it has stopped, it waits until the lease may
+// be taken over instead.
 func (d *Daemon) leaseSleep(ctx context.Context, pause time.Duration) {
 	wait, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
 	select {
 	case <-wait.Done():
-	case <-d.leaseNews:
+	case <-d.leaseWakeUp:
 		due, _ := d.Lease.Takeover()
 		timing.Sleep(ctx, due+rand.N(takeoverSpread))
 	}
 }
 
-// lapsed returns what peers are to know of a lease for orders that this VM could not renew.
-// Where only the holder was cut off from the store, engines got no orders for 4.8 s, and
-// then all at once.
-func (d *Daemon) lapsed() *news.LeaseLapse {
+// leaseLapse returns the notice to peers that this VM could not renew the lease for orders, or nil.
+// Without the notice, when only the holder was partitioned from the store, engines received no
+// orders for 4.8 s and then all at once.
+func (d *Daemon) leaseLapse() *news.LeaseLapse {
 	n, lapsed := d.Lease.Lapsed()
-	since, quiet := d.Rollout.IdleSince(d.started)
-	if !lapsed || !quiet {
+	since, idle := d.Rollout.IdleSince(d.started)
+	if !lapsed || !idle {
 		return nil
 	}
 	return &news.LeaseLapse{Instance: n.Instance, Fence: n.Fence, Renewal: n.Renewal, SinceLastOrderMs: clock.Since(since).Milliseconds()}
 }
 
-// heardLapsed takes in that a peer has stopped giving orders.
-func (d *Daemon) heardLapsed(l news.LeaseLapse) {
+// onLeaseLapse applies the notice that a peer has stopped sending orders.
+func (d *Daemon) onLeaseLapse(l news.LeaseLapse) {
 	n := lease.Notice{Instance: l.Instance, Fence: l.Fence, Renewal: l.Renewal, IdleFor: time.Duration(l.SinceLastOrderMs) * time.Millisecond}
 	if !d.Lease.ReceiveNotice(n) {
 		return
 	}
 	if d.vms.rank(leaseName) >= candidates {
-		return // the few that look often take it over: 195 VMs that all looked made 195 calls
+		return // the candidates take over: when all 195 VMs read the lease, that made 195 calls
 	}
 	d.Log.Belief("lease-lapsed").Uint64("fence", l.Fence).Uint64("renewal", l.Renewal).Int64("quiet_ms", l.SinceLastOrderMs).Send()
 	select {
-	case d.leaseNews <- struct{}{}:
-	default: // it is awake
+	case d.leaseWakeUp <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// takeoverSpread keeps VMs that saw the same renewal from taking the lease over at the
-// same time, which costs each of them a write.
+// takeoverSpread is the random delay that keeps VMs that read the same renewal from taking over at
+// the same time, which costs each of them a write.
 const takeoverSpread = 200 * time.Millisecond
 
-// leaseName names the lease for orders, in the store and for rendezvous.
+// leaseName is the name of the lease for orders, in the store and for rendezvous hashing.
 const leaseName = "orders"
 
-// giveOrders compares what is with what is wanted while this VM holds the lease.
-func (d *Daemon) giveOrders(ctx context.Context) {
+// sendOrders brings engines to their desired state while this VM holds the lease.
+func (d *Daemon) sendOrders(ctx context.Context) {
 	for pause := roundEvery; timing.Sleep(ctx, pause); {
 		if _, held := d.Lease.Held(); !held {
 			pause = otherRoundEvery
@@ -189,27 +195,27 @@
 		if err := d.Orders.Reconcile(ctx); err != nil {
 			d.Log.Belief("order-round-failed").Str("error", err.Error()).Send()
 		}
-		pause = max(roundEvery, roundRest*clock.Since(began)) // a round goes over all engines
+		pause = max(roundEvery, roundIdleFactor*clock.Since(began)) // a round visits all engines
 	}
 	d.Orders.Wait()
 }
 
-// orderTime is how long a replica that got an order is expected to take no work; while
-// it lasts longer, the VMs are told again.
+// orderTime is how long a replica is assumed to accept no requests after an order. If the order
+// takes longer, the notice to the VMs is repeated.
 const orderTime = 1500 * time.Millisecond
 
-// ordering notes that a replica carries out an order, or has done so, and tells
+// onOwnOrder records that a replica executes an order of this VM, or has completed it, and notifies
 // the peers.
-func (d *Daemon) ordering(id ids.Target, w ids.WeightsVersion, done bool) {
+func (d *Daemon) onOwnOrder(id ids.Target, w ids.WeightsVersion, done bool) {
 	o := news.Order{Target: id, Weights: w, Done: done, Incarnation: d.Fleet.Members.Incarnation(id)}
-	d.ordered(o)
+	d.onOrder(o)
 	d.news.SendOrder(o)
 }
 
-// ordered takes in that a replica carries out an order, or has done so.
-func (d *Daemon) ordered(o news.Order) {
+// onOrder records that a replica executes an order, or has completed it.
+func (d *Daemon) onOrder(o news.Order) {
 	if o.Incarnation != 0 && o.Incarnation < d.Fleet.Members.Incarnation(o.Target) {
-		return // the engine has started again since
+		return // the engine has restarted since
 	}
 	if o.Done {
 		d.Replicas.SetWeights(o.Target, o.Weights, "news")
@@ -220,8 +226,8 @@
 	d.Fleet.MarkDirty()
 }
 
-// named returns the weights that peers are told of.
-func (d *Daemon) named() []news.RecentWeights {
+// recentWeights returns the versions of weights to report to peers.
+func (d *Daemon) recentWeights() []news.RecentWeights {
 	var out []news.RecentWeights
 	for _, a := range d.Weights.Recent(clock.Now()) {
 		out = append(out, news.RecentWeights{Model: a.Model, Version: a.Version, AgeMs: a.Age.Milliseconds()})
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,22 +1,20 @@
-// Package edge is the daemon of a VM that serves opaque requests for a platform:
-// it follows the platform's store, forwards calls (package forward) and, while it
-// holds the lease, brings engines to the weights that operators name (package
-// rollout).
+// Package edge is the daemon of a VM that serves opaque requests for a platform: it follows the
+// platform's store, forwards calls (package forward) and, while it holds the lease, brings engines
+// to the weights that operators set (package rollout).
 //
-// # What a VM knows and from whom
+// # Sources of data
 //
-// In a small fleet each VM follows the store by itself: configuration, replicas,
-// weights, and the list of entry VMs. In a large one a VM of each failure domain does,
-// and the others read from it (package mirror), so that the calls grow with the number
-// of domains. A VM falls back to the store when no peer serves, so none needs another,
-// a domain that is cut off goes on with what it has, and a VM that starts needs the
-// store alone.
+// In a small fleet each VM follows the store itself: configuration, replicas, weights, and the
+// list of entry VMs. In a large fleet one VM follows it, one VM of each other failure domain reads
+// from that VM, and the others read from the VM of their domain (package mirror), so that calls
+// between domains grow with the number of domains only. A VM falls back to the store when no peer
+// responds. No VM therefore depends on another, a partitioned failure domain continues with the
+// data it has, and a starting VM needs only the store.
 //
 // # Readiness
 //
-// A VM is ready when it has a configuration, the replicas and the weights, and can
-// prove that its configuration is the newest. Until then it refuses calls as not
-// run.
+// A VM is ready when it has a configuration, the replicas and the weights, and can prove that its
+// configuration is the newest. Until then it refuses calls as not run.
 package edge
 
 import (
@@ -65,39 +63,40 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// Adapter is how a platform is spoken to.
+// Adapter connects the daemon to a platform.
 type Adapter struct {
 	Store   objectapi.Store
 	Dialect forward.Dialect
 	Engines rollout.EngineClient
 	Feeds   kvfeed.Reader
-	// Meter counts the bytes of Engines and Feeds, and of all else that this VM
-	// exchanges with targets and peers. Nil: nothing does.
+	// Meter counts the bytes of Engines and Feeds, and of all other traffic with targets and
+	// peers. Nil disables counting.
 	Meter *traffic.Meter
 
 	DecodeConfig  func(value []byte) (catalog.Declaration, error)
 	DecodeReplica func(o objectapi.Object) (platform.Record, error)
 	DecodeWeights func(value []byte) (follow.NamedWeights, error)
 
-	// DecodeOrder reads an operator's order for a version of a service's software, and
-	// EncodeOrderStatus renders what becomes of it.
+	// DecodeOrder decodes an operator's order for a version of a service's software, and
+	// EncodeOrderStatus encodes its result.
 	DecodeOrder       func(o objectapi.Object) (canary.Order, error)
 	EncodeOrderStatus func(target ids.SoftwareVersion, end canary.End) ([]byte, error)
 
-	// Where things lie in the store.
+	// Keys and key prefixes in the store.
 	PrefixConfig, KeyConfig, PrefixReplicas, PrefixWeights, PrefixOrders string
 }
 
-// Options are what the process is run with.
+// Options holds the dependencies of a daemon that come from its process.
 type Options struct {
 	Adapter Adapter
 	LogTo   io.Writer
-	// Hangup delivers the signals at which Reload reads the settings again. Nil: none.
+	// Hangup delivers a signal for each reload, which reads the settings with Reload. Nil: no
+	// reloads.
 	Hangup <-chan os.Signal
 	Reload func() (settings.Settings, error)
 }
 
-// Daemon is one VM's daemon.
+// Daemon is the daemon of one VM.
 type Daemon struct {
 	Settings settings.Settings
 	Log      *eventlog.Log
@@ -110,15 +109,15 @@
 	Orders   *orders.Reconciler
 	Rollout  *rollout.Rollout
 
-	adapter Adapter
-	options Options
-	current settings.Settings // as last read; Settings are those of the start
-	store   *objectapi.Counted
-	feeds   *kvfeed.Feeds
-	budgets *retry.ServiceBudgets
-	crashes *quarantine.Ledger
-	allowed *allowance.Limiter
-	// canaries is nil where operators order no versions of software.
+	adapter    Adapter
+	options    Options
+	current    settings.Settings // as last reloaded; Settings are those at the start
+	store      *objectapi.Counted
+	feeds      *kvfeed.Feeds
+	budgets    *retry.ServiceBudgets
+	crashes    *quarantine.Ledger
+	allowances *allowance.Limiter
+	// canaries is nil if the settings disable canary releases.
 	canaries *canary.Controller
 	news     *news.Exchange
 	vms      vmList
@@ -126,17 +125,17 @@
 	mirrors  *mirror.Server
 	ready    readiness
 	servers  []*http.Server
-	// peerServer serves entry VMs.
+	// peerServer serves reads of the store to other entry VMs.
 	peerServer *grpc.Server
 	cancel     context.CancelFunc
 	duties     sync.WaitGroup
 	failed     func()
 	started    time.Time
-	// leaseNews wakes the duty that keeps the lease: a holder has said that it stopped.
-	leaseNews chan struct{}
+	// leaseWakeUp wakes up keepLease when a holder has reported that it stopped.
+	leaseWakeUp chan struct{}
 }
 
-// Module wires a daemon for fx. Settings and options must be supplied.
+// Module provides a Daemon to fx. The application must supply settings.Settings and Options.
 var Module = fx.Module("threadwalld-edge",
 	fx.Provide(New),
 	fx.Invoke(func(lc fx.Lifecycle, d *Daemon, sd fx.Shutdowner) {
@@ -147,35 +146,37 @@
 
 // Sizes and bounds.
 const (
-	// beliefCapacity is how many cache beliefs a VM holds, at 16 bytes each.
-	beliefCapacity = 64 << 10
-	// fetchRate is how fast engines move KV cache to each other, in tokens/s, with
-	// what a move risks: moving 3,800 tokens takes 1 to 50 ms, and now and then their
-	// holder has just dropped them, so that they are computed once more.
+	// cacheViewCapacity is the number of entries in the cache view, at 16 bytes each.
+	cacheViewCapacity = 64 << 10
+	// fetchRate is the rate at which engines fetch KV cache from each other, in tokens/s. It
+	// allows for failed transfers: fetching 3,800 tokens takes 1 to 50 ms, and sometimes the
+	// holder has just evicted them, so that they are computed again.
 	fetchRate = 40_000
-	// prefillRate is assumed of engines, in tokens/s: about what the engines that
-	// threadwall is built for do.
+	// prefillRate is the assumed prefill rate of engines, in tokens/s. It is close to that of
+	// the engines that threadwall is built for.
 	prefillRate = 50_000
-	// bodyShare is the part of the memory that callers' bodies may take.
+	// bodyShare is the fraction of the memory setting that request bodies may take.
 	bodyShare = 0.25
-	// answersOfOne is the part of the memory for answers that one workspace may take.
-	answersOfOne = 0.5
-	// callerBuffer is the kernel's write buffer of a caller's connection, in bytes: what a caller
-	// leaves unread counts as the VM's memory.
-	callerBuffer = 32 << 10
-	// keyMargin is taken off the age that a proof may have, for the way from here to
-	// the replica.
+	// workspaceResponseShare is the fraction of the memory for responses that one workspace may
+	// take.
+	workspaceResponseShare = 0.5
+	// callerWriteBuffer is the size of the kernel's send buffer of a caller's connection, in
+	// bytes. Data that a caller does not read counts towards the VM's memory.
+	callerWriteBuffer = 32 << 10
+	// keyMargin is subtracted from the maximum age of a proof, for the network delay to the
+	// replica.
 	keyMargin = 300 * time.Millisecond
-	// weightsMargin is taken off the time in which older weights may be used.
+	// weightsMargin is subtracted from the time in which older weights may be used.
 	weightsMargin = time.Second
-	// hurryShare is the part of the time in which older weights may be used after
-	// which a rollout no longer takes one engine at a time.
-	hurryShare = 0.3
-	// returnGrace is how long after the store's return entries that had lapsed
-	// meanwhile may come back.
-	returnGrace = 2 * time.Second
-	// neverSilent keeps membership from counting silence: no target is probed here.
-	neverSilent = 10_000 * time.Hour
+	// throttleShare is the fraction of the time in which older weights may be used during which a
+	// rollout takes one engine at a time.
+	throttleShare = 0.3
+	// regainGrace is how long after an outage of the store replicas whose entries expired during
+	// it may register again.
+	regainGrace = 2 * time.Second
+	// noProbeGrace keeps membership from treating targets as unresponsive: this daemon does not
+	// probe targets.
+	noProbeGrace = 10_000 * time.Hour
 )
 
 var errNoEdge = eris.New("the settings have no section edge")
@@ -186,16 +187,16 @@
 		return nil, errNoEdge
 	}
 	tuning := membership.DefaultTuning
-	tuning.Grace = neverSilent
-	tuning.SlowStart = 0 // a replica that starts again is as good as one that is new
+	tuning.Grace = noProbeGrace
+	tuning.SlowStart = 0 // a restarted replica is treated like a new one
 	policy := routing.NewFetching()
 	if s.Policy == "round-robin" {
 		policy = routing.NewRoundRobin()
 	}
 	d := &Daemon{
-		Settings: s, adapter: o.Adapter, options: o, current: s, Catalog: &catalog.Current{}, leaseNews: make(chan struct{}, 1),
+		Settings: s, adapter: o.Adapter, options: o, current: s, Catalog: &catalog.Current{}, leaseWakeUp: make(chan struct{}, 1),
 		Log: eventlog.New(o.LogTo, map[string]string{"vm": string(s.VM)}),
-		Fleet: fleet.New(membership.New(s.VM, tuning), cacheview.New(beliefCapacity, nil),
+		Fleet: fleet.New(membership.New(s.VM, tuning), cacheview.New(cacheViewCapacity, nil),
 			loadview.New(), policy, nil),
 		store:   &objectapi.Counted{Store: o.Adapter.Store},
 		budgets: retry.NewServiceBudgets(s.Edge.RetryRatio*budgetUse, s.Edge.RetryBurst*budgetUse, s.Edge.RetryWindow.D()),
@@ -206,19 +207,20 @@
 	return d, nil
 }
 
-// budgetUse is the part of the retry budget that is used: arrivals that this VM
-// takes for failed dials may have reached their replica.
+// budgetUse is the fraction of the retry budget that is used, since attempts that this VM counts
+// as failed dials may have reached their replica.
 const budgetUse = 0.8
 
+// build creates the components of the daemon and connects them.
 func (d *Daemon) build() {
 	s, edge := d.Settings, d.Settings.Edge
 	client := upstream.NewClient(s.DialTimeout.D())
 	client.Meter = d.adapter.Meter
 	if d.adapter.Meter != nil {
-		d.adapter.Meter.CrossDomain = d.far
+		d.adapter.Meter.CrossDomain = d.crossDomain
 	}
 	d.Replicas = &follow.Replicas{
-		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.gone(client), Named: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
+		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.forgetReplica(client), Named: d.hasService, ReturnGrace: regainGrace, Log: d.Log,
 		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Most: edge.Subset},
 	}
 	d.Fleet.KnownFraction = d.Replicas.Part
@@ -234,7 +236,7 @@
 		Tuning: forward.Tuning{
 			MaxBodyMemory:     int64(float64(edge.MemoryMB<<20) * bodyShare),
 			MaxInFlight:       int64(s.MaxInFlight),
-			MaxResponseMemory: edge.AnswerMB << 20, MaxResponseMemoryPerWorkspace: int64(float64(edge.AnswerMB<<20) * answersOfOne),
+			MaxResponseMemory: edge.AnswerMB << 20, MaxResponseMemoryPerWorkspace: int64(float64(edge.AnswerMB<<20) * workspaceResponseShare),
 			ReaderTimeout: edge.ReaderTimeout.D(),
 		},
 	}
@@ -245,17 +247,17 @@
 			return client.Check(ctx, upstream.Replica{ID: t, Addr: addr})
 		},
 	}}
-	d.allowed = allowance.New(s.VM, nil)
-	d.Forward.Allowances = d.allowed
-	d.Forward.KeyTTL.Store(keyAge(edge.KeyTTL.D()))
+	d.allowances = allowance.New(s.VM, nil)
+	d.Forward.Allowances = d.allowances
+	d.Forward.KeyTTL.Store(maxProofAge(edge.KeyTTL.D()))
 	d.feeds = &kvfeed.Feeds{
-		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, ReportsToPeers: d.tells, Contact: d.contact, Log: d.Log,
+		Reader: d.adapter.Feeds, Cache: d.Fleet.Cache, KV: planner, Sources: d.feedSources, ReportsToPeers: d.reportsFeed, Contact: d.onContact, Log: d.Log,
 		Restarted: func(id ids.Target, inc ids.Incarnation) { d.Replicas.Restarted(id, inc, "feed") },
 	}
 	d.Lease = lease.New(d.store, leaseName, s.VM, leaseTuning(edge.OrderTurn.D()), nil)
 	d.Rollout = &rollout.Rollout{
-		VM: s.VM, Lease: d.Lease, Replicas: d.Replicas, Weights: d.Weights, Client: d.adapter.Engines, Targets: d.Fleet, Log: d.Log, OnOrder: d.ordering,
-		ThrottleFor: time.Duration(float64(edge.WeightsWithin.D()) * hurryShare), OnGone: d.ended,
+		VM: s.VM, Lease: d.Lease, Replicas: d.Replicas, Weights: d.Weights, Client: d.adapter.Engines, Targets: d.Fleet, Log: d.Log, OnOrder: d.onOwnOrder,
+		ThrottleFor: time.Duration(float64(edge.WeightsWithin.D()) * throttleShare), OnGone: d.onReplicaEnded,
 		LoadGrace: max(edge.WeightsAllWithin.D()-edge.WeightsWithin.D(), 1), // zero would mean no bound
 	}
 	d.Orders = &orders.Reconciler{
@@ -263,8 +265,8 @@
 		Events: timeline.NewLog(s.VM, hlc.New(nil), s.TimelineEvents), MaxUnavailable: d.Rollout.MaxUnavailable,
 	}
 	d.news = &news.Exchange{
-		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.ordered, Meter: d.adapter.Meter,
-		Unresponsive: d.feeds.Unresponsive, RecentWeights: d.named,
+		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.onOrder, Meter: d.adapter.Meter,
+		Unresponsive: d.feeds.Unresponsive, RecentWeights: d.recentWeights,
 		OnRecentWeights: func(n news.RecentWeights) {
 			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
@@ -272,19 +274,19 @@
 			d.Fleet.Members.PeerLost(peer, silent, clock.Now())
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
-		LeaseLapse:  d.lapsed, OnLeaseLapse: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
-		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.heardLimit,
+		LeaseLapse:  d.leaseLapse, OnLeaseLapse: d.onLeaseLapse, Crashes: d.crashes, Allowances: d.allowances,
+		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.onLimit,
 		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.ApplyPeerChange,
 	}
 	d.vms.d = d
 	d.buildCanaries()
-	d.Fleet.Members.Limits.Standing = d.standing
+	d.Fleet.Members.Limits.Standing = d.limitPosition
 	d.buildReader()
 	d.ready.set(false, "starting")
 }
 
-// gone forgets what is kept of a replica that has ended or started again.
-func (d *Daemon) gone(client *upstream.Client) func(ids.Target) {
+// forgetReplica returns a function that drops the state of a replica that has ended or restarted.
+func (d *Daemon) forgetReplica(client *upstream.Client) func(ids.Target) {
 	return func(id ids.Target) {
 		client.Drop(id)
 		d.Fleet.Load.Forget(id)
@@ -292,16 +294,16 @@
 	}
 }
 
-// namesService tells whether the configuration names a service. A VM without one has
-// nothing to send anywhere.
-func (d *Daemon) namesService(name string) bool {
+// hasService reports whether the configuration contains a service. Without a configuration it
+// reports true; the VM then sends no calls in any case.
+func (d *Daemon) hasService(name string) bool {
 	c := d.Catalog.Get()
 	return c == nil || c.Service(name) != nil
 }
 
-// contact notes whether a replica or a store answers the calls that read its cache feed.
-// Of a store that doesn't the peers are told, since few VMs read its feed.
-func (d *Daemon) contact(s kvfeed.Source, alive bool) {
+// onContact records whether a replica or a KV store answers the calls that read its cache feed.
+// Peers are notified of a KV store that does not, since few VMs read its feed.
+func (d *Daemon) onContact(s kvfeed.Source, alive bool) {
 	now := clock.Now()
 	if !s.Store {
 		d.Fleet.Members.Contact(s.ID, alive, now)
@@ -313,9 +315,9 @@
 	}
 }
 
-// ended notes that an incarnation of a replica has ended, though its entry is still listed.
-// One that has started again at another address meanwhile is not concerned.
-func (d *Daemon) ended(id ids.Target, inc ids.Incarnation) {
+// onReplicaEnded records that an incarnation of a replica has ended although its entry is still
+// listed. It has no effect on a newer incarnation, which may have started at another address.
+func (d *Daemon) onReplicaEnded(id ids.Target, inc ids.Incarnation) {
 	if inc < d.Fleet.Members.Incarnation(id) {
 		return
 	}
@@ -325,7 +327,7 @@
 	d.Log.Belief("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
 }
 
-// Start listens and starts all duties.
+// Start opens the listeners and starts all duties.
 func (d *Daemon) Start(context.Context) error {
 	d.started = clock.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -344,7 +346,7 @@
 			return eris.Wrapf(err, "listen on %s", l.addr)
 		}
 		if l.addr == d.Settings.Listen {
-			listener = sockets.LimitWriteBuffer(listener, callerBuffer)
+			listener = sockets.LimitWriteBuffer(listener, callerWriteBuffer)
 		}
 		d.servers = append(d.servers, l.server)
 		d.run(l.addr, func() error { return l.server.Serve(listener) })
@@ -362,15 +364,15 @@
 	}
 	if err := clock.CheckSupport(); err != nil {
 		d.Log.Belief("no-suspension-clock").Str("error", err.Error()).
-			Str("consequence", "after a suspension of this VM, what was proven before it is trusted for as long as it lasted").Send()
+			Str("consequence", "after a suspension of this VM, earlier proofs stay trusted for the duration of the suspension").Send()
 	}
 	d.Log.Belief("start").Str("listen", d.Settings.Listen).Str("failure_domain", string(d.Settings.FailureDomain)).
 		Str("policy", d.Fleet.PolicyName()).Send()
 	return nil
 }
 
-// run starts a duty. One that fails ends the daemon: a VM that lacks a duty must
-// not look healthy.
+// run starts a duty. If it fails, the daemon shuts down: a VM without one of its duties must not
+// appear healthy.
 func (d *Daemon) run(name string, f func() error) {
 	d.duties.Go(func() {
 		err := f()
@@ -384,19 +386,20 @@
 	})
 }
 
-// Times of a shutdown.
+// Timing of the shutdown.
 const (
-	// readyNotice is how long the balancer needs to notice that a VM takes no new
-	// connections: two misses, asked once a second.
+	// readyNotice is how long the load balancer takes to notice that a VM is not ready: two
+	// failed checks, at one check per second.
 	readyNotice = 2300 * time.Millisecond
-	// killMargin is left between the end of the drain and the kill.
+	// killMargin is the time between the end of the drain and the kill of the process.
 	killMargin = 500 * time.Millisecond
-	// releaseTimeout bounds giving the lease up.
+	// releaseTimeout bounds the release of the lease.
 	releaseTimeout = 300 * time.Millisecond
 )
 
-// Stop shuts down gracefully: not ready, answers close their connections; when the
-// balancer has noticed, no new connections; the calls at hand are finished.
+// Stop shuts down gracefully. The VM becomes not ready, and responses close their connections.
+// Once the load balancer has noticed, the VM stops accepting connections and finishes the calls in
+// flight, until the grace period of the settings ends.
 func (d *Daemon) Stop(ctx context.Context) error {
 	began := clock.Now()
 	d.Forward.Draining.Store(true)
@@ -419,14 +422,14 @@
 	d.cancel()
 	d.peerServer.Stop()
 	for _, s := range d.servers {
-		_ = s.Close() // the process ends
+		_ = s.Close() // the process exits
 	}
 	d.Log.Belief("stopped").Int64("after_ms", clock.Since(began).Milliseconds()).Send()
 	d.Log.Close()
 	return nil
 }
 
-// Kill ends the daemon at once, as a kill of its process would.
+// Kill stops the daemon immediately, as a kill of its process would.
 func (d *Daemon) Kill() {
 	d.cancel()
 	d.peerServer.Stop()
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -17,43 +17,43 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Cache feeds. Two VMs read the feed of each engine and store, of its own failure domain
-// as long as any lives there, and the first of them tells the others what changed, in a
-// few bytes an entry (package news). When every VM read each feed, that was 43% of the
-// bytes between failure domains with 8 VMs, and 47% with 82, where the feeds' places are
-// too few besides, so that most VMs knew of most caches nothing but what they had sent.
+// Cache feeds. Two VMs read the cache feed of each engine and KV store, from its own failure domain
+// as long as any VM is live there. The first of them reports the changes to the other VMs, in a few
+// bytes per entry (package news). When every VM read every feed, that took 43% of the bytes
+// between failure domains with 8 VMs and 47% with 82. With 82 VMs a feed also had too few
+// slots for all readers, so that most VMs knew of most caches only what they had sent.
 //
-// The readers are also those who notice that a target answers nothing. A target whose
-// readers have all fallen silent is in doubt: its failure domain may be cut off.
+// The readers also detect that a target is unresponsive. A target whose readers are all
+// unresponsive is suspect: its failure domain may be partitioned.
 
 const (
-	// readersPerFeed is how many VMs read a feed: a second one, so that a word against a
-	// target has a witness and a reader that is gone is replaced at once.
+	// readersPerFeed is the number of VMs that read a feed. The second one confirms reports that
+	// a target is unresponsive, and replaces a failed reader at once.
 	readersPerFeed = 2
-	// peersWithin is how long after its start a VM that others are listed beside waits to hear
-	// one before it reads feeds: until then all of them seem to be its own.
-	peersWithin = 4 * time.Second
-	// mostFeeds bounds the feeds that a VM reads, each over a connection of its own.
-	mostFeeds = 128
-	// farFeedsAfter is how long after its start a VM begins to read feeds of other failure
-	// domains: by then it has heard of the VMs there.
-	farFeedsAfter = 2 * time.Second
-	// retellEvery is how often the first reader tells again what its targets hold, for VMs
-	// that have started and for datagrams that were lost.
-	retellEvery = 4 * time.Second
-	// watchEvery is how often a VM looks whether readers have fallen silent.
-	watchEvery = 200 * time.Millisecond
-	// vouchWithin is the silence of a target's readers that puts it in doubt, at least; they
-	// speak every 150 ms in small fleets.
-	vouchWithin = time.Second
-	// vouchRounds is the same in rounds of news.
-	vouchRounds = 4
-	// doubtFor is how long a doubt lasts after it was last found: other VMs take the
-	// reading over meanwhile, and know whether the target answers.
-	doubtFor = 1500 * time.Millisecond
+	// peerWait is how long after its start a VM waits for a message of another listed VM before
+	// it reads feeds: without live peers, all feeds seem to be its own.
+	peerWait = 4 * time.Second
+	// maxFeeds is the most feeds of engines that a VM reads, each over a connection of its own.
+	maxFeeds = 128
+	// crossDomainFeedsAfter is how long after its start a VM starts to read feeds of other failure
+	// domains. By then it has received messages of the VMs there.
+	crossDomainFeedsAfter = 2 * time.Second
+	// resendEvery is how often the first reader of a feed reports the full content again, for VMs
+	// that have started since and to make up for lost datagrams.
+	resendEvery = 4 * time.Second
+	// checkReadersEvery is how often a VM checks for unresponsive readers.
+	checkReadersEvery = 200 * time.Millisecond
+	// suspectAfter is the least time without a message of any reader of a target's feed after
+	// which the target is suspect. In small fleets VMs send a message every 150 ms.
+	suspectAfter = time.Second
+	// suspectAfterRounds is the same limit in rounds of messages; the longer one applies.
+	suspectAfterRounds = 4
+	// suspectFor is how long a target stays suspect after the last check that found it so. In that
+	// time other VMs take over its feed and find out whether the target answers.
+	suspectFor = 1500 * time.Millisecond
 )
 
-// feedSources lists the cache feeds that this VM reads.
+// feedSources returns the cache feeds that this VM reads.
 func (d *Daemon) feedSources() []kvfeed.Source {
 	c := d.Catalog.Get()
 	if c == nil {
@@ -63,61 +63,62 @@
 	if d.waitsForPeers() {
 		return nil
 	}
-	alive := d.vms.living()
+	alive := d.vms.live()
 	d.Replicas.Each(func(r *platform.Record) bool {
 		if r.Role != platform.RoleEngine || r.FailureDomain != d.Settings.FailureDomain && len(alive.in[r.FailureDomain]) >= readersPerFeed {
-			return true // its own domain reads its feed
+			return true // VMs of the target's failure domain read its feed
 		}
-		if id := ids.Target(r.ID); d.reads(id, r.FailureDomain) {
+		if id := ids.Target(r.ID); d.readsFeed(id, r.FailureDomain) {
 			out = append(out, kvfeed.Source{ID: id, Addr: r.Addr, Incarnation: r.Incarnation})
 		}
 		return true
 	})
-	out = d.fewest(out)
+	out = d.limitFeeds(out)
 	var read []ids.Target
 	for _, s := range out {
 		read = append(read, s.ID)
 	}
 	d.Replicas.Hold(read)
 	for _, kv := range c.KVStores {
-		if id := forward.StoreTarget(kv.Addr); d.reads(id, kv.FailureDomain) {
+		if id := forward.StoreTarget(kv.Addr); d.readsFeed(id, kv.FailureDomain) {
 			out = append(out, kvfeed.Source{ID: id, Addr: kv.Addr, Store: true})
 		}
 	}
 	return out
 }
 
-// waitsForPeers tells whether this VM has just started and may still hear of those who read feeds.
+// waitsForPeers reports whether this VM has just started and has not yet received a message of
+// other VMs, which may read feeds.
 func (d *Daemon) waitsForPeers() bool {
-	return d.vms.count() > 1 && len(d.vms.living().domain) == 1 && clock.Since(d.started) < peersWithin
+	return d.vms.count() > 1 && len(d.vms.live().domain) == 1 && clock.Since(d.started) < peerWait
 }
 
-// fewest bounds the feeds that this VM reads to those that come first for it. A VM that hears
-// nobody, since it has just started or is cut off, would read all there are.
-func (d *Daemon) fewest(all []kvfeed.Source) []kvfeed.Source {
-	if len(all) <= mostFeeds {
+// limitFeeds limits the feeds to the maxFeeds with the highest rendezvous weights for this VM. A VM
+// without live peers, after its start or in a network partition, would otherwise read all feeds.
+func (d *Daemon) limitFeeds(all []kvfeed.Source) []kvfeed.Source {
+	if len(all) <= maxFeeds {
 		return all
 	}
 	weight := func(s kvfeed.Source) uint64 { return routing.VMWeight(s.ID, d.Settings.VM) }
 	slices.SortFunc(all, func(a, b kvfeed.Source) int { return cmp.Compare(weight(b), weight(a)) })
-	return all[:mostFeeds]
+	return all[:maxFeeds]
 }
 
-// reads tells whether this VM reads the feed of a target in a failure domain.
-func (d *Daemon) reads(id ids.Target, domain ids.FailureDomain) bool {
-	if domain != d.Settings.FailureDomain && clock.Since(d.started) < farFeedsAfter {
+// readsFeed reports whether this VM reads the feed of a target in the given failure domain.
+func (d *Daemon) readsFeed(id ids.Target, domain ids.FailureDomain) bool {
+	if domain != d.Settings.FailureDomain && clock.Since(d.started) < crossDomainFeedsAfter {
 		return false
 	}
 	return slices.Contains(d.vms.feedReaders(id, domain), d.Settings.VM)
 }
 
-// tells tells whether this VM tells the others what the feed of a target says.
-func (d *Daemon) tells(id ids.Target) bool {
+// reportsFeed reports whether this VM sends the content of a target's feed to the other VMs.
+func (d *Daemon) reportsFeed(id ids.Target) bool {
 	domain, _ := d.domainOfTarget(id)
 	return d.vms.feedReaders(id, domain)[0] == d.Settings.VM
 }
 
-// domainOfTarget returns the failure domain of an engine or a store.
+// domainOfTarget returns the failure domain of an engine or a KV store.
 func (d *Daemon) domainOfTarget(id ids.Target) (ids.FailureDomain, bool) {
 	for _, t := range d.Fleet.Snapshot().View.Targets {
 		if t.ID == id {
@@ -131,13 +132,13 @@
 	return kv.FailureDomain, true
 }
 
-// kvStore returns the first store of KV cache that fits; nil: none does.
-func (d *Daemon) kvStore(fits func(*catalog.KVStore) bool) *catalog.KVStore {
+// kvStore returns the first KV store that matches, or nil.
+func (d *Daemon) kvStore(match func(*catalog.KVStore) bool) *catalog.KVStore {
 	c := d.Catalog.Get()
 	if c == nil {
 		return nil
 	}
-	if i := slices.IndexFunc(c.KVStores, fits); i >= 0 {
+	if i := slices.IndexFunc(c.KVStores, match); i >= 0 {
 		return c.KVStores[i]
 	}
 	return nil
@@ -155,40 +156,40 @@
 		return "", false
 	}
 	id := forward.StoreTarget(kv.Addr)
-	forward.StoreGeneration(d.Fleet.Cache, id) // so that the index takes in what is told of it
+	forward.StoreGeneration(d.Fleet.Cache, id) // so that the index accepts reports about it
 	return id, true
 }
 
-// cacheChanges returns what peers are to be told of caches.
+// cacheChanges returns the cache changes to report to peers.
 func (d *Daemon) cacheChanges() []cacheview.Change { return d.Fleet.Cache.TakeChanges() }
 
-// retellCaches tells peers now and then all that the targets hold whose feeds this VM reads
-// for them.
-func (d *Daemon) retellCaches(ctx context.Context) {
-	for timing.Sleep(ctx, retellEvery) {
-		d.Fleet.Cache.ReportAgain(d.tells)
+// resendCaches periodically reports the full cache content of the targets whose feeds this VM
+// reports.
+func (d *Daemon) resendCaches(ctx context.Context) {
+	for timing.Sleep(ctx, resendEvery) {
+		d.Fleet.Cache.ReportAgain(d.reportsFeed)
 	}
 }
 
-// watchReaders puts targets in doubt whose feeds' readers have all fallen silent.
-func (d *Daemon) watchReaders() {
+// checkReaders marks engines as suspect if all readers of their feeds are unresponsive.
+func (d *Daemon) checkReaders() {
 	now := clock.Now()
-	within := max(vouchWithin, vouchRounds*d.news.RoundInterval())
+	within := max(suspectAfter, suspectAfterRounds*d.news.RoundInterval())
 	for _, r := range d.Replicas.Working() {
 		if r.Role != platform.RoleEngine {
 			continue
 		}
-		vouched, near := false, false
-		alive := d.vms.living()
+		responsive, sameDomain := false, false
+		alive := d.vms.live()
 		for _, vm := range alive.readersOf(ids.Target(r.ID), r.FailureDomain) {
-			heard := vm == d.Settings.VM || d.news.SeenWithin(vm, within)
-			vouched = vouched || heard
-			near = near || heard && alive.domain[vm] == r.FailureDomain
+			seen := vm == d.Settings.VM || d.news.SeenWithin(vm, within)
+			responsive = responsive || seen
+			sameDomain = sameDomain || seen && alive.domain[vm] == r.FailureDomain
 		}
 		switch {
-		case !vouched:
-			d.Fleet.Members.Doubt(ids.Target(r.ID), now.Add(doubtFor))
-		case near: // its own domain is heard again
+		case !responsive:
+			d.Fleet.Members.Doubt(ids.Target(r.ID), now.Add(suspectFor))
+		case sameDomain: // a reader in its own failure domain is responsive again
 			d.Fleet.Members.Doubt(ids.Target(r.ID), now)
 		}
 	}
--- a/internal/edge/feeds_test.go
+++ b/internal/edge/feeds_test.go
@@ -18,9 +18,9 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// daemonAmong returns the daemon vm0 of domain "z" in a fleet with the given VMs, and a
-// function that lets one of them speak to it.
-func daemonAmong(t *testing.T, vms map[ids.VM]ids.FailureDomain) (*Daemon, func(ids.VM)) {
+// newDaemonInFleet returns the daemon vm0 of failure domain "z" in a fleet with the given VMs, and a
+// function that sends it a message from one of them.
+func newDaemonInFleet(t *testing.T, vms map[ids.VM]ids.FailureDomain) (*Daemon, func(ids.VM)) {
 	t.Helper()
 	addr := loopback.Addr()
 	d, err := New(settings.Settings{VM: "vm0", FailureDomain: "z", PeerListen: addr, Edge: &settings.Edge{}},
@@ -33,42 +33,42 @@
 		t.Fatal(err)
 	}
 	go d.news.Receive(t.Context())
-	d.vms.at = map[string]vmRecord{}
+	d.vms.records = map[string]vmRecord{}
 	var peers []news.Peer
 	for vm, domain := range vms {
-		d.vms.at[string(vm)] = vmRecord{VM: vm, FailureDomain: domain}
+		d.vms.records[string(vm)] = vmRecord{VM: vm, FailureDomain: domain}
 		peers = append(peers, news.Peer{VM: vm, FailureDomain: domain, Addr: "127.0.0.1:1"})
 	}
 	d.news.SetPeers(peers)
 	return d, func(vm ids.VM) {
 		for deadline := time.Now().Add(10 * time.Second); !d.news.SeenWithin(vm, 500*time.Millisecond); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s was not heard", vm)
+				t.Fatalf("no message of %s was received", vm)
 			}
-			tell(t, addr, vm)
+			sendNews(t, addr, vm)
 		}
-		time.Sleep(livingFor) // by then it is taken for alive
+		time.Sleep(liveVMsFor) // until the snapshot of live VMs is renewed
 	}
 }
 
-// TestFeedsAreReadNearby checks who reads the feed of a target: two VMs of its own failure
-// domain, and VMs of others only as long as none lives there.
-func TestFeedsAreReadNearby(t *testing.T) {
-	d, speak := daemonAmong(t, map[ids.VM]ids.FailureDomain{"near1": "y", "near2": "y", "near3": "y", "far1": "x", "far2": "x"})
+// TestFeedReaders checks which VMs read the feed of a target: two VMs of its own failure domain, and
+// VMs of other domains only if its own has too few live ones.
+func TestFeedReaders(t *testing.T) {
+	d, receiveFrom := newDaemonInFleet(t, map[ids.VM]ids.FailureDomain{"near1": "y", "near2": "y", "near3": "y", "far1": "x", "far2": "x"})
 	if got := d.vms.feedReaders("e1", "y"); len(got) != 1 || got[0] != "vm0" {
-		t.Fatalf("%v read the feed when no peer was heard", got)
+		t.Fatalf("%v read the feed without live peers", got)
 	}
-	speak("far1")
-	speak("far2")
+	receiveFrom("far1")
+	receiveFrom("far2")
 	if got := d.vms.feedReaders("e1", "y"); len(got) != readersPerFeed {
-		t.Errorf("%v read the feed when only VMs of other domains are heard", got)
+		t.Errorf("%v read the feed while only VMs of other domains are live", got)
 	}
-	speak("near2")
+	receiveFrom("near2")
 	if got := d.vms.feedReaders("e1", "y"); got[0] != "near2" || len(got) != readersPerFeed {
 		t.Errorf("%v read the feed, want the VM of the target's domain first", got)
 	}
-	speak("near1")
-	speak("near3")
+	receiveFrom("near1")
+	receiveFrom("near3")
 	first := map[ids.VM]bool{}
 	for i := range 64 {
 		got := d.vms.feedReaders(ids.Target(fmt.Sprint("e", i)), "y")
@@ -80,46 +80,46 @@
 		first[got[0]] = true
 	}
 	if len(first) != 3 {
-		t.Errorf("of three VMs only %d tell what feeds say", len(first))
+		t.Errorf("of three VMs only %d report feeds", len(first))
 	}
-	if d.reads("e1", "y") || d.tells("e1") {
-		t.Error("this VM reads a feed of another domain though VMs live there")
+	if d.readsFeed("e1", "y") || d.reportsFeed("e1") {
+		t.Error("this VM reads a feed of another domain although VMs are live there")
 	}
 }
 
-// TestCutDomainIsInDoubt lets all VMs of another failure domain fall silent, as when a link
-// is cut: the engines there, whose feeds only they read, get no more calls while others
-// serve, and get some as soon as one of the VMs is heard again.
-func TestCutDomainIsInDoubt(t *testing.T) {
-	d, speak := daemonAmong(t, map[ids.VM]ids.FailureDomain{"near1": "y", "near2": "y"})
+// TestPartitionedDomainIsSuspect receives no more messages of the VMs of another failure domain, as
+// in a network partition. An engine there, whose feed only they read, must become suspect, and must
+// no longer be suspect as soon as one of these VMs sends a message again.
+func TestPartitionedDomainIsSuspect(t *testing.T) {
+	d, receiveFrom := newDaemonInFleet(t, map[ids.VM]ids.FailureDomain{"near1": "y", "near2": "y"})
 	record := platform.Record{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 1, FailureDomain: "y"}
 	d.Replicas.Decode = func(objectapi.Object) (platform.Record, error) { return record, nil }
 	d.Replicas.Listed([]objectapi.Object{{}}, follow.At{}, false)
-	speak("near1")
-	speak("near2")
+	receiveFrom("near1")
+	receiveFrom("near2")
 	state := func() routing.State { return d.Fleet.Members.State("e1", time.Now()) }
-	d.watchReaders()
+	d.checkReaders()
 	if got := state(); got == routing.Suspect {
-		t.Fatalf("the engine is %s while the readers of its feed are heard", got)
+		t.Fatalf("the engine is %s while the readers of its feed are live", got)
 	}
-	time.Sleep(vouchWithin + 50*time.Millisecond)
-	d.watchReaders()
+	time.Sleep(suspectAfter + 50*time.Millisecond)
+	d.checkReaders()
 	if got := state(); got != routing.Suspect {
-		t.Errorf("the engine is %s though the readers of its feed are silent", got)
+		t.Errorf("the engine is %s although the readers of its feed are unresponsive", got)
 	}
-	speak("near2")
-	d.watchReaders()
+	receiveFrom("near2")
+	d.checkReaders()
 	if got := state(); got == routing.Suspect {
-		t.Errorf("the engine is %s though a reader of its feed is heard again", got)
+		t.Errorf("the engine is %s although a reader of its feed is live again", got)
 	}
 }
 
-// A VM that had just started heard nobody yet, took itself for the only reader of all feeds, and
-// began to connect to every engine there was, as did the 985 others that had started with it.
-
-// TestFeedsOfAVMThatHearsNobody: it reads a bounded number of feeds, always the same ones.
-func TestFeedsOfAVMThatHearsNobody(t *testing.T) {
-	d, _ := daemonAmong(t, nil)
+// TestFeedsWithoutLivePeers checks that a VM without live peers reads a bounded number of feeds,
+// always the same ones. It guards against VMs that have just started and received no message yet:
+// each of 986 VMs that started together took itself for the only reader of all feeds and connected
+// to every engine.
+func TestFeedsWithoutLivePeers(t *testing.T) {
+	d, _ := newDaemonInFleet(t, nil)
 	d.Replicas.Subset.Most = 256
 	d.started = time.Now().Add(-time.Minute)
 	d.Catalog.Adopt(catalog.New(catalog.Declaration{Version: 1, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{}}}}))
@@ -132,13 +132,13 @@
 	}
 	d.Replicas.Listed(objects, follow.At{Revision: 1}, false)
 	first := d.feedSources()
-	if len(first) != mostFeeds {
-		t.Fatalf("%d feeds, want %d", len(first), mostFeeds)
+	if len(first) != maxFeeds {
+		t.Fatalf("%d feeds, want %d", len(first), maxFeeds)
 	}
 	if again := d.feedSources(); !slices.Equal(first, again) {
-		t.Error("the feeds differ from one look to the next")
+		t.Error("repeated calls return different feeds")
 	}
-	if n := len(d.Replicas.Working()); n > 256+mostFeeds {
+	if n := len(d.Replicas.Working()); n > 256+maxFeeds {
 		t.Errorf("the VM works with %d replicas", n)
 	}
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -6,41 +6,41 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// standing returns this VM's place among those that send to a target that limits its rate.
-func (d *Daemon) standing(id ids.Target) ratelimit.Standing {
+// limitPosition returns this VM's rank among the VMs that send to a target with a rate limit.
+func (d *Daemon) limitPosition(id ids.Target) ratelimit.Standing {
 	domain, _ := d.domainOfTarget(id)
-	return d.vms.standing(id, domain)
+	return d.vms.limitPosition(id, domain)
 }
 
-// unknownFleet is how many VMs there are taken to be, for a limit of them all, while the list
-// of VMs has not been read or reads as empty: as many as threadwall is built for.
-const unknownFleet = 380
+// assumedFleetSize is the number of VMs that share a target's rate limit, as assumed while the
+// list of VMs has not been read or is empty. It is the largest fleet that threadwall is built for.
+const assumedFleetSize = 380
 
-// standing is Daemon.standing. VMs of the target's failure domain come first: what they send
-// crosses no boundary.
-func (c *vmList) standing(id ids.Target, domain ids.FailureDomain) ratelimit.Standing {
+// limitPosition implements Daemon.limitPosition. VMs of the target's failure domain rank first,
+// since their calls do not cross failure domains.
+func (c *vmList) limitPosition(id ids.Target, domain ids.FailureDomain) ratelimit.Standing {
 	listed := c.count()
 	if listed == 0 {
-		return ratelimit.Standing{Rank: unknownFleet, Living: 1, Listed: unknownFleet}
+		return ratelimit.Standing{Rank: assumedFleetSize, Living: 1, Listed: assumedFleetSize}
 	}
-	alive := c.living()
+	alive := c.live()
 	return ratelimit.Standing{
 		Rank: alive.rankOf(id, domain, c.d.Settings.VM), Living: len(alive.domain), Listed: max(listed, len(alive.domain)),
 	}
 }
 
-// rankOf is how many living VMs come before a VM for a target. It is always asked for the same
-// VM, so the answers are kept as long as the same VMs live.
-func (l *livingVMs) rankOf(id ids.Target, domain ids.FailureDomain, vm ids.VM) int {
+// rankOf returns how many live VMs rank before vm for a target. All calls pass the same VM, so the
+// results are cached as long as the set of live VMs stays the same.
+func (l *liveVMs) rankOf(id ids.Target, domain ids.FailureDomain, vm ids.VM) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if rank, ok := l.ranks[id]; ok {
 		return rank
 	}
-	rank, near, weight := 0, l.domain[vm] == domain, routing.VMWeight(id, vm)
+	rank, sameDomain, weight := 0, l.domain[vm] == domain, routing.VMWeight(id, vm)
 	for other, d := range l.domain {
-		if otherNear := d == domain; otherNear != near {
-			if otherNear {
+		if otherSameDomain := d == domain; otherSameDomain != sameDomain {
+			if otherSameDomain {
 				rank++
 			}
 		} else if routing.VMWeight(id, other) > weight {
@@ -51,8 +51,8 @@
 	return rank
 }
 
-// heardLimit takes in what a peer knows of a target's limit.
-func (d *Daemon) heardLimit(w ratelimit.Word) {
+// onLimit applies a peer's report of a target's rate limit.
+func (d *Daemon) onLimit(w ratelimit.Word) {
 	if !d.Fleet.ApplyPeerLimit(w) {
 		return
 	}
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -7,8 +7,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// TestRanks gives each living VM a place of its own for a target, those of its failure domain
-// first, and the same places at all VMs.
+// TestRanks checks that live VMs, which compute their ranks independently, each have a different
+// rank for a target, and that VMs of the target's failure domain rank first.
 func TestRanks(t *testing.T) {
 	domain := map[ids.VM]ids.FailureDomain{}
 	for i := range 40 {
@@ -17,13 +17,13 @@
 	for _, target := range []ids.Target{"a", "b"} {
 		taken := map[int]ids.VM{}
 		for vm, d := range domain {
-			l := &livingVMs{domain: domain, ranks: map[ids.Target]int{}}
+			l := &liveVMs{domain: domain, ranks: map[ids.Target]int{}}
 			rank := l.rankOf(target, "z1", vm)
 			if other, ok := taken[rank]; ok {
-				t.Errorf("%s and %s have both rank %d for %s", vm, other, rank, target)
+				t.Errorf("%s and %s both have rank %d for %s", vm, other, rank, target)
 			}
 			taken[rank] = vm
-			if near := d == "z1"; near != (rank < 10) || rank != l.rankOf(target, "z1", vm) {
+			if sameDomain := d == "z1"; sameDomain != (rank < 10) || rank != l.rankOf(target, "z1", vm) {
 				t.Errorf("%s of %s has rank %d of 40", vm, d, rank)
 			}
 		}
--- a/internal/edge/living.go
+++ b/internal/edge/living.go
@@ -10,40 +10,40 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// livingVM is a VM that was heard a short while ago, or this one.
-type livingVM struct {
+// liveVM is this VM, or a VM that sent a message within the last aliveFor.
+type liveVM struct {
 	vm     ids.VM
 	domain ids.FailureDomain
 	hash   uint64
 }
 
-// livingVMs are the VMs that live, as of a moment, and who of them reads which feed. Safe
-// for concurrent use.
-type livingVMs struct {
-	in     map[ids.FailureDomain][]livingVM
+// liveVMs is a snapshot of the live VMs, with a cache of the readers of each cache feed. Safe for
+// concurrent use.
+type liveVMs struct {
+	in     map[ids.FailureDomain][]liveVM
 	domain map[ids.VM]ids.FailureDomain
 
 	mu      sync.Mutex
 	readers map[ids.Target][]ids.VM
-	ranks   map[ids.Target]int // of this VM
+	ranks   map[ids.Target]int // of this VM, by target
 }
 
-// livingFor is how long a look at which VMs live is used.
-const livingFor = 50 * time.Millisecond
+// liveVMsFor is how long a snapshot of the live VMs is reused.
+const liveVMsFor = 50 * time.Millisecond
 
-// living returns the VMs that live. As long as they are the same, so is what is returned: what
-// follows from them costs a hash for each VM and target, and need not be worked out anew.
-func (c *vmList) living() *livingVMs {
+// live returns the live VMs. It returns the same snapshot as long as the set is unchanged, which
+// keeps the caches in it valid: they cost a hash for each VM and target to compute.
+func (c *vmList) live() *liveVMs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
-	if c.alive != nil && now.Sub(c.aliveAt) < livingFor {
+	if c.alive != nil && now.Sub(c.aliveAt) < liveVMsFor {
 		return c.alive
 	}
 	own := c.d.Settings
 	domain := map[ids.VM]ids.FailureDomain{own.VM: own.FailureDomain}
 	same := c.alive != nil
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if r.VM == own.VM || !c.d.news.SeenWithin(r.VM, aliveFor) {
 			continue
 		}
@@ -54,22 +54,23 @@
 	if same && len(domain) == len(c.alive.domain) {
 		return c.alive
 	}
-	l := &livingVMs{in: map[ids.FailureDomain][]livingVM{}, domain: domain, readers: map[ids.Target][]ids.VM{}, ranks: map[ids.Target]int{}}
+	l := &liveVMs{in: map[ids.FailureDomain][]liveVM{}, domain: domain, readers: map[ids.Target][]ids.VM{}, ranks: map[ids.Target]int{}}
 	for vm, d := range domain {
-		l.in[d] = append(l.in[d], livingVM{vm, d, routing.HashTarget(ids.Target(vm))})
+		l.in[d] = append(l.in[d], liveVM{vm, d, routing.HashTarget(ids.Target(vm))})
 	}
 	c.alive = l
 	return l
 }
 
-// feedReaders returns the VMs that read the feed of a target, as far as this VM knows,
-// the one first that tells what it says. All VMs that hear each other agree on them.
+// feedReaders returns the VMs that read the cache feed of a target, as far as this VM knows; the
+// first reports its content to the others. All VMs that see the same VMs as live agree on them.
 func (c *vmList) feedReaders(id ids.Target, domain ids.FailureDomain) []ids.VM {
-	return c.living().readersOf(id, domain)
+	return c.live().readersOf(id, domain)
 }
 
-// readersOf returns the VMs that read the feed of a target. The result must not be changed.
-func (l *livingVMs) readersOf(id ids.Target, domain ids.FailureDomain) []ids.VM {
+// readersOf returns the VMs that read the cache feed of a target. The caller must not modify the
+// result.
+func (l *liveVMs) readersOf(id ids.Target, domain ids.FailureDomain) []ids.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r, ok := l.readers[id]; ok {
@@ -80,24 +81,24 @@
 	return r
 }
 
-// chooseReaders picks VMs of the target's domain by rendezvous, and others only where that
-// has too few.
-func (l *livingVMs) chooseReaders(id ids.Target, domain ids.FailureDomain) []ids.VM {
-	out := l.first(id, l.in[domain], readersPerFeed)
+// chooseReaders chooses VMs of the target's failure domain by rendezvous hashing, and VMs of other
+// domains only if that domain has too few.
+func (l *liveVMs) chooseReaders(id ids.Target, domain ids.FailureDomain) []ids.VM {
+	out := l.topRanked(id, l.in[domain], readersPerFeed)
 	if len(out) == readersPerFeed {
 		return out
 	}
-	var others []livingVM
+	var others []liveVM
 	for d, vms := range l.in {
 		if d != domain {
 			others = append(others, vms...)
 		}
 	}
-	return append(out, l.first(id, others, readersPerFeed-len(out))...)
+	return append(out, l.topRanked(id, others, readersPerFeed-len(out))...)
 }
 
-// first returns the n VMs that come first for a target.
-func (l *livingVMs) first(id ids.Target, vms []livingVM, n int) []ids.VM {
+// topRanked returns the n VMs with the highest rendezvous weights for a target.
+func (l *liveVMs) topRanked(id ids.Target, vms []liveVM, n int) []ids.VM {
 	var out []ids.VM
 	hash := routing.HashTarget(id)
 	for len(out) < min(n, len(vms)) {
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -11,12 +11,12 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// liveSettings are those that a reload puts into force. What else has changed takes
-// effect at the next start.
+// liveSettings are the settings that a reload applies. Changes of other settings take effect at
+// the next start.
 var liveSettings = []string{"key_ttl", "weights_within", "retry_ratio", "retry_burst"}
 
-// reloads reads the settings again at each signal.
-func (d *Daemon) reloads(ctx context.Context) {
+// watchReload reloads the settings at each signal.
+func (d *Daemon) watchReload(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -27,8 +27,8 @@
 	}
 }
 
-// reload puts what may change while the daemon runs into force. Settings that can't be
-// read or are not valid change nothing.
+// reload reads the settings and applies those that may change while the daemon runs. Settings
+// that are unreadable or invalid change nothing.
 func (d *Daemon) reload() {
 	s, err := d.options.Reload()
 	if err == nil && s.Edge == nil {
@@ -51,24 +51,24 @@
 	d.Log.Belief("reload").Strs("in_force", live).Strs("at_next_start", later).Send()
 }
 
-// apply puts the live settings into force.
+// apply applies the live settings.
 func (d *Daemon) apply(e *settings.Edge) {
-	d.Forward.KeyTTL.Store(keyAge(e.KeyTTL.D()))
+	d.Forward.KeyTTL.Store(maxProofAge(e.KeyTTL.D()))
 	d.Weights.SetWithin(e.WeightsWithin.D() - weightsMargin)
 	d.budgets.SetBounds(e.RetryRatio*budgetUse, e.RetryBurst*budgetUse)
 }
 
-// keyAge is how old a proof may be for keys that must stop working within ttl; zero: any
-// age.
-func keyAge(ttl time.Duration) int64 {
+// maxProofAge returns the maximum age, in nanoseconds, of the proof that the configuration is the
+// newest, given that revoked keys must stop working within ttl. Zero means no limit.
+func maxProofAge(ttl time.Duration) int64 {
 	if ttl == 0 {
 		return 0
 	}
 	return int64(max(ttl-keyMargin, 1))
 }
 
-// differences names the settings that differ, those of the section edge by their own
-// names.
+// differences returns the names of the settings that differ, sorted. Settings of the section edge
+// appear without a prefix.
 func differences(a, b settings.Settings) []string {
 	x, y := fields(a), fields(b)
 	differ := map[string]bool{}
@@ -82,16 +82,16 @@
 	return slices.Sorted(maps.Keys(differ))
 }
 
-// fields returns settings by their names in the file.
+// fields returns the settings by their names in the file.
 func fields(s settings.Settings) map[string]any {
 	out := map[string]any{}
-	for _, part := range []any{s, s.Edge} {
-		data, err := json.Marshal(part)
+	for _, section := range []any{s, s.Edge} {
+		data, err := json.Marshal(section)
 		if err == nil {
 			err = json.Unmarshal(data, &out)
 		}
 		if err != nil {
-			panic(err) // settings were read from JSON
+			panic(err) // not reached: the settings were read from JSON
 		}
 	}
 	delete(out, "edge")
--- a/internal/edge/reload_test.go
+++ b/internal/edge/reload_test.go
@@ -14,7 +14,7 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// lockedBuffer is an output that a test reads.
+// lockedBuffer is a buffer for concurrent use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -32,8 +32,8 @@
 	return b.buf.String()
 }
 
-// TestReload checks that a reload puts into force what may change while the daemon runs,
-// says what waits for a start, and changes nothing when the file is bad.
+// TestReload checks that a reload applies the settings that may change while the daemon runs, logs
+// those that take effect at the next start, and changes nothing if the file is invalid.
 func TestReload(t *testing.T) {
 	first := settings.Settings{VM: "a", Listen: "127.0.0.1:1", Edge: &settings.Edge{
 		KeyTTL: durations.Duration(5 * time.Second), RetryBurst: 10, RetryWindow: durations.Duration(10 * time.Second),
@@ -53,12 +53,12 @@
 	bad = eris.New("a comma is missing")
 	d.reload()
 	if ttl := d.Forward.KeyTTL.Load(); ttl != int64(5*time.Second-keyMargin) {
-		t.Fatalf("a bad file set the age of proofs to %v", time.Duration(ttl))
+		t.Fatalf("an invalid file set the maximum age of proofs to %v", time.Duration(ttl))
 	}
 	bad = nil
 	d.reload()
-	if ttl, left := d.Forward.KeyTTL.Load(), d.budgets.Of("svc").Remaining(); ttl != int64(2*time.Second-keyMargin) || left != 20*budgetUse {
-		t.Fatalf("proofs may be %v old, %v retries are allowed", time.Duration(ttl), left)
+	if ttl, remaining := d.Forward.KeyTTL.Load(), d.budgets.Of("svc").Remaining(); ttl != int64(2*time.Second-keyMargin) || remaining != 20*budgetUse {
+		t.Fatalf("maximum age of proofs %v, %v retries remain", time.Duration(ttl), remaining)
 	}
 	d.Log.Close()
 	for _, want := range []string{`"event":"reload-rejected"`, `"in_force":["key_ttl","retry_burst"]`, `"at_next_start":["listen"]`} {
@@ -66,7 +66,7 @@
 			t.Errorf("the log lacks %s: %s", want, out.String())
 		}
 	}
-	if keyAge(0) != 0 || keyAge(time.Millisecond) <= 0 {
-		t.Error("a short life of keys is taken for none")
+	if maxProofAge(0) != 0 || maxProofAge(time.Millisecond) <= 0 {
+		t.Error("a short TTL of keys is treated as no TTL")
 	}
 }
--- a/internal/edge/seed_test.go
+++ b/internal/edge/seed_test.go
@@ -9,9 +9,9 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// TestVMsDrawApart checks that VMs which start at the same moment do not draw the same
-// targets, as they would with seeds that all count from one.
-func TestVMsDrawApart(t *testing.T) {
+// TestVMsSampleDifferentTargets checks that VMs that start at the same time do not sample the same
+// targets, as they would if all seeds started at one.
+func TestVMsSampleDifferentTargets(t *testing.T) {
 	seen := map[uint64]bool{}
 	for _, vm := range []ids.VM{"vm1", "vm2", "vm3"} {
 		d, err := New(settings.Settings{VM: vm, Edge: &settings.Edge{}}, Options{Adapter: Adapter{Store: objectapi.NewMemory()}, LogTo: io.Discard})
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if seed := d.Fleet.Seed(); seen[seed] {
-			t.Fatalf("two VMs begin with the seed %d", seed)
+			t.Fatalf("two VMs start with the seed %d", seed)
 		} else {
 			seen[seed] = true
 		}
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -12,21 +12,21 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// headerTimeout bounds reading a request's head. Callers get a little more than
-// operators promise them.
+// headerTimeout bounds the time to read a request's head. It is a little longer than what
+// operators promise to callers.
 const headerTimeout = 10 * time.Second
 
-// idleTimeout is how long a caller's idle connection is kept. It must be longer
-// than operators let callers rely on, which is some 15 s.
+// idleTimeout is how long an idle connection of a caller is kept. It must be longer than what
+// operators promise to callers, which is about 15 s.
 const idleTimeout = 60 * time.Second
 
-// callerServer serves callers. Every path is theirs, so no router stands before the
-// forwarder.
+// callerServer returns the server for callers. All paths belong to callers, so there is no router
+// in front of the forwarder.
 func (d *Daemon) callerServer() *http.Server {
 	return &http.Server{Handler: d.Forward, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// readyHandler tells the platform's balancer whether to send new connections.
+// readyHandler answers the readiness checks of the platform's load balancer.
 func (d *Daemon) readyHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -40,7 +40,7 @@
 	return e
 }
 
-// adminHandler serves operators.
+// adminHandler serves the admin interface.
 func (d *Daemon) adminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -51,14 +51,14 @@
 	return e
 }
 
-// readiness is whether this VM takes work, and why not.
+// readiness records whether this VM accepts requests and, if not, the reason.
 type readiness struct {
 	mu     sync.Mutex
 	ok     bool
 	reason string
 }
 
-// set changes it and tells whether it changed.
+// set sets the readiness and reports whether ok changed.
 func (r *readiness) set(ok bool, reason string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,18 +67,18 @@
 	return changed
 }
 
-// Ready tells whether this VM takes work, and why not.
+// Ready reports whether this VM accepts requests and, if not, the reason.
 func (r *readiness) Ready() (bool, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ok, r.reason
 }
 
-// readyEvery is how often readiness is judged.
+// readyEvery is the interval at which readiness is evaluated.
 const readyEvery = 200 * time.Millisecond
 
-// judge keeps readiness up to date.
-func (d *Daemon) judge(ctx context.Context) {
+// watchReadiness keeps the readiness up to date until ctx ends.
+func (d *Daemon) watchReadiness(ctx context.Context) {
 	tick := time.NewTicker(readyEvery)
 	defer tick.Stop()
 	for {
@@ -90,7 +90,7 @@
 		if d.Forward.Draining.Load() {
 			continue
 		}
-		reason := d.lacking()
+		reason := d.notReadyReason()
 		if d.ready.set(reason == "", reason) {
 			d.Log.Belief("ready").Bool("ready", reason == "").Str("reason", reason).
 				Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
@@ -98,8 +98,8 @@
 	}
 }
 
-// lacking says what this VM needs before it may serve; empty: nothing.
-func (d *Daemon) lacking() string {
+// notReadyReason returns why this VM may not serve yet; empty: it may.
+func (d *Daemon) notReadyReason() string {
 	ttl := time.Duration(d.Forward.KeyTTL.Load())
 	switch {
 	case d.Catalog.Get() == nil:
--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -25,30 +25,30 @@
 )
 
 const (
-	// relayWait is how long the watch of the configuration waits at a VM that reads the
-	// store for others, at most: they leave a VM whose last contact is a second old. A
-	// proof is as old as two waits at the VM that reads, and as two questions more at the
-	// others; all four together stay within two of ProofEvery, as everywhere.
+	// relayWait is the longest wait of the configuration watch at a VM that reads the store for
+	// others: they stop using a VM whose last contact with the store is a second old. A proof
+	// gets as old as two waits at the store reader and two requests more at the other VMs; all
+	// four together stay within twice ProofEvery, the general limit.
 	relayWait = 600 * time.Millisecond
-	// watchWait is how long a watch waits that proves nothing. It bounds how long one
-	// that has gone silent stays unnoticed.
+	// watchWait is the wait of watches that serve no proof. It bounds how long a dead watch stays
+	// undetected.
 	watchWait = 5 * time.Second
-	// gatherEach is how long changes of replicas are gathered, for each entry VM:
-	// changes come in rows, and each wakes a watch.
-	gatherEach = 8 * time.Millisecond
-	// gatherMost bounds that; a replica that leaves must be noticed within two seconds.
-	gatherMost = 300 * time.Millisecond
-	// regainAfter is the age of what is known of the store from which it counts as lost.
+	// gatherPerVM is how long changes of replicas are batched, per entry VM: changes come in
+	// bursts, and each wakes up a watch.
+	gatherPerVM = 8 * time.Millisecond
+	// maxGather bounds the batching time; a leaving replica must be noticed within two seconds.
+	maxGather = 300 * time.Millisecond
+	// regainAfter is the age of the data from the store above which the store counts as lost.
 	regainAfter = 2 * time.Second
 )
 
-// buildReader builds what reads the store, for this VM and for others.
+// buildReader creates the reader of the store and the server that mirrors it to peers.
 func (d *Daemon) buildReader() {
-	bell := &mirror.Bell{}
+	wakeUp := &mirror.Bell{}
 	space := func(prefix string, next follow.Handler) *mirror.Space {
-		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Watched(next), Bell: bell}
+		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Watched(next), Bell: wakeUp}
 	}
-	catalogs := &follow.Catalogs{Current: d.Catalog, Decode: d.adapter.DecodeConfig, Key: d.adapter.KeyConfig, Adopted: d.adopted, Log: d.Log}
+	catalogs := &follow.Catalogs{Current: d.Catalog, Decode: d.adapter.DecodeConfig, Key: d.adapter.KeyConfig, Adopted: d.applyCatalog, Log: d.Log}
 	spaces := []*mirror.Space{
 		space(d.adapter.PrefixConfig, catalogs), space(d.adapter.PrefixReplicas, d.Replicas),
 		space(d.adapter.PrefixWeights, d.Weights), space(prefixVMs, &d.vms),
@@ -56,8 +56,8 @@
 	if d.Forward.Software != nil {
 		spaces = append(spaces, space(canary.Prefix, d.Forward.Software))
 	}
-	d.mirrors = &mirror.Server{Spaces: spaces, Bell: bell}
-	d.reader = &mirror.Reader{Spaces: spaces, Before: d.vms.before, Introduce: d.listVMs, Direct: d.readStore, Log: d.Log, Wait: d.Settings.Edge.ProofEvery.D() / 4, Meter: d.adapter.Meter}
+	d.mirrors = &mirror.Server{Spaces: spaces, Bell: wakeUp}
+	d.reader = &mirror.Reader{Spaces: spaces, Before: d.vms.upstreamPeers, Introduce: d.listVMs, Direct: d.readStore, Log: d.Log, Wait: d.Settings.Edge.ProofEvery.D() / 4, Meter: d.adapter.Meter}
 }
 
 // readStore follows the store until ctx ends.
@@ -75,7 +75,7 @@
 	}
 }
 
-// wait tells how long the watch of a key space waits.
+// wait returns a function that gives the wait of the watch of a key space.
 func (d *Daemon) wait(prefix string) func() time.Duration {
 	return func() time.Duration {
 		switch {
@@ -89,31 +89,32 @@
 	}
 }
 
-// gatherer tells how long changes of a key space are gathered; the configuration and
-// weights take effect at once.
+// gatherer returns a function that gives the batching time for changes of a key space, or nil for
+// the key spaces whose changes take effect at once, such as the configuration and the weights.
 func (d *Daemon) gatherer(prefix string) func() time.Duration {
 	if prefix != d.adapter.PrefixReplicas && prefix != prefixVMs {
 		return nil
 	}
-	return func() time.Duration { return min(time.Duration(d.vms.count())*gatherEach, gatherMost) }
+	return func() time.Duration { return min(time.Duration(d.vms.count())*gatherPerVM, maxGather) }
 }
 
-// before returns the VMs that this one reads from: those of its failure domain that come
-// before it, and behind them the first ones of the domains that come before its own. So one
-// VM reads the store for the whole fleet, one a domain from that one, and the others from
-// theirs; a domain that is cut off has a reader of its own. With a reader of the store in
-// each of six domains, these made 14 calls a second.
-func (c *vmList) before() []mirror.Peer {
+// upstreamPeers returns the VMs that this VM may read the store through, in order of preference:
+// those of its failure domain that rank before it, then the first VMs of the domains that rank
+// before its own. One VM thus reads the store for the whole fleet, one VM of each other domain
+// reads from another domain, and the others read from the reader of their domain; a partitioned
+// domain has a reader of its own. With a store reader in each of six domains, these made 14 calls
+// per second.
+func (c *vmList) upstreamPeers() []mirror.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.at) <= c.d.Settings.Edge.DirectFleet {
+	if len(c.records) <= c.d.Settings.Edge.DirectFleet {
 		return nil
 	}
 	domain := c.d.Settings.FailureDomain
 	key := readerKey(domain)
 	own := vmRecord{VM: c.d.Settings.VM, LinkMbps: int(c.d.Settings.Edge.LinkMbps)}
 	var all []vmRecord
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if r.FailureDomain == domain && byLink(key, r, own) < 0 {
 			all = append(all, r)
 		}
@@ -123,19 +124,19 @@
 	for _, r := range all {
 		out = append(out, mirror.Peer{VM: r.VM, Addr: r.PeerAddr})
 	}
-	return append(out, c.farReaders(domain)...)
+	return append(out, c.crossDomainReaders(domain)...)
 }
 
-// farEach is how many VMs of another domain are asked: a second one in case that the first
-// is gone.
-const farEach = 2
+// readersPerDomain is the number of VMs of another failure domain to try; the second one is for the
+// case that the first is gone.
+const readersPerDomain = 2
 
-// farReaders returns the first VMs of the failure domains that come before one, in their
-// order. The lock is held.
-func (c *vmList) farReaders(domain ids.FailureDomain) []mirror.Peer {
+// crossDomainReaders returns the first VMs of the failure domains that rank before domain, in rank
+// order. The caller holds mu.
+func (c *vmList) crossDomainReaders(domain ids.FailureDomain) []mirror.Peer {
 	weight := func(d ids.FailureDomain) uint64 { return routing.VMWeight("store readers", ids.VM(d)) }
 	domains := map[ids.FailureDomain][]vmRecord{}
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if weight(r.FailureDomain) > weight(domain) {
 			domains[r.FailureDomain] = append(domains[r.FailureDomain], r)
 		}
@@ -145,31 +146,31 @@
 	for _, d := range order {
 		key := readerKey(d)
 		slices.SortFunc(domains[d], func(a, b vmRecord) int { return byLink(key, a, b) })
-		for _, r := range domains[d][:min(farEach, len(domains[d]))] {
+		for _, r := range domains[d][:min(readersPerDomain, len(domains[d]))] {
 			out = append(out, mirror.Peer{VM: r.VM, Addr: r.PeerAddr, Far: true})
 		}
 	}
 	return out
 }
 
-// readerKey names a failure domain's readers of the store for rendezvous.
+// readerKey returns the rendezvous key of a failure domain's store readers.
 func readerKey(domain ids.FailureDomain) ids.Target {
 	return ids.Target("store reader of " + string(domain))
 }
 
-// Tries of a VM that starts to learn its peers.
+// Attempts of a starting VM to list its peers.
 const (
-	// listTries is after how many it reads all of the store by itself.
-	listTries = 4
-	// listPause is between two of them, on average.
+	// listAttempts is the number of attempts after which the VM reads all of the store itself.
+	listAttempts = 4
+	// listPause is the mean pause between attempts.
 	listPause = 200 * time.Millisecond
 )
 
-// listVMs lists the entry VMs: a VM that has started needs to know its peers, and reads the
-// rest from them. The list may be old: it costs a tenth then, and a peer that it lacks is
-// met later. Without it this VM reads the store itself.
+// listVMs lists the entry VMs, since a starting VM reads all other data from its peers. It accepts a
+// stale list, which costs a tenth; a peer missing from it appears later. Without a list this VM
+// reads the store itself.
 func (d *Daemon) listVMs(ctx context.Context) {
-	for range listTries {
+	for range listAttempts {
 		sent := clock.Now()
 		objects, rev, err := d.store.List(objectapi.WithStale(ctx), prefixVMs)
 		if err == nil {
@@ -182,8 +183,8 @@
 	}
 }
 
-// byLink orders VMs for a work that grows with the number of the others: the widest links
-// first, and VMs with equal ones by rendezvous.
+// byLink compares VMs for tasks whose traffic grows with the size of the fleet: faster links first,
+// and by rendezvous weight among equal links.
 func byLink(key ids.Target, a, b vmRecord) int {
 	if a.LinkMbps != b.LinkMbps {
 		return cmp.Compare(b.LinkMbps, a.LinkMbps)
@@ -191,7 +192,7 @@
 	return cmp.Compare(routing.VMWeight(key, b.VM), routing.VMWeight(key, a.VM))
 }
 
-// serveMirrors lets peers read what this VM has read of the store.
+// serveMirrors serves this VM's copy of the store to peers.
 func (d *Daemon) serveMirrors() error {
 	listener, err := net.Listen("tcp", d.Settings.PeerListen)
 	if err != nil {
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -6,14 +6,14 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// far tells whether an address is in another failure domain, as far as is known: a
-// replica's, a store's of KV cache or a peer's.
-func (d *Daemon) far(addr string) bool {
+// crossDomain reports whether addr, of a replica, a KV store or a peer, is known to be in another
+// failure domain.
+func (d *Daemon) crossDomain(addr string) bool {
 	domain, ok := d.domainOf(addr)
 	return ok && domain != d.Settings.FailureDomain
 }
 
-// domainOf returns the failure domain of an address.
+// domainOf returns the failure domain of the replica, KV store or peer at addr.
 func (d *Daemon) domainOf(addr string) (ids.FailureDomain, bool) {
 	for _, t := range d.Fleet.Snapshot().View.Targets {
 		if t.Addr == addr {
@@ -30,19 +30,19 @@
 	return d.vms.domainOf(addr)
 }
 
-// usageEvery is how often the log tells what was exchanged, and with whom this VM is in touch:
-// often enough that the last line before a kill tells most of it.
+// usageEvery is the interval of the usage log line. It is short enough that the last line before
+// a kill covers most of the traffic.
 const usageEvery = 2 * time.Second
 
-// tellUsage logs the bytes that crossed a boundary of failure domains since the start, what is
-// heard of peers, and what became of calls.
-func (d *Daemon) tellUsage() {
+// logUsage logs the bytes exchanged with other failure domains since the start, the messages
+// exchanged with peers, and the counts of late and refused calls.
+func (d *Daemon) logUsage() {
 	line := d.Log.Belief("usage")
 	if d.adapter.Meter != nil {
 		line = line.Object("bytes_beyond", d.adapter.Meter)
 	}
 	n := d.newsMetrics()
 	line = line.Int64("news_sent", n.Sent).Int64("news_heard", n.Received).Int64("news_rejected", n.Rejected).Str("news_parent", string(n.Parent)).
-		Int("news_children", n.Children).Int("vms_heard", len(d.vms.living().domain)).Int("replicas_known", len(d.Replicas.Working()))
+		Int("news_children", n.Children).Int("vms_heard", len(d.vms.live().domain)).Int("replicas_known", len(d.Replicas.Working()))
 	line.Object("store_calls", d.store).Object("late", &d.Forward.Late).Object("refused", &d.Forward.Refusals).Send()
 }
--- a/internal/edge/vms.go
+++ b/internal/edge/vms.go
@@ -19,11 +19,11 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// prefixVMs is where entry VMs register. Nothing there expires: a VM that is gone
-// only makes the others' shares of common budgets smaller.
+// prefixVMs is the key prefix under which entry VMs register. Entries do not expire: the entry of a
+// VM that is gone only makes the other VMs' shares of common budgets smaller.
 const prefixVMs = "entry-vms/"
 
-// vmRecord is a VM's entry.
+// vmRecord is the stored entry of a VM.
 type vmRecord struct {
 	VM            ids.VM            `json:"vm"`
 	FailureDomain ids.FailureDomain `json:"failure_domain"`
@@ -31,17 +31,17 @@
 	LinkMbps      int               `json:"link_mbps,omitempty"`
 }
 
-// registerRetry is the pause between tries to register.
+// registerRetry is the mean pause between attempts to register.
 const registerRetry = time.Second
 
-// register writes this VM's entry once.
+// register writes this VM's entry, and retries until it succeeds or ctx ends.
 func (d *Daemon) register(ctx context.Context) {
-	if !d.vms.await(ctx) {
+	if !d.vms.awaitListed(ctx) {
 		return
 	}
 	value, err := json.Marshal(vmRecord{VM: d.Settings.VM, FailureDomain: d.Settings.FailureDomain, PeerAddr: d.Settings.PeerListen, LinkMbps: int(d.Settings.Edge.LinkMbps)})
-	if d.vms.lists(value) {
-		return // this VM has started again
+	if d.vms.hasEntry(value) {
+		return // this VM has restarted and its entry is unchanged
 	}
 	for err == nil {
 		err = d.writeEntry(ctx, prefixVMs+string(d.Settings.VM), value)
@@ -56,6 +56,7 @@
 	}
 }
 
+// writeEntry creates the object at key, or updates it if its value differs.
 func (d *Daemon) writeEntry(ctx context.Context, key string, value []byte) error {
 	_, err := d.store.Create(ctx, key, value)
 	if !errors.Is(err, objectapi.ErrExists) {
@@ -74,12 +75,12 @@
 
 // vmList follows the list of entry VMs.
 type vmList struct {
-	d  *Daemon
-	mu sync.Mutex
-	at map[string]vmRecord // nil: it has not been read yet
-	// alive are the VMs that live, as last looked at; nil: not yet.
-	alive   *livingVMs
-	aliveAt time.Time // the look
+	d       *Daemon
+	mu      sync.Mutex
+	records map[string]vmRecord // by key; nil: the list has not been read yet
+	// alive is the latest snapshot of the live VMs; nil: none yet.
+	alive   *liveVMs
+	aliveAt time.Time // time of the latest check of alive
 }
 
 var _ follow.Handler = (*vmList)(nil)
@@ -87,7 +88,7 @@
 // Listed implements follow.Handler.
 func (c *vmList) Listed(objects []objectapi.Object, at follow.At, _ bool) {
 	c.mu.Lock()
-	c.at = map[string]vmRecord{}
+	c.records = map[string]vmRecord{}
 	c.mu.Unlock()
 	c.Changed(objects, at)
 }
@@ -98,7 +99,7 @@
 	defer c.mu.Unlock()
 	for _, o := range events {
 		if o.Deleted {
-			delete(c.at, o.Key)
+			delete(c.records, o.Key)
 			continue
 		}
 		var r vmRecord
@@ -106,29 +107,29 @@
 			c.d.Log.Belief("vm-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
 			continue
 		}
-		c.at[o.Key] = r
+		c.records[o.Key] = r
 	}
-	c.d.budgets.SetVMs(len(c.at))
-	c.d.Fleet.SetPeerCount(len(c.at) - 1)
-	names := make([]ids.VM, 0, len(c.at))
-	peers := make([]news.Peer, 0, len(c.at))
-	for _, r := range c.at {
+	c.d.budgets.SetVMs(len(c.records))
+	c.d.Fleet.SetPeerCount(len(c.records) - 1)
+	names := make([]ids.VM, 0, len(c.records))
+	peers := make([]news.Peer, 0, len(c.records))
+	for _, r := range c.records {
 		peers = append(peers, news.Peer{VM: r.VM, FailureDomain: r.FailureDomain, Addr: r.PeerAddr, LinkMbps: r.LinkMbps})
 		names = append(names, r.VM)
 	}
 	c.d.news.SetPeers(peers)
-	c.d.allowed.SetVMs(names)
-	c.d.Log.Belief("vms").Int("count", len(c.at)).Send()
+	c.d.allowances.SetVMs(names)
+	c.d.Log.Belief("vms").Int("count", len(c.records)).Send()
 }
 
-// listedEvery is how often a VM that has started looks whether the list has been read.
-const listedEvery = 20 * time.Millisecond
+// listedPoll is the interval at which a starting VM checks whether the list has been read.
+const listedPoll = 20 * time.Millisecond
 
-// await waits until the list has been read; false: ctx has ended.
-func (c *vmList) await(ctx context.Context) bool {
-	for ; ctx.Err() == nil; timing.Sleep(ctx, listedEvery) {
+// awaitListed waits until the list has been read. It returns false if ctx ends first.
+func (c *vmList) awaitListed(ctx context.Context) bool {
+	for ; ctx.Err() == nil; timing.Sleep(ctx, listedPoll) {
 		c.mu.Lock()
-		listed := c.at != nil
+		listed := c.records != nil
 		c.mu.Unlock()
 		if listed {
 			return true
@@ -137,25 +138,25 @@
 	return false
 }
 
-// lists tells whether this VM's entry is there as it should be.
-func (c *vmList) lists(value []byte) bool {
+// hasEntry reports whether the list contains this VM's entry with the given value.
+func (c *vmList) hasEntry(value []byte) bool {
 	var own vmRecord
 	if err := json.Unmarshal(value, &own); err != nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.at[prefixVMs+string(own.VM)] == own
+	return c.records[prefixVMs+string(own.VM)] == own
 }
 
 // Unchanged implements follow.Handler.
 func (c *vmList) Unchanged(follow.At) {}
 
-// domainOf returns the failure domain of the VM whose peers speak to it at addr.
+// domainOf returns the failure domain of the VM with the peer address addr.
 func (c *vmList) domainOf(addr string) (ids.FailureDomain, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if r.PeerAddr == addr {
 			return r.FailureDomain, true
 		}
@@ -163,11 +164,11 @@
 	return "", false
 }
 
-// domain returns the failure domain of a VM; empty: it is not listed.
+// domain returns the failure domain of a VM, or an empty string if it is not listed.
 func (c *vmList) domain(vm ids.VM) ids.FailureDomain {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if r.VM == vm {
 			return r.FailureDomain
 		}
@@ -175,25 +176,25 @@
 	return ""
 }
 
-// count is how many VMs are listed.
+// count returns the number of listed VMs.
 func (c *vmList) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.at)
+	return len(c.records)
 }
 
-// aliveFor is for how long a VM counts as alive after its last news. VMs with work send
-// some every few hundred milliseconds.
+// aliveFor is how long a VM counts as live after its last message. VMs with calls in flight send a
+// message every few hundred milliseconds.
 const aliveFor = 3 * time.Second
 
-// rank is how many living VMs come before this one for a target, by rendezvous. Entries
-// do not expire, so those of VMs that are gone must not count; one that has just nothing
-// to tell is passed over, too, and then two VMs take the same rank.
+// rank returns the number of live VMs that rank before this one for id, by rendezvous weight. VMs
+// that are gone must not count, since entries do not expire. A VM that has nothing to send is
+// skipped, too, so that two VMs may have the same rank.
 func (c *vmList) rank(id ids.Target) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	own, before := routing.VMWeight(id, c.d.Settings.VM), 0
-	for _, r := range c.at {
+	for _, r := range c.records {
 		if routing.VMWeight(id, r.VM) > own && c.d.news.SeenWithin(r.VM, aliveFor) {
 			before++
 		}
