--- a/internal/edge/feeds_test.go
+++ b/internal/edge/feeds_test.go
@@ -115,9 +115,9 @@
 }
 
 // TestFeedsWithoutLivePeers checks that a VM without live peers reads a bounded number of feeds,
-// always the same ones. It guards against VMs that have just started and received no message yet:
-// each of 986 VMs that started together took itself for the only reader of all feeds and connected
-// to every engine.
+// always the same ones. It guards against a VM that has just started and received no message yet: it
+// took itself for the only reader of all feeds and started to connect to every engine, as did the
+// 985 other VMs that had started at the same time.
 func TestFeedsWithoutLivePeers(t *testing.T) {
 	d, _ := newDaemonInFleet(t, nil)
 	d.Replicas.Subset.Most = 256
