--- a/internal/sockets/bounded.go
+++ b/internal/sockets/bounded.go
@@ -5,7 +5,9 @@
 // LimitWriteBuffer returns a listener whose TCP connections have a kernel send buffer of about the
 // given size, which bounds the data that the peer has not read. The kernel treats the size as a
 // hint.
-func LimitWriteBuffer(l net.Listener, bytes int) net.Listener { return &limitedListener{Listener: l, bytes: bytes} }
+func LimitWriteBuffer(l net.Listener, bytes int) net.Listener {
+	return &limitedListener{Listener: l, bytes: bytes}
+}
 
 type limitedListener struct {
 	net.Listener
--- a/internal/verdict/moves.go
+++ b/internal/verdict/moves.go
@@ -2,8 +2,8 @@
 
 // Workload: some hundred long prompts share prefixes of a few thousand tokens each. There is room
 // for each shared prefix at one or two engines, and unshared suffixes, which are never reused,
-// evict them within about ten seconds. A prefix that any target holds is therefore
-// transferred instead of computed again, and a KV store next to the engines keeps a copy.
+// evict them within about ten seconds. A prefix that any target holds is therefore transferred
+// instead of computed again, and a KV store next to the engines keeps a copy.
 
 // MinTransfer is the smallest fetch or save, in tokens. A transfer queues on both links behind
 // transfers of whole prompts, which take 50 to 130 ms each. With 64, prompts with 200 shared
@@ -73,8 +73,9 @@
 
 // A prefix is saved with the prompt that computes it; if every prompt whose prefix the store
 // lacks requested a save, all VMs would request the same one. This rule, together with fetches
-// from the store where it holds more, gained +0.013 in value and +0.005 as a fraction of all value
-// due, against neither (13 days with faults of two sites, standard errors 0.006 and 0.002), and cut the cost of recomputed tokens by 22%.
+// from the store where it holds more, gained +0.013 in value and +0.005 as a fraction of all
+// value due, against neither (13 days with faults of two sites, standard errors 0.006 and 0.002),
+// and cut the cost of recomputed tokens by 22%.
 //
 // savable reports whether a prompt should be saved, given the tokens of its unshared suffix and
 // the tokens that the store lacks. A target saves the suffix, too, which takes link capacity and
