--- a/internal/retry/services.go
+++ b/internal/retry/services.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// Services keeps one budget for each service, as this VM's share of one that all
-// VMs have in common. Safe for concurrent use.
+// ServiceBudgets holds one budget per service: this VM's share of a budget for the whole
+// fleet. Safe for concurrent use.
 //
-// In any window all VMs together make at most ratio retries a request plus
-// burst: each VM counts only the requests that it took in itself, and its part of
-// the burst is divided by how many VMs there are. A VM that is cut off keeps its
-// part, so a partition can't raise the sum.
-type Services struct {
+// In any window all VMs together make at most ratio retries per request, plus burst: each VM
+// counts only the requests that it received itself, and burst is divided by the number of
+// VMs. A VM behind a network partition keeps its share, so a partition can't raise the sum.
+type ServiceBudgets struct {
 	window time.Duration
 
 	mu      sync.Mutex
@@ -22,39 +21,40 @@
 	budgets map[string]*Budget
 }
 
-// NewServices returns budgets of ratio retries a request, and burst more over all
-// VMs, in any window of time.
-func NewServices(ratio, burst float64, window time.Duration) *Services {
-	return &Services{ratio: ratio, burst: burst, window: window, vms: 1, budgets: map[string]*Budget{}}
+// NewServiceBudgets returns budgets of ratio retries per request, plus burst over all VMs, in
+// any window.
+func NewServiceBudgets(ratio, burst float64, window time.Duration) *ServiceBudgets {
+	return &ServiceBudgets{ratio: ratio, burst: burst, window: window, vms: 1, budgets: map[string]*Budget{}}
 }
 
-// SetVMs tells how many VMs share the budgets.
-func (s *Services) SetVMs(n int) {
+// SetVMs sets how many VMs share the budgets; values below 1 count as 1.
+func (s *ServiceBudgets) SetVMs(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms = max(n, 1)
 	s.update()
 }
 
-// SetBounds changes what is allowed.
-func (s *Services) SetBounds(ratio, burst float64) {
+// SetBounds changes the ratio, and the burst of the whole fleet.
+func (s *ServiceBudgets) SetBounds(ratio, burst float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ratio, s.burst = ratio, burst
 	s.update()
 }
 
-// update passes the bounds on to the budgets. The lock is held.
-func (s *Services) update() {
+// update applies the bounds to all budgets. The caller holds mu.
+func (s *ServiceBudgets) update() {
 	for _, b := range s.budgets {
 		b.SetBounds(s.ratio, s.share())
 	}
 }
 
-func (s *Services) share() float64 { return s.burst / float64(s.vms) }
+// share returns this VM's share of the burst. The caller holds mu.
+func (s *ServiceBudgets) share() float64 { return s.burst / float64(s.vms) }
 
-// Of returns a service's budget.
-func (s *Services) Of(service string) *Budget {
+// Of returns the budget of a service, and creates it at first use.
+func (s *ServiceBudgets) Of(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[service]
