--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -21,44 +21,46 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Peer is a VM to read from.
+// Peer is a VM that this one may read from.
 type Peer struct {
 	VM   ids.VM
 	Addr string // ip:port
-	// CrossDomain tells that it reads for VMs of other failure domains, from the store itself.
+	// CrossDomain marks a peer that reads the store itself and serves VMs of other failure
+	// domains.
 	CrossDomain bool
 }
 
-// Times of a reader. A replica that leaves must be known within three seconds of its word
-// to the store, also where the VM that reads the store is cut off from it at that moment:
-// its silence is noticed, others take their turns, and what they read is asked for, within
-// 2.5 s (TestBlindTime adds it up).
+// Timing of a reader. Every VM must know that a replica leaves within 3 s of the replica's
+// write to the store, also if the store reader loses the store at that moment: detecting the
+// loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
+// (TestMaxBlindTime adds it up).
 const (
-	// freshAge is how long ago the store may last have answered a speaker, and freshFar the
-	// same of a far one, from whose answers others are answered: a watch of 0.6 s, and one
-	// question more.
-	freshAge = 1200 * time.Millisecond
-	freshFar = time.Second
-	// questionWait is how long a question waits for a change, at most.
-	questionWait = 400 * time.Millisecond
-	// questionTimeout bounds a question beyond its wait.
-	questionTimeout = 400 * time.Millisecond
-	dialTimeout     = 300 * time.Millisecond
-	// maxAnswer bounds an answer, in bytes: a whole configuration and its documents.
-	maxAnswer = 16 << 20
+	// maxContactAge is how long ago the store may last have answered an upstream peer: a watch
+	// of 0.6 s and one read more. crossDomainMaxAge is the same for a peer of another domain,
+	// whose data this VM forwards to others.
+	maxContactAge     = 1200 * time.Millisecond
+	crossDomainMaxAge = time.Second
+	// readWait is the longest time that a read waits for a change at the peer.
+	readWait = 400 * time.Millisecond
+	// readTimeout bounds a read, in addition to its wait.
+	readTimeout = 400 * time.Millisecond
+	dialTimeout = 300 * time.Millisecond
+	// maxResponseBytes bounds a response: a whole configuration and its documents.
+	maxResponseBytes = 16 << 20
 )
 
-// client asks one peer.
+// client reads from one peer.
 type client struct {
-	conn   *grpc.ClientConn
-	fresh  time.Duration // how long ago the store may have answered the peer
-	spaces []*Space
-	have   []position // of the peer's copies, one a space
-	parts  []partial  // of copies that come in pieces
+	conn     *grpc.ClientConn
+	maxAge   time.Duration // longest time since the store answered the peer
+	spaces   []*Space
+	have     []position    // position in each space of the peer
+	partials []partialCopy // full copies of which some chunks are missing
 }
 
-// partial is what has come of a whole copy. What it says is as old as its first piece.
-type partial struct {
+// partialCopy holds the chunks received so far of a full copy. The age of the copy is that of
+// its first chunk.
+type partialCopy struct {
 	at       follow.At
 	regained bool
 	objects  []objectapi.Object
@@ -67,7 +69,7 @@
 func dial(p Peer, spaces []*Space, meter *traffic.Meter) (*client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+p.Addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswer)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)),
 		grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
 			nc, err := sockets.Dialer(dialTimeout).DialContext(ctx, "tcp4", addr)
 			if err != nil {
@@ -78,72 +80,72 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "connect to %s", p.VM)
 	}
-	fresh := freshAge
+	maxAge := maxContactAge
 	if p.CrossDomain {
-		fresh = freshFar
+		maxAge = crossDomainMaxAge
 	}
-	return &client{conn: conn, fresh: fresh, spaces: spaces, have: make([]position, len(spaces)), parts: make([]partial, len(spaces))}, nil
+	return &client{conn: conn, maxAge: maxAge, spaces: spaces, have: make([]position, len(spaces)), partials: make([]partialCopy, len(spaces))}, nil
 }
 
-func (c *client) close() { _ = c.conn.Close() } // nothing is under way
+func (c *client) close() { _ = c.conn.Close() } // no call is in flight
 
-// errStale is a speaker that has had no contact with the store for too long.
-var errStale = eris.New("the peer has lost the store")
+// errStale is returned for a peer whose last contact with the store is too long ago.
+var errStale = eris.New("peer has lost contact with the store")
 
-// errStarting is a speaker that has not read the store yet.
-var errStarting = eris.New("the peer has not read the store yet")
+// errStarting is returned for a peer that has not read the store yet.
+var errStarting = eris.New("peer has not read the store yet")
 
-// read asks once and takes the answer in.
+// read calls the peer once and applies its response. The peer waits up to wait for a change.
 func (c *client) read(ctx context.Context, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait+questionTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	r := &mirrorpb.ReadRequest{WaitMs: uint32(wait.Milliseconds())}
 	for i, s := range c.spaces {
 		r.Have = append(r.Have, &mirrorpb.Position{Prefix: s.Prefix, Copy: c.have[i].copyID, Change: c.have[i].change, Behind: c.have[i].behind})
 	}
 	sent := clock.Now()
-	answer, err := mirrorpb.NewMirrorClient(c.conn).Read(ctx, r)
+	resp, err := mirrorpb.NewMirrorClient(c.conn).Read(ctx, r)
 	if status.Code(err) == codes.FailedPrecondition {
 		return errStarting
 	}
 	if err != nil {
-		return eris.Wrap(err, "ask a peer for what the store holds")
+		return eris.Wrap(err, "read the store's contents from a peer")
 	}
-	if len(answer.Parts) != len(c.spaces) {
-		return eris.Errorf("%d parts answer a question about %d key spaces", len(answer.Parts), len(c.spaces))
+	if len(resp.Parts) != len(c.spaces) {
+		return eris.Errorf("response has %d parts, want %d (one per key space)", len(resp.Parts), len(c.spaces))
 	}
-	if err := c.judge(answer); err != nil {
+	if err := c.validate(resp); err != nil {
 		return err
 	}
-	for i, p := range answer.Parts {
+	for i, p := range resp.Parts {
 		if len(p.Packed) > 0 {
 			if p.Objects, err = unpack(p.Packed); err != nil {
 				return err
 			}
 		}
-		c.take(i, p, sent)
+		c.apply(i, p, sent)
 	}
 	return nil
 }
 
-// judge tells whether an answer may be used.
-func (c *client) judge(answer *mirrorpb.ReadAnswer) error {
-	fresh := uint64(c.fresh.Microseconds())
-	youngest := fresh + 1
-	for i, p := range answer.Parts {
+// validate checks that a response matches the request and is recent enough.
+func (c *client) validate(resp *mirrorpb.ReadAnswer) error {
+	maxAge := uint64(c.maxAge.Microseconds())
+	youngest := maxAge + 1
+	for i, p := range resp.Parts {
 		if p.Prefix != c.spaces[i].Prefix {
-			return eris.Errorf("a part about %q answers a question about %q", p.Prefix, c.spaces[i].Prefix)
+			return eris.Errorf("response has key space %q, want %q", p.Prefix, c.spaces[i].Prefix)
 		}
 		youngest = min(youngest, p.ContactUs)
 	}
-	if youngest > fresh {
+	if youngest > maxAge {
 		return errStale
 	}
 	return nil
 }
 
-// take passes a part on to its space, a whole copy when its last piece has come.
-func (c *client) take(i int, p *mirrorpb.Part, sent time.Time) {
+// apply hands a part to its space; a full copy is handed over with its last chunk.
+func (c *client) apply(i int, p *mirrorpb.Part, sent time.Time) {
 	s := c.spaces[i]
 	c.have[i] = position{copyID: p.Copy, change: p.Change}
 	at := follow.At{Revision: objectapi.Revision(p.Revision), Sent: before(sent, p.AgeUs), Answered: before(clock.Now(), p.ContactUs)}
@@ -153,18 +155,18 @@
 	}
 	switch {
 	case p.Whole:
-		whole := &c.parts[i]
+		full := &c.partials[i]
 		if p.Behind == "" {
-			*whole = partial{at: at, regained: p.Regained}
+			*full = partialCopy{at: at, regained: p.Regained}
 		}
-		whole.objects = append(whole.objects, objects...)
+		full.objects = append(full.objects, objects...)
 		if p.More && len(objects) > 0 {
 			c.have[i].behind = objects[len(objects)-1].Key
 			return
 		}
-		whole.at.Answered = at.Answered
-		s.Listed(whole.objects, whole.at, whole.regained)
-		*whole = partial{}
+		full.at.Answered = at.Answered
+		s.Listed(full.objects, full.at, full.regained)
+		*full = partialCopy{}
 	case len(objects) > 0:
 		s.Changed(objects, at)
 	default:
@@ -172,24 +174,24 @@
 	}
 }
 
-// before is a moment so many microseconds before another.
+// before returns the time us microseconds before t.
 func before(t time.Time, us uint64) time.Time { return t.Add(-time.Duration(us) * time.Microsecond) }
 
-// avoidance remembers which peers failed.
+// avoidance records which peers failed and until when they are not called.
 type avoidance struct {
 	mu    sync.Mutex
 	until map[ids.VM]time.Time
-	fails map[ids.VM]int // in a row; zero: it answers
+	fails map[ids.VM]int // consecutive failures; zero: the peer answers
 }
 
 const (
-	// avoidStale is how long a peer is left alone that answers and has lost the store.
+	// avoidStale is how long a peer is avoided that answers but has lost the store.
 	avoidStale = 300 * time.Millisecond
-	// avoidStarting is the same for one that has not read the store yet, which takes some
-	// tens of milliseconds.
+	// avoidStarting is how long a peer is avoided that has not read the store yet, which takes
+	// some tens of milliseconds.
 	avoidStarting = 100 * time.Millisecond
-	// avoidFirst is how long a peer is left alone after it failed; the time doubles with
-	// each failure in a row up to avoidFirst << avoidDoublings.
+	// avoidFirst is how long a peer is avoided after its first failure; the time doubles with
+	// each consecutive failure up to avoidFirst << maxAvoidDoublings.
 	avoidFirst     = 2 * time.Second
 	avoidDoublings = 4
 )
@@ -204,8 +206,8 @@
 	a.fails[vm]++
 }
 
-// stale notes that a peer answers, and has lost the store.
-func (a *avoidance) stale(vm ids.VM, until time.Time) {
+// avoidUntil records that a peer answers but can't serve the store's contents.
+func (a *avoidance) avoidUntil(vm ids.VM, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.until == nil {
@@ -215,8 +217,8 @@
 	delete(a.fails, vm)
 }
 
-// gone tells whether a peer did not answer when it was last asked, and is avoided.
-func (a *avoidance) gone(vm ids.VM, now time.Time) bool {
+// unresponsive reports whether a peer is avoided because its last call failed.
+func (a *avoidance) unresponsive(vm ids.VM, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fails[vm] > 0 && now.Before(a.until[vm])
--- a/internal/mirror/late_test.go
+++ b/internal/mirror/late_test.go
@@ -12,24 +12,25 @@
 	"github.com/threadwall/threadwall/internal/mirrorpb"
 )
 
-// lateServer freezes after it has worked out an answer and before it sends it.
-type lateServer struct {
+// delayedServer sends each response responseDelay after it was computed.
+type delayedServer struct {
 	mirrorpb.UnimplementedMirrorServer
 	inner *Server
 }
 
-// frozen is shorter than a question may take.
-const frozen = 200 * time.Millisecond
+// responseDelay is shorter than the time limit of a read.
+const responseDelay = 200 * time.Millisecond
 
-func (s *lateServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
+func (s *delayedServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
 	a, err := s.inner.Read(ctx, r)
-	time.Sleep(frozen)
+	time.Sleep(responseDelay)
 	return a, err
 }
 
-// TestProofOfALateAnswer lets a peer freeze between working out how old its proof is and
-// sending that: at its reader the proof is no younger for it, over one peer and over two.
-func TestProofOfALateAnswer(t *testing.T) {
+// TestProofAgeOfDelayedResponse guards against a peer that stalls between computing the age of
+// its proof and sending it: the reader must not take the proof for younger than it is, with one
+// peer and with two peers in a row.
+func TestProofAgeOfDelayedResponse(t *testing.T) {
 	first := &Space{Prefix: "p/", Next: &testVM{}, Notifier: &Notifier{}}
 	sent := time.Now()
 	first.Listed(nil, follow.At{Revision: 1, Sent: sent, Answered: sent}, false)
@@ -39,7 +40,7 @@
 			t.Fatal(err)
 		}
 		srv := grpc.NewServer()
-		mirrorpb.RegisterMirrorServer(srv, &lateServer{inner: &Server{Spaces: []*Space{first}, Notifier: first.Notifier}})
+		mirrorpb.RegisterMirrorServer(srv, &delayedServer{inner: &Server{Spaces: []*Space{first}, Notifier: first.Notifier}})
 		go func() { _ = srv.Serve(l) }()
 		t.Cleanup(srv.Stop)
 		next := &testVM{}
@@ -53,7 +54,7 @@
 			t.Fatal(err)
 		}
 		if at, _ := space.At(); at.Sent.After(sent) {
-			t.Errorf("after %d readers the proof is %v too young", hop+1, at.Sent.Sub(sent))
+			t.Errorf("after %d readers the proof age is understated by %v", hop+1, at.Sent.Sub(sent))
 		}
 		first = space
 	}
--- a/internal/mirror/notifier.go
+++ b/internal/mirror/notifier.go
@@ -2,28 +2,28 @@
 
 import "sync"
 
-// Notifier wakes all who wait for a change. Safe for concurrent use.
+// Notifier wakes all goroutines that wait for a change. Safe for concurrent use.
 type Notifier struct {
-	mu   sync.Mutex
-	next chan struct{} // closed at the next ring; nil: nobody waits
+	mu      sync.Mutex
+	changed chan struct{} // closed at the next change; nil: nobody waits
 }
 
-// wait returns a channel that is closed at the next ring.
+// wait returns a channel that is closed by the next call of notify.
 func (b *Notifier) wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.next == nil {
-		b.next = make(chan struct{})
+	if b.changed == nil {
+		b.changed = make(chan struct{})
 	}
-	return b.next
+	return b.changed
 }
 
-// ring wakes all who wait.
-func (b *Notifier) ring() {
+// notify wakes all waiting goroutines.
+func (b *Notifier) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.next != nil {
-		close(b.next)
-		b.next = nil
+	if b.changed != nil {
+		close(b.changed)
+		b.changed = nil
 	}
 }
--- a/internal/mirror/pack.go
+++ b/internal/mirror/pack.go
@@ -12,62 +12,63 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// A piece of a whole copy is compressed: entries of replicas differ in a tenth of their bytes, and
-// a fleet that starts copies all of them to every VM. Each piece is compressed once and kept as
-// long as nothing changes, so that a reader of many VMs does not do it anew for each.
+// The chunks of a full copy are compressed: entries of replicas differ in a tenth of their bytes,
+// and a starting fleet copies all of them to every VM. Each chunk is compressed once and cached
+// until something changes, so that a VM that serves many others does not compress it for each.
 
-// unpackedMost bounds what a packed piece may unpack to, in bytes: a single object may be as long
-// as an answer.
-const unpackedMost = maxAnswer
+// maxUnpackedBytes bounds the size of a decompressed chunk: a single object may be as long as a
+// response.
+const maxUnpackedBytes = maxResponseBytes
 
-// packs are the packed pieces of one state of a space, by where they begin.
-type packs struct {
+// packedChunks caches the compressed chunks of one state of a space by the key after which each
+// begins.
+type packedChunks struct {
 	change uint64
-	pieces map[string][]byte
+	chunks map[string][]byte
 }
 
-// of returns the packed form of a piece. The space's lock is held.
-func (p *packs) of(n *news, change uint64) ([]byte, error) {
-	if p.change != change || p.pieces == nil {
-		p.change, p.pieces = change, map[string][]byte{}
+// of returns the compressed form of a chunk. The caller holds the space's lock.
+func (p *packedChunks) of(n *update, change uint64) ([]byte, error) {
+	if p.change != change || p.chunks == nil {
+		p.change, p.chunks = change, map[string][]byte{}
 	}
-	if packed, ok := p.pieces[n.behind]; ok {
+	if packed, ok := p.chunks[n.behind]; ok {
 		return packed, nil
 	}
 	packed, err := pack(n.objects)
 	if err == nil {
-		p.pieces[n.behind] = packed
+		p.chunks[n.behind] = packed
 	}
 	return packed, err
 }
 
 func pack(objects []objectapi.Object) ([]byte, error) {
-	data, err := proto.Marshal(&mirrorpb.Objects{Objects: wire(objects)})
+	data, err := proto.Marshal(&mirrorpb.Objects{Objects: toProto(objects)})
 	if err != nil {
-		return nil, eris.Wrap(err, "encode a piece")
+		return nil, eris.Wrap(err, "encode a chunk")
 	}
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
-		return nil, eris.Wrap(err, "compress a piece")
+		return nil, eris.Wrap(err, "compress a chunk")
 	}
 	if _, err = w.Write(data); err == nil {
 		err = w.Close()
 	}
-	return out.Bytes(), eris.Wrap(err, "compress a piece")
+	return out.Bytes(), eris.Wrap(err, "compress a chunk")
 }
 
 func unpack(packed []byte) ([]*mirrorpb.Object, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), unpackedMost))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
-		return nil, eris.Wrap(err, "unpack a piece")
+		return nil, eris.Wrap(err, "decompress a chunk")
 	}
 	var objects mirrorpb.Objects
 	err = proto.Unmarshal(data, &objects)
-	return objects.Objects, eris.Wrap(err, "decode a piece")
+	return objects.Objects, eris.Wrap(err, "decode a chunk")
 }
 
-func wire(objects []objectapi.Object) []*mirrorpb.Object {
+func toProto(objects []objectapi.Object) []*mirrorpb.Object {
 	out := make([]*mirrorpb.Object, 0, len(objects))
 	for _, o := range objects {
 		out = append(out, &mirrorpb.Object{Key: o.Key, Value: o.Value, Version: uint64(o.Version), Deleted: o.Deleted})
--- a/internal/mirror/pieces_test.go
+++ b/internal/mirror/pieces_test.go
@@ -16,23 +16,15 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// A VM that started beside 985 others before 10,002 replicas got its copy of the list as one
-// answer of 3 MB, which 20 Mbit/s don't carry in the time of a question. It left one peer after the
-// other and read the store itself, 21 pages, as did all:
-//
-//	{"event":"peer-left","peer":"front-sala-heredia-8","error":"ask a peer for what the store holds: rpc error: code = DeadlineExceeded ..."}
-//
-// A copy comes in pieces now.
-
-// narrowServer counts the bytes of the longest answer, and changes the copy between two.
-type narrowServer struct {
+// measuringServer records the size of the largest response and changes the copy after each.
+type measuringServer struct {
 	mirrorpb.UnimplementedMirrorServer
 	inner   *Server
 	change  func()
 	longest int
 }
 
-func (s *narrowServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
+func (s *measuringServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
 	a, err := s.inner.Read(ctx, r)
 	n := 0
 	for _, p := range a.GetParts() {
@@ -46,9 +38,13 @@
 	return a, err
 }
 
-// TestCopyComesInPieces reads 10,002 entries of 300 bytes while some of them change, come and go.
-// No answer is longer than a narrow link carries in time, and the copy ends up as its source.
-func TestCopyComesInPieces(t *testing.T) {
+// TestCopyInChunks reads 10,002 entries of 300 bytes while entries change, appear and disappear. No
+// response may be larger than a chunk, and the copy must end up equal to its source.
+//
+// A VM that started beside 985 others before 10,002 replicas used to get the list as one response
+// of 3 MB, which a link of 20 Mbit/s does not carry within the time limit of a read. It left one
+// peer after the other with DeadlineExceeded and read the store itself, 21 pages, as did all VMs.
+func TestCopyInChunks(t *testing.T) {
 	const entries = 10_002
 	rng := rand.New(rand.NewPCG(1, 1))
 	source := &Space{Prefix: "p/", Next: &testVM{}, Notifier: &Notifier{}}
@@ -68,7 +64,7 @@
 		t.Fatal(err)
 	}
 	changes := 0
-	s := &narrowServer{inner: &Server{Spaces: []*Space{source}, Notifier: source.Notifier}, change: func() {
+	s := &measuringServer{inner: &Server{Spaces: []*Space{source}, Notifier: source.Notifier}, change: func() {
 		if changes++; changes > 60 {
 			return
 		}
@@ -80,8 +76,8 @@
 	mirrorpb.RegisterMirrorServer(srv, s)
 	go func() { _ = srv.Serve(l) }()
 	t.Cleanup(srv.Stop)
-	copied := &Space{Prefix: "p/", Next: &testVM{}, Notifier: &Notifier{}}
-	c, err := dial(Peer{VM: "a", Addr: l.Addr().String()}, []*Space{copied}, nil)
+	dst := &Space{Prefix: "p/", Next: &testVM{}, Notifier: &Notifier{}}
+	c, err := dial(Peer{VM: "a", Addr: l.Addr().String()}, []*Space{dst}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,14 +87,14 @@
 			t.Fatal(err)
 		}
 	}
-	if s.longest > pieceBytes {
-		t.Errorf("an answer has %d bytes, %d may be", s.longest, pieceBytes)
+	if s.longest > chunkBytes {
+		t.Errorf("largest response has %d bytes, want at most %d", s.longest, chunkBytes)
 	}
-	if len(copied.objects) != len(source.objects) {
-		t.Errorf("the copy has %d objects, its source %d", len(copied.objects), len(source.objects))
+	if len(dst.objects) != len(source.objects) {
+		t.Errorf("the copy has %d objects, its source has %d", len(dst.objects), len(source.objects))
 	}
 	for key, o := range source.objects {
-		if got := copied.objects[key]; got.Version != o.Version || string(got.Value) != string(o.Value) {
+		if got := dst.objects[key]; got.Version != o.Version || string(got.Value) != string(o.Value) {
 			t.Fatalf("%s has version %d, %d at the source", key, got.Version, o.Version)
 		}
 	}
--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -12,28 +12,29 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Reader keeps this VM's spaces up to date, from a peer or from the store. Its fields
-// are set before Run.
+// Reader keeps this VM's spaces up to date from a peer or from the store. Its fields are set
+// before Run.
 //
-// # Turns
+// # Ranks
 //
-// When the VM that this one reads from answers, but has lost the store itself, the store may
-// be away for all. So not all turn to it at once: the VMs take turns in their order, turnStep
-// apart, and each looks meanwhile whether one before it has found the store. VMs that are
-// gone take no turn.
+// If an upstream peer answers but has lost the store, the store may be unavailable to all VMs.
+// To keep them from calling it all at once, the VMs fall back to it in the order of their ranks,
+// rankStep apart, and each checks meanwhile whether a VM that ranks before it serves again. No VM
+// waits for an unresponsive one.
 type Reader struct {
 	Spaces []*Space
-	// UpstreamPeers returns the VMs to read from, the first one first; none: this VM reads the
-	// store itself. No VM comes before one that comes before it.
+	// UpstreamPeers returns the VMs to read from, in order of preference; none: this VM reads
+	// the store itself. All VMs use the same order, so that there are no cycles.
 	UpstreamPeers func() []Peer
-	// Bootstrap reads the list of VMs from the store, until it succeeds or ctx ends. Nil:
-	// the list comes with all else.
+	// Bootstrap reads the list of VMs from the store until that succeeds or its context ends.
+	// Nil: the list is read with everything else.
 	Bootstrap func(context.Context)
 	// ReadStore reads the store until its context ends.
 	ReadStore func(context.Context)
-	// Wait is how long a question waits for a change, at most. Zero: questionWait.
+	// Wait is the longest time that a read from a peer waits for a change; zero, or more than
+	// readWait: readWait.
 	Wait time.Duration
-	// Meter counts the bytes that are read from peers. Nil: nothing does.
+	// Meter counts the bytes read from peers. Optional.
 	Meter *traffic.Meter
 	Log   *eventlog.Log
 
@@ -42,25 +43,25 @@
 	source string
 }
 
-// storeSource names the store in log and status.
+// storeSource names the store in logs and in the status.
 const storeSource = "store"
 
 const (
-	// lookEvery is how often a VM that reads the store looks whether a peer could do so.
-	lookEvery = time.Second
-	// seekEvery is how often one that waits for its turn does.
-	seekEvery = 100 * time.Millisecond
-	// turnStep lies between the turns of two VMs of a failure domain: a dial and a list.
-	// farStep is the same for the VMs of other domains that come before this one, which are
-	// two a domain: with turnStep the first VM of the last of six domains waited for 4 s,
-	// and 43 of 195 VMs could no longer prove that their keys are valid.
-	turnStep = 400 * time.Millisecond
-	farStep  = 40 * time.Millisecond
-	// askedMost is how many peers are asked in one look.
-	askedMost = 3
+	// checkInterval is how often a VM that reads the store checks whether a peer serves.
+	checkInterval = time.Second
+	// seekInterval is how often a VM that waits for its rank checks the same.
+	seekInterval = 100 * time.Millisecond
+	// rankStep is the delay for each VM that ranks before this one in its failure domain: a dial and
+	// a list. crossDomainStep is the delay for each one in another domain; there
+	// are two per domain. With rankStep for these too, the first VM of the last of six domains
+	// waited for 4 s, and 43 of 195 VMs could no longer prove that their keys are valid.
+	rankStep        = 400 * time.Millisecond
+	crossDomainStep = 40 * time.Millisecond
+	// maxPeersPerSearch bounds how many peers one search calls.
+	maxPeersPerSearch = 3
 )
 
-// Run reads until ctx ends.
+// Run keeps the spaces up to date until ctx ends.
 func (r *Reader) Run(ctx context.Context) {
 	if r.Bootstrap != nil {
 		r.Bootstrap(ctx)
@@ -76,35 +77,36 @@
 	}
 }
 
-// seek looks for a peer to read from until it is this VM's turn to read the store.
+// seek searches for a peer to read from until this VM's rank lets it read the store.
 func (r *Reader) seek(ctx context.Context) (*client, Peer) {
-	for began := clock.Now(); ctx.Err() == nil; timing.Sleep(ctx, seekEvery) {
+	for began := clock.Now(); ctx.Err() == nil; timing.Sleep(ctx, seekInterval) {
 		if c, p := r.find(ctx); c != nil {
 			return c, p
 		}
-		if clock.Since(began) >= r.turn(clock.Now()) {
+		if clock.Since(began) >= r.storeDelay(clock.Now()) {
 			return nil, Peer{}
 		}
 	}
 	return nil, Peer{}
 }
 
-// turn is how long this VM leaves the store to those before it that answer.
-func (r *Reader) turn(now time.Time) time.Duration {
+// storeDelay returns how long this VM waits for the responsive VMs that rank before it, until
+// it reads the store itself.
+func (r *Reader) storeDelay(now time.Time) time.Duration {
 	var sum time.Duration
 	for _, p := range r.UpstreamPeers() {
 		switch {
-		case r.avoid.gone(p.VM, now):
+		case r.avoid.unresponsive(p.VM, now):
 		case p.CrossDomain:
-			sum += farStep
+			sum += crossDomainStep
 		default:
-			sum += turnStep
+			sum += rankStep
 		}
 	}
 	return sum
 }
 
-// Source names where this VM reads from now.
+// Source returns the peer that this VM reads from now, or "store". Safe for concurrent use.
 func (r *Reader) Source() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,15 +123,15 @@
 	r.Log.Belief("store-source").Str("source", source).Str("reason", reason).Send()
 }
 
-// direct reads the store until a peer has been found.
+// direct reads the store until a peer serves.
 func (r *Reader) direct(ctx context.Context) (*client, Peer) {
-	r.setSource(storeSource, "no peer that comes before this VM serves")
-	dctx, cancel := context.WithCancel(ctx)
+	r.setSource(storeSource, "no upstream peer serves")
+	storeCtx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { r.ReadStore(dctx) })
+	wg.Go(func() { r.ReadStore(storeCtx) })
 	defer wg.Wait()
 	defer cancel()
-	for timing.Sleep(ctx, lookEvery) {
+	for timing.Sleep(ctx, checkInterval) {
 		if c, p := r.find(ctx); c != nil {
 			return c, p
 		}
@@ -137,14 +139,14 @@
 	return nil, Peer{}
 }
 
-// find returns the first peer that has the store, after its answer was taken in.
+// find returns the first peer that serves, after its first response has been applied.
 func (r *Reader) find(ctx context.Context) (*client, Peer) {
-	asked := 0
+	called := 0
 	for _, p := range r.UpstreamPeers() {
 		if r.avoid.avoids(p.VM, clock.Now()) {
 			continue
 		}
-		if asked++; asked > askedMost {
+		if called++; called > maxPeersPerSearch {
 			break
 		}
 		c, err := dial(p, r.Spaces, r.Meter)
@@ -158,53 +160,54 @@
 		if ctx.Err() != nil {
 			break
 		}
-		r.leave(p, err)
+		r.avoidPeer(p, err)
 	}
 	return nil, Peer{}
 }
 
-func (r *Reader) leave(p Peer, err error) {
+// avoidPeer records a failed read, so that the peer is not called for a while.
+func (r *Reader) avoidPeer(p Peer, err error) {
 	now := clock.Now()
 	switch {
 	case errors.Is(err, errStarting):
-		r.avoid.stale(p.VM, now.Add(avoidStarting))
+		r.avoid.avoidUntil(p.VM, now.Add(avoidStarting))
 		return
 	case errors.Is(err, errStale):
-		r.avoid.stale(p.VM, now.Add(avoidStale))
+		r.avoid.avoidUntil(p.VM, now.Add(avoidStale))
 	default:
 		r.avoid.failed(p.VM, now)
 	}
 	r.Log.Belief("peer-left").Str("peer", string(p.VM)).Str("error", err.Error()).Send()
 }
 
-// follow reads from a peer until it fails, or a VM before it may be asked again.
+// follow reads from a peer until it fails or a preferred one may be called again.
 func (r *Reader) follow(ctx context.Context, c *client, p Peer) {
 	defer c.close()
-	r.setSource(string(p.VM), "it comes before this VM and has the store")
-	wait := questionWait
+	r.setSource(string(p.VM), "upstream peer serves")
+	wait := readWait
 	if r.Wait > 0 {
 		wait = min(wait, r.Wait)
 	}
-	for r.best(p) {
+	for r.preferred(p) {
 		err := c.read(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			r.leave(p, err)
+			r.avoidPeer(p, err)
 			return
 		}
 		r.avoid.succeeded(p.VM)
 	}
 }
 
-// best tells whether a peer is still the first one to read from.
-func (r *Reader) best(p Peer) bool {
-	for _, q := range r.UpstreamPeers() {
-		if q.VM == p.VM {
-			return q.Addr == p.Addr
+// preferred reports whether a peer is still the first one to read from.
+func (r *Reader) preferred(p Peer) bool {
+	for _, other := range r.UpstreamPeers() {
+		if other.VM == p.VM {
+			return other.Addr == p.Addr
 		}
-		if !r.avoid.avoids(q.VM, clock.Now()) {
+		if !r.avoid.avoids(other.VM, clock.Now()) {
 			return false
 		}
 	}
--- a/internal/mirror/reader_test.go
+++ b/internal/mirror/reader_test.go
@@ -17,19 +17,18 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// testVM is an entry VM that reads a store of one key space: the revision is what the
-// store's counter says.
+// testVM is an entry VM that reads a store of one key space, whose revision is a counter.
 type testVM struct {
-	name   ids.VM
-	space  *Space
-	reader *Reader
-	server *grpc.Server
-	addr   string
-	cut    atomic.Bool // from the store
-	lists  atomic.Int64
+	name      ids.VM
+	space     *Space
+	reader    *Reader
+	server    *grpc.Server
+	addr      string
+	storeLost atomic.Bool
+	lists     atomic.Int64
 
 	mu   sync.Mutex
-	sent time.Time // the proof that was heard last
+	sent time.Time // the last proof received
 }
 
 func (v *testVM) Listed(_ []objectapi.Object, at follow.At, _ bool) { v.Unchanged(at) }
@@ -51,14 +50,14 @@
 	return at.Revision
 }
 
-// startVMs starts VMs of which each reads from those before it.
+// startVMs starts n VMs; each may read from all before it.
 func startVMs(t *testing.T, store *atomic.Uint64, n int) []*testVM {
 	t.Helper()
-	return startVMsBehind(t, store, n, n)
+	return startChain(t, store, n, n)
 }
 
-// startVMsBehind starts VMs of which each reads from so many VMs right before it.
-func startVMsBehind(t *testing.T, store *atomic.Uint64, n, behind int) []*testVM {
+// startChain starts n VMs; each may read from the given number of VMs right before it.
+func startChain(t *testing.T, store *atomic.Uint64, n, upstreams int) []*testVM {
 	t.Helper()
 	var vms []*testVM
 	ctx, cancel := context.WithCancel(t.Context())
@@ -66,10 +65,10 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	for i := range n {
 		v := &testVM{name: ids.VM(rune('a' + i))}
-		bell := &Notifier{}
-		v.space = &Space{Prefix: "p/", Next: v, Notifier: bell}
+		notifier := &Notifier{}
+		v.space = &Space{Prefix: "p/", Next: v, Notifier: notifier}
 		var peers []Peer
-		for _, p := range vms[max(len(vms)-behind, 0):] {
+		for _, p := range vms[max(len(vms)-upstreams, 0):] {
 			peers = append(peers, Peer{VM: p.name, Addr: p.addr})
 		}
 		v.reader = &Reader{Spaces: []*Space{v.space}, UpstreamPeers: func() []Peer { return peers }, ReadStore: func(ctx context.Context) { v.direct(ctx, store) }}
@@ -78,7 +77,7 @@
 			t.Fatal(err)
 		}
 		v.addr, v.server = l.Addr().String(), grpc.NewServer()
-		mirrorpb.RegisterMirrorServer(v.server, &Server{Spaces: []*Space{v.space}, Notifier: bell})
+		mirrorpb.RegisterMirrorServer(v.server, &Server{Spaces: []*Space{v.space}, Notifier: notifier})
 		wg.Go(func() { _ = v.server.Serve(l) })
 		t.Cleanup(v.server.Stop)
 		vms = append(vms, v)
@@ -89,10 +88,10 @@
 	return vms
 }
 
-// direct reads the store every few milliseconds.
+// direct reads the store every 10 ms unless storeLost is set.
 func (v *testVM) direct(ctx context.Context, store *atomic.Uint64) {
 	for listed := false; ; {
-		if !v.cut.Load() {
+		if !v.storeLost.Load() {
 			at := follow.At{Revision: objectapi.Revision(store.Load()), Sent: time.Now(), Answered: time.Now()}
 			if listed {
 				v.space.Changed([]objectapi.Object{{Key: "p/x", Version: at.Revision}}, at)
@@ -115,15 +114,15 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", within, what)
+	t.Fatalf("timeout after %v: %s", within, what)
 }
 
-// soon is far longer than anything here takes.
-const soon = 10 * time.Second
+// awaitTimeout is far longer than any condition in these tests takes.
+const awaitTimeout = 10 * time.Second
 
-// TestReadsFromTheFirstThatServes lets the first VM read for three others, then lose
-// the store, then come back, then die: the others hear each change all the while.
-func TestReadsFromTheFirstThatServes(t *testing.T) {
+// TestReadsFromFirstServingPeer lets the first VM serve three others, lose the store, regain it and
+// fail: the others must receive each change throughout.
+func TestReadsFromFirstServingPeer(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
 	vms := startVMs(t, &store, 4)
@@ -131,42 +130,42 @@
 		t.Helper()
 		rev := objectapi.Revision(store.Add(1))
 		for _, v := range vms {
-			if !v.cut.Load() {
-				await(t, what+" at "+string(v.name), soon, func() bool { return v.revision() >= rev })
+			if !v.storeLost.Load() {
+				await(t, what+" at "+string(v.name), awaitTimeout, func() bool { return v.revision() >= rev })
 			}
 		}
 	}
 	reads := func(v *testVM, from string) {
 		t.Helper()
-		await(t, string(v.name)+" reads from "+from, soon, func() bool { return v.reader.Source() == from })
+		await(t, string(v.name)+" reads from "+from, awaitTimeout, func() bool { return v.reader.Source() == from })
 	}
 	for _, v := range vms[1:] {
 		reads(v, "a")
 	}
 	all("a change")
-	vms[0].cut.Store(true)
+	vms[0].storeLost.Store(true)
 	reads(vms[1], storeSource)
 	reads(vms[2], "b")
-	all("a change while the first has lost the store")
-	vms[0].cut.Store(false)
+	all("a change while the first VM has lost the store")
+	vms[0].storeLost.Store(false)
 	for _, v := range vms[1:] {
 		reads(v, "a")
 	}
 	vms[0].server.Stop()
-	vms[0].cut.Store(true)
+	vms[0].storeLost.Store(true)
 	reads(vms[3], "b")
-	all("a change after the first has died")
+	all("a change after the first VM has failed")
 }
 
-// TestProofIsNeverTooYoung checks that what a peer passes on is never said to be newer
-// than the peer's own call of the store.
-func TestProofIsNeverTooYoung(t *testing.T) {
+// TestProofAgeIsNotUnderstated checks that a reader never takes a peer's data for newer than
+// the peer's own call of the store.
+func TestProofAgeIsNotUnderstated(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
 	vms := startVMs(t, &store, 2)
-	await(t, "b reads from a", soon, func() bool { return vms[1].reader.Source() == "a" })
-	vms[0].cut.Store(true)
-	time.Sleep(30 * time.Millisecond) // a call that had begun ends
+	await(t, "b reads from a", awaitTimeout, func() bool { return vms[1].reader.Source() == "a" })
+	vms[0].storeLost.Store(true)
+	time.Sleep(30 * time.Millisecond) // until calls in flight have ended
 	at, _ := vms[0].space.At()
 	for range 40 {
 		if own, age := time.Since(at.Sent), vms[1].proofAge(); vms[1].reader.Source() == "a" && age < own-time.Millisecond {
@@ -174,41 +173,41 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	await(t, "b reads the store", soon, func() bool { return vms[1].reader.Source() == storeSource })
+	await(t, "b reads the store", awaitTimeout, func() bool { return vms[1].reader.Source() == storeSource })
 }
 
-// TestProofOverTwoReaders checks the same where one VM reads from another that reads from
-// the one with the store.
-func TestProofOverTwoReaders(t *testing.T) {
+// TestProofAgeOverTwoReaders is TestProofAgeIsNotUnderstated for a VM that reads from a peer that
+// in turn reads from the store reader.
+func TestProofAgeOverTwoReaders(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
-	vms := startVMsBehind(t, &store, 3, 1)
+	vms := startChain(t, &store, 3, 1)
 	chained := func() bool { return vms[1].reader.Source() == "a" && vms[2].reader.Source() == "b" }
-	await(t, "c reads from b, b from a", soon, chained)
+	await(t, "c reads from b, b from a", awaitTimeout, chained)
 	rev := store.Add(1)
-	await(t, "a change at c", soon, func() bool { return uint64(vms[2].revision()) >= rev })
-	vms[0].cut.Store(true)
-	time.Sleep(30 * time.Millisecond) // a call that had begun ends
+	await(t, "a change at c", awaitTimeout, func() bool { return uint64(vms[2].revision()) >= rev })
+	vms[0].storeLost.Store(true)
+	time.Sleep(30 * time.Millisecond) // until calls in flight have ended
 	at, _ := vms[0].space.At()
-	looks := 0
+	samples := 0
 	for range 60 {
 		if own, age := time.Since(at.Sent), vms[2].proofAge(); chained() {
-			looks++
+			samples++
 			if age < own-time.Millisecond {
-				t.Fatalf("the proof is %v old at its source and %v two readers on", own, age)
+				t.Fatalf("the proof is %v old at its source and %v after two readers", own, age)
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if looks < 10 {
-		t.Errorf("only %d looks while the chain stood", looks)
+	if samples < 10 {
+		t.Errorf("only %d samples while each VM read from the one before it", samples)
 	}
 }
 
-// TestWaitingQuestionEndsAtAChange checks that a question does not wait for its time
-// when something changes.
-func TestWaitingQuestionEndsAtAChange(t *testing.T) {
-	s := &Space{Prefix: "p/", Next: &holder{}, Notifier: &Notifier{}}
+// TestWaitingReadReturnsOnChange checks that a waiting read returns when something changes,
+// not at the end of its wait.
+func TestWaitingReadReturnsOnChange(t *testing.T) {
+	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	srv := &Server{Spaces: []*Space{s}, Notifier: s.Notifier}
 	s.Listed(nil, follow.At{Revision: 1, Sent: time.Now(), Answered: time.Now()}, false)
 	go func() {
@@ -221,6 +220,6 @@
 		t.Fatalf("got %v, %v after %v", a, err, time.Since(began))
 	}
 	if _, err := srv.Read(t.Context(), &mirrorpb.ReadRequest{Have: []*mirrorpb.Position{{Prefix: "q/"}}}); err == nil {
-		t.Fatal("a key space that is not there was read")
+		t.Fatal("reading an unknown key space succeeded")
 	}
 }
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -11,27 +11,27 @@
 	"github.com/threadwall/threadwall/internal/mirrorpb"
 )
 
-// Server answers peers from this VM's copies.
+// Server serves this VM's copies to peers. Its fields are set before the first call.
 type Server struct {
 	mirrorpb.UnimplementedMirrorServer
 	Spaces   []*Space
-	Notifier *Notifier // of the spaces
+	Notifier *Notifier // shared with the spaces
 }
 
 var _ mirrorpb.MirrorServer = (*Server)(nil)
 
-// maxWait bounds how long a question waits for a change.
+// maxWait bounds how long a read waits for a change.
 const maxWait = 2 * time.Second
 
-// Read implements mirrorpb.MirrorServer.
+// Read implements mirrorpb.MirrorServer. It waits for a change if there is nothing new.
 func (s *Server) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
 	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for last := false; ; {
-		changed := s.Notifier.wait() // before the look, so that no change falls between
-		answer, err := s.look(r)
-		if err != nil || last || hasObjects(answer) {
-			return answer, err
+		changed := s.Notifier.wait() // before the snapshot, so that no change is missed
+		resp, err := s.snapshot(r)
+		if err != nil || last || hasObjects(resp) {
+			return resp, err
 		}
 		select {
 		case <-ctx.Done():
@@ -43,22 +43,22 @@
 	}
 }
 
-// look answers from what is there now.
-func (s *Server) look(r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
-	answer := &mirrorpb.ReadAnswer{}
+// snapshot returns what changed up to now, without waiting.
+func (s *Server) snapshot(r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
+	resp := &mirrorpb.ReadAnswer{}
 	now := clock.Now()
 	for _, p := range r.Have {
 		space := s.space(p.Prefix)
 		if space == nil {
-			return nil, status.Errorf(codes.InvalidArgument, "there is no key space %q", p.Prefix)
+			return nil, status.Errorf(codes.InvalidArgument, "unknown key space %q", p.Prefix)
 		}
 		n, ok := space.since(position{p.Copy, p.Change, p.Behind})
 		if !ok {
-			return nil, status.Errorf(codes.FailedPrecondition, "%s has not been read yet", p.Prefix)
+			return nil, status.Errorf(codes.FailedPrecondition, "key space %q has not been read yet", p.Prefix)
 		}
-		answer.Parts = append(answer.Parts, part(p.Prefix, &n, now))
+		resp.Parts = append(resp.Parts, part(p.Prefix, &n, now))
 	}
-	return answer, nil
+	return resp, nil
 }
 
 func (s *Server) space(prefix string) *Space {
@@ -70,13 +70,13 @@
 	return nil
 }
 
-func part(prefix string, n *news, now time.Time) *mirrorpb.Part {
+func part(prefix string, n *update, now time.Time) *mirrorpb.Part {
 	p := &mirrorpb.Part{
 		Prefix: prefix, Copy: n.to.copyID, Change: n.to.change, Revision: uint64(n.at.Revision), Whole: n.whole, More: n.more, Behind: n.behind, Regained: n.regained,
 		AgeUs: microseconds(n.at.Sent, now), ContactUs: microseconds(n.at.Answered, now),
 	}
 	if p.Packed = n.packed; len(n.packed) == 0 {
-		p.Objects = wire(n.objects)
+		p.Objects = toProto(n.objects)
 	}
 	return p
 }
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -1,33 +1,33 @@
 // Package mirror lets one VM of a failure domain read the platform's store for the
 // others.
 //
-// # Who reads from whom
+// # Upstream peers
 //
 // The VMs of a domain have a fixed order, the same for all. The first one reads the
-// store; the others read from the first of those before them that answers, and from
-// the store when none does. A VM never reads from one behind it, so there are no
-// rings. Small fleets read the store, each VM by itself: their calls are few, and
-// nobody depends on anybody.
+// store. Each other VM reads from the first VM before it that answers, and from the
+// store if none does. A VM never reads from one after it, so there are no cycles. In small fleets each VM reads the store by itself: there are few calls, and
+// no VM depends on another.
 //
-// # What is passed on
+// # Copies
 //
-// A Space is this VM's copy of one key space, with the changes of the last while. It
-// has everything up to a revision of the store, and never goes back: a list that reaches
-// less far is left out, as is a change of an object that is not newer than what is
-// there, or that was made before that revision to an object which is not there (it was
-// gone by then). So it does not matter from whom the VM heard what first, or who is
-// behind whom.
+// A Space is this VM's copy of one key space, with its recent changes. It holds
+// everything up to a revision of the store, and this revision never decreases. A list of
+// a lower revision is ignored. So is a change that is not newer than the object in the
+// copy, and a change up to that revision of an object that the copy does not hold (it had
+// been deleted by then). Therefore it does not matter in which order a VM receives data
+// from its peers, or which of them is further behind.
 //
-// Each part of an answer says how old it is: how long before the answer the call was
-// sent that showed it to have everything. A reader counts that from the sending of its
-// own question, so a late answer makes what it brings older, never younger.
+// Each part of a response carries its age: the time from the sending of the store call
+// that proved the part complete to the response. A reader subtracts the age from the time
+// at which it sent its own request, so a delayed response makes the data older, never
+// younger.
 //
 // # Failures
 //
-// A speaker whose contact with the store is older than freshAge is left, as is one that
-// does not answer. The reader goes back to the store, which it lists anew, and then
-// looks for the next VM. So one that reads from another VM is blind for at most freshAge
-// and one question more than one that reads the store.
+// A reader leaves an upstream peer that does not answer or whose last contact with the
+// store is older than maxContactAge. It then searches for the next peer, and lists the
+// store itself if none serves. A VM that reads from a peer therefore misses changes for at
+// most maxContactAge and one read longer than a VM that reads the store.
 package mirror
 
 import (
@@ -44,38 +44,38 @@
 
 // batch is a set of changes.
 type batch struct {
-	change uint64 // its number
+	change uint64 // sequence number of the batch in this copy
 	events []objectapi.Object
 }
 
-// maxBatches is how many sets of changes are kept: some seconds of a rollout in a large
-// fleet. A reader that is further behind gets everything anew.
+// maxBatches is how many batches are kept: some seconds of a rollout in a large fleet. A
+// reader that is further behind gets a full copy.
 const maxBatches = 256
 
-// regainedFor is how long after the store's return entries that had lapsed meanwhile may
-// come back. A reader that comes later must not wait for what is missing from the copy:
-// a replica whose entry is gone would get work for longer than it may.
-const regainedFor = 2 * time.Second
+// regainedPeriod is how long after the store's return entries that expired during its outage may
+// be registered again. A reader that comes later must not wait for entries missing from the copy:
+// a replica whose entry is gone would get requests for longer than allowed.
+const regainedPeriod = 2 * time.Second
 
-// Space is a copy of one key space. It passes on to Next what it takes in. Safe for
+// Space is a copy of one key space. It forwards what it applies to Next. Safe for
 // concurrent use.
 type Space struct {
 	Prefix string
-	// Next takes in the same, one call after the other.
+	// Next receives what the copy applies, one call at a time, under the space's lock.
 	Next follow.Handler
-	// Notifier rings when something has changed. Shared by the spaces of a VM.
+	// Notifier is notified of each change. Shared by the spaces of a VM.
 	Notifier *Notifier
 
 	mu       sync.Mutex
 	objects  map[string]objectapi.Object
 	at       follow.At
 	listed   bool
-	regained time.Time // when a list last followed a loss of the store
-	copyID   uint64    // names this copy to readers; zero: there is none yet
-	change   uint64    // number of the last change
-	keys     []string  // of objects, sorted; nil: they have to be sorted anew
-	packs    packs
-	base     uint64 // batches begin after it
+	regained time.Time // time of the last list after an outage of the store
+	copyID   uint64    // random identifier of this copy for readers; zero: not listed yet
+	change   uint64    // sequence number of the last change
+	keys     []string  // of objects, sorted; nil: not sorted yet
+	packed   packedChunks
+	base     uint64 // last change before the first of batches
 	batches  []batch
 }
 
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listed && at.Revision < s.at.Revision {
-		s.reach(at)
+		s.advance(at)
 		s.Next.Unchanged(at)
 		return
 	}
@@ -102,9 +102,9 @@
 		s.regained = clock.Now()
 	}
 	s.change++
-	s.base, s.batches = s.change, nil // a list is passed on as one
-	s.reach(at)
-	s.Notifier.ring()
+	s.base, s.batches = s.change, nil // readers get a list as a full copy
+	s.advance(at)
+	s.Notifier.notify()
 	s.Next.Listed(objects, at, regained)
 }
 
@@ -115,20 +115,20 @@
 	if !s.listed {
 		return
 	}
-	var news []objectapi.Object
+	var applied []objectapi.Object
 	for _, o := range events {
 		if s.apply(o, at) {
-			news = append(news, o)
+			applied = append(applied, o)
 		}
 	}
-	s.reach(at)
-	if len(news) == 0 {
+	s.advance(at)
+	if len(applied) == 0 {
 		s.Next.Unchanged(at)
 		return
 	}
-	s.keep(news)
-	s.Notifier.ring()
-	s.Next.Changed(news, at)
+	s.addBatch(applied)
+	s.Notifier.notify()
+	s.Next.Changed(applied, at)
 }
 
 // Unchanged implements follow.Handler.
@@ -138,36 +138,36 @@
 	if !s.listed {
 		return
 	}
-	s.reach(at)
+	s.advance(at)
 	s.Next.Unchanged(at)
 }
 
-// apply takes in one change unless it is known. The lock is held.
+// apply applies one change unless it is known already. The caller holds the lock.
 func (s *Space) apply(o objectapi.Object, at follow.At) (changed bool) {
-	old, there := s.objects[o.Key]
+	old, exists := s.objects[o.Key]
 	version := o.Version
 	if o.Deleted && version == 0 {
-		version = at.Revision // the store did not say when
+		version = at.Revision // the store did not give the revision of the delete
 	}
 	switch {
-	case o.Deleted && (!there || old.Version > version):
+	case o.Deleted && (!exists || old.Version > version):
 		return false
 	case o.Deleted:
 		delete(s.objects, o.Key)
 		s.keys = nil
 		return true
-	case there && version <= old.Version, !there && version <= s.at.Revision:
+	case exists && version <= old.Version, !exists && version <= s.at.Revision:
 		return false
 	}
-	if !there {
+	if !exists {
 		s.keys = nil
 	}
 	s.objects[o.Key] = o
 	return true
 }
 
-// keep remembers a change for readers. The lock is held.
-func (s *Space) keep(events []objectapi.Object) {
+// addBatch keeps changes for readers. The caller holds the lock.
+func (s *Space) addBatch(events []objectapi.Object) {
 	s.change++
 	s.batches = append(s.batches, batch{change: s.change, events: events})
 	if over := len(s.batches) - maxBatches; over > 0 {
@@ -176,8 +176,8 @@
 	}
 }
 
-// reach notes how far the copy reaches. The lock is held.
-func (s *Space) reach(at follow.At) {
+// advance raises the copy's revision and times. The caller holds the lock.
+func (s *Space) advance(at follow.At) {
 	s.at.Revision = max(s.at.Revision, at.Revision)
 	if at.Sent.After(s.at.Sent) {
 		s.at.Sent = at.Sent
@@ -187,39 +187,39 @@
 	}
 }
 
-// At returns how far the copy reaches; ok is false before the first list.
+// At returns the copy's revision and times; ok is false before the first list.
 func (s *Space) At() (at follow.At, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.at, s.listed
 }
 
-// position is how far a reader has come in a copy. behind is set while a whole copy comes in
-// pieces: the key up to which the reader has it, as of change or later.
+// position is how much of a copy a reader has. While the reader receives a full copy in chunks,
+// behind is the last key that it has, as of change or later.
 type position struct {
 	copyID, change uint64
 	behind         string
 }
 
-// news is what a reader lacks.
-type news struct {
+// update holds what a reader lacks.
+type update struct {
 	to       position
 	at       follow.At
 	whole    bool
-	more     bool   // the copy goes on behind the last of objects
-	behind   string // where this piece of it begins
+	more     bool   // the copy continues after the last of objects
+	behind   string // key after which this chunk begins
 	regained bool
 	objects  []objectapi.Object
-	packed   []byte // objects of a whole copy; empty: they go as they are
+	packed   []byte // compressed objects of a full copy; empty: objects are sent uncompressed
 }
 
-// pieceBytes bounds the values of one piece of a copy, unless a single one is longer: a question
-// must be answered in time over a narrow link, however much there is to copy.
-const pieceBytes = 128 << 10
+// chunkBytes bounds the keys and values of one chunk of a copy, unless a single object is longer:
+// a slow link must carry each response within the time limit of a read, however large the copy is.
+const chunkBytes = 128 << 10
 
-// since returns what came after a position. Of a space that was never listed nothing is
-// known, and ok is false.
-func (s *Space) since(have position) (n news, ok bool) {
+// since returns what changed after a position, or a chunk of a full copy if the position is not
+// covered by the batches. ok is false before the first list.
+func (s *Space) since(have position) (n update, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.listed {
@@ -228,12 +228,12 @@
 	n.to, n.at = position{copyID: s.copyID, change: s.change}, s.at
 	known := have.copyID == s.copyID && have.change >= s.base
 	if known && have.behind != "" {
-		n.to.change = have.change // what changed since in the pieces before comes afterwards
-		s.piece(&n, have.behind)
+		n.to.change = have.change // later changes in the chunks sent before follow as batches
+		s.addChunk(&n, have.behind)
 		return n, true
 	}
 	if !known {
-		s.piece(&n, "")
+		s.addChunk(&n, "")
 		return n, true
 	}
 	for _, b := range s.batches {
@@ -244,25 +244,25 @@
 	return n, true
 }
 
-// piece adds the objects behind a key. The lock is held.
-func (s *Space) piece(n *news, behind string) {
+// addChunk adds the objects after a key, up to chunkBytes. The caller holds the lock.
+func (s *Space) addChunk(n *update, behind string) {
 	if s.keys == nil {
 		s.keys = slices.Sorted(maps.Keys(s.objects))
 	}
-	n.whole, n.behind, n.regained = true, behind, clock.Since(s.regained) < regainedFor
+	n.whole, n.behind, n.regained = true, behind, clock.Since(s.regained) < regainedPeriod
 	from, found := slices.BinarySearch(s.keys, behind)
 	if found {
 		from++
 	}
 	defer func() {
-		if packed, err := s.packs.of(n, s.change); err == nil {
+		if packed, err := s.packed.of(n, s.change); err == nil {
 			n.packed = packed
 		}
 	}()
-	bytes := 0
+	size := 0
 	for i, key := range s.keys[from:] {
 		o := s.objects[key]
-		if bytes += len(key) + len(o.Value); i > 0 && bytes > pieceBytes {
+		if size += len(key) + len(o.Value); i > 0 && size > chunkBytes {
 			n.more = true
 			return
 		}
@@ -270,5 +270,6 @@
 	}
 }
 
-// microseconds is the time since a moment, as it travels.
+// microseconds returns the time since a moment in the unit of the protocol; negative times count
+// as zero.
 func microseconds(since, now time.Time) uint64 { return uint64(max(now.Sub(since).Microseconds(), 0)) }
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -18,18 +18,18 @@
 	m.Run()
 }
 
-// holder keeps what it is told, as a VM's tables do.
-type holder struct {
+// recorder applies lists and changes as a VM's tables do.
+type recorder struct {
 	objects map[string]string
 	at      follow.At
 }
 
-func (h *holder) Listed(objects []objectapi.Object, at follow.At, _ bool) {
+func (h *recorder) Listed(objects []objectapi.Object, at follow.At, _ bool) {
 	h.objects = map[string]string{}
 	h.Changed(objects, at)
 }
 
-func (h *holder) Changed(events []objectapi.Object, at follow.At) {
+func (h *recorder) Changed(events []objectapi.Object, at follow.At) {
 	for _, o := range events {
 		if o.Deleted {
 			delete(h.objects, o.Key)
@@ -40,12 +40,12 @@
 	h.at = at
 }
 
-func (h *holder) Unchanged(at follow.At) { h.at = at }
+func (h *recorder) Unchanged(at follow.At) { h.at = at }
 
-// history is a store with all its past.
+// history is a store that keeps all its past states.
 type history struct {
 	states []map[string]string // by revision
-	events []objectapi.Object  // that led to each revision
+	events []objectapi.Object  // the change that led to each revision
 }
 
 func (s *history) write(key, value string) {
@@ -70,9 +70,8 @@
 	return out
 }
 
-// pass gives a reader what it lacks, as a question and its answer would; the answer
-// comes when the returned function is called.
-func pass(from, to *Space, have *position) (deliver func()) {
+// transfer reads once from one space to another; the response arrives when deliver is called.
+func transfer(from, to *Space, have *position) (deliver func()) {
 	n, ok := from.since(*have)
 	if !ok {
 		return func() {}
@@ -90,7 +89,7 @@
 	}
 }
 
-// last returns the revision of the last change of a key up to a revision; zero: none.
+// last returns the revision of the last change of a key up to upTo; zero: none.
 func (s *history) last(key string, upTo objectapi.Revision) objectapi.Revision {
 	for rev := min(int(upTo), s.newest()); rev > 0; rev-- {
 		if s.events[rev].Key == key {
@@ -100,15 +99,15 @@
 	return 0
 }
 
-// check compares a copy with the store's past: of each object it has what a change left
-// that is at least as new as the last one up to the revision that the copy claims.
-func (s *history) check(rt *rapid.T, vm int, h *holder, claimed objectapi.Revision) {
+// check compares a copy with the store's history: the state of each object must be that after
+// some change at least as new as the last one up to the claimed revision.
+func (s *history) check(rt *rapid.T, vm int, h *recorder, claimed objectapi.Revision) {
 	for _, key := range []string{"a", "b", "c"} {
 		got, ok := h.objects[key]
 		found := false
 		for rev := s.last(key, claimed); int(rev) <= s.newest() && !found; rev++ {
-			want, there := s.states[rev][key]
-			found = there == ok && want == got
+			want, exists := s.states[rev][key]
+			found = exists == ok && want == got
 		}
 		if !found {
 			rt.Fatalf("VM %d claims revision %d and has %s = %q (%v)", vm, claimed, key, got, ok)
@@ -116,20 +115,20 @@
 	}
 }
 
-// TestCopiesAreTrue draws writes, lists, watches that lag, and answers between VMs in
-// any direction that come late or not at all: each copy has, of each object, at least
-// what the store held at the revision that it claims, and what it passes on to the VM's
-// tables is the same.
-func TestCopiesAreTrue(t *testing.T) {
+// TestCopiesMatchStore draws writes, lists, lagging watches, and reads between VMs in any
+// direction whose responses are late or lost. Each copy must have, of each object, at least the
+// state that the store held at the copy's revision, and so must the VM's tables, which the copy
+// feeds.
+func TestCopiesMatchStore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &history{states: []map[string]string{{}}, events: []objectapi.Object{{}}}
 		store.write("a", "1")
 		const vms = 3
-		holders, spaces, watched := make([]*holder, vms), make([]*Space, vms), make([]int, vms)
+		recorders, spaces, watched := make([]*recorder, vms), make([]*Space, vms), make([]int, vms)
 		have := make([]position, vms)
 		for i := range vms {
-			holders[i] = &holder{}
-			spaces[i] = &Space{Prefix: "p/", Next: holders[i], Notifier: &Notifier{}}
+			recorders[i] = &recorder{}
+			spaces[i] = &Space{Prefix: "p/", Next: recorders[i], Notifier: &Notifier{}}
 		}
 		late := func() {}
 		for step := range rapid.IntRange(1, 80).Draw(rt, "steps") {
@@ -149,40 +148,40 @@
 					watched[vm] = to
 				}
 			case 4:
-				pass(spaces[(vm+1)%vms], spaces[vm], &have[vm])()
+				transfer(spaces[(vm+1)%vms], spaces[vm], &have[vm])()
 			case 5:
-				late = pass(spaces[(vm+1)%vms], spaces[vm], &have[vm])
+				late = transfer(spaces[(vm+1)%vms], spaces[vm], &have[vm])
 			case 6:
 				late()
 				late = func() {}
 			}
 			for i, s := range spaces {
 				if at, ok := s.At(); ok {
-					store.check(rt, i, holders[i], at.Revision)
+					store.check(rt, i, recorders[i], at.Revision)
 				}
 			}
 		}
 	})
 }
 
-// TestRegainedIsSaidForAWhileOnly checks that a reader which comes long after the store's
-// return takes what is missing from a list as gone, and one that comes soon does not.
-func TestRegainedIsSaidForAWhileOnly(t *testing.T) {
-	s := &Space{Prefix: "p/", Next: &holder{}, Notifier: &Notifier{}}
+// TestRegainedExpires checks that a reader which comes long after the store's return takes entries
+// missing from a list as deleted, and that one which comes soon after it does not.
+func TestRegainedExpires(t *testing.T) {
+	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, true)
 	if n, _ := s.since(position{}); !n.whole || !n.regained {
-		t.Fatalf("right after the store's return a reader gets %+v", n)
+		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", n)
 	}
-	s.regained = s.regained.Add(-regainedFor)
+	s.regained = s.regained.Add(-regainedPeriod)
 	if n, _ := s.since(position{}); !n.whole || n.regained {
-		t.Fatalf("long after it a reader gets %+v", n)
+		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", n)
 	}
 }
 
-// TestFarBehindGetsAll checks that a reader whose position is no longer covered by the
-// kept changes gets everything, and so does one that knows another life of the speaker.
-func TestFarBehindGetsAll(t *testing.T) {
-	s := &Space{Prefix: "p/", Next: &holder{}, Notifier: &Notifier{}}
+// TestStalePositionGetsFullCopy checks that a reader gets a full copy if the kept batches no longer
+// cover its position, or if its position is one in another copy (the peer has restarted).
+func TestStalePositionGetsFullCopy(t *testing.T) {
+	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, false)
 	for i := range objectapi.Revision(maxBatches + 5) {
 		s.Changed([]objectapi.Object{{Key: "a", Version: i + 2}}, follow.At{Revision: i + 2})
@@ -191,7 +190,7 @@
 		t.Fatalf("got %+v, %v", n, ok)
 	}
 	if n, ok := s.since(position{copyID: s.copyID, change: maxBatches}); !ok || n.whole || len(n.objects) != 6 {
-		t.Fatalf("got %d changes, whole %v, %v", len(n.objects), n.whole, ok)
+		t.Fatalf("got %d changes, full copy %v, %v", len(n.objects), n.whole, ok)
 	}
 	if n, ok := s.since(position{copyID: s.copyID + 1, change: maxBatches}); !ok || !n.whole {
 		t.Fatalf("got %+v, %v for a position in another copy", n, ok)
--- a/internal/mirror/suspend_test.go
+++ b/internal/mirror/suspend_test.go
@@ -8,26 +8,25 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// A VM that reads the store for others is suspended, wakes, and answers a peer that asks
-// before it has asked the store again: what it passes on is as old as it is, also to a peer
-// that was not suspended. On a clock that stands still meanwhile, 20 s old news passed for
-// news of the moment.
-func TestToldAfterASuspension(t *testing.T) {
+// TestAgeAfterSuspension guards against understated ages after a suspension: the VM that reads the
+// store is suspended, resumes, and serves a peer that was not suspended before it calls the store
+// again. With a clock that stops during the suspension, data 20 s old passed for current.
+func TestAgeAfterSuspension(t *testing.T) {
 	for _, suspended := range []time.Duration{200 * time.Millisecond, 2 * time.Second, 20 * time.Second} {
 		var store atomic.Uint64
 		store.Store(1)
 		vms := startVMs(t, &store, 1)
-		await(t, "a has read the store", soon, func() bool { _, ok := vms[0].space.At(); return ok })
-		vms[0].cut.Store(true)
-		time.Sleep(30 * time.Millisecond) // a call that had begun ends
+		await(t, "a has read the store", awaitTimeout, func() bool { _, ok := vms[0].space.At(); return ok })
+		vms[0].storeLost.Store(true)
+		time.Sleep(30 * time.Millisecond) // until calls in flight have ended
 		clock.Skip(suspended)
 		n, ok := vms[0].space.since(position{})
 		if !ok {
-			t.Fatal("a has nothing to tell")
+			t.Fatal("a has no copy to serve")
 		}
 		p := part(vms[0].space.Prefix, &n, clock.Now())
 		if age := time.Duration(p.AgeUs) * time.Microsecond; age < suspended {
-			t.Errorf("after %v, a tells of what it knew as %v old", suspended, age)
+			t.Errorf("after a suspension of %v the age of a's data is %v", suspended, age)
 		}
 		clock.Skip(-suspended)
 	}
--- a/internal/mirror/turns_test.go
+++ b/internal/mirror/turns_test.go
@@ -8,19 +8,19 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// TestTurnsWithoutTheStore takes the store from all VMs: they do not all turn to it at once,
-// and read from the first one again when it is back.
-func TestTurnsWithoutTheStore(t *testing.T) {
+// TestStaggeredFallbackToStore makes the store unavailable to all VMs: they must not all turn to it
+// at once, and must read from the first VM again when the store is back.
+func TestStaggeredFallbackToStore(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
 	vms := startVMs(t, &store, 12)
 	for _, v := range vms[1:] {
-		await(t, string(v.name)+" reads from a", soon, func() bool { return v.reader.Source() == "a" })
+		await(t, string(v.name)+" reads from a", awaitTimeout, func() bool { return v.reader.Source() == "a" })
 	}
 	for _, v := range vms {
-		v.cut.Store(true)
+		v.storeLost.Store(true)
 	}
-	time.Sleep(freshAge + questionWait + questionTimeout + 2*turnStep)
+	time.Sleep(maxContactAge + readWait + readTimeout + 2*rankStep)
 	direct := 0
 	for _, v := range vms {
 		if v.reader.Source() == storeSource {
@@ -28,16 +28,16 @@
 		}
 	}
 	if direct > 6 {
-		t.Errorf("%d of %d VMs ask the store %v after it was lost", direct, len(vms), 2*turnStep)
+		t.Errorf("%d of %d VMs read the store %v after the first VM was left", direct, len(vms), 2*rankStep)
 	}
 	for _, v := range vms {
-		v.cut.Store(false)
+		v.storeLost.Store(false)
 	}
 	rev := store.Add(1)
 	for _, v := range vms {
-		await(t, "a change at "+string(v.name), soon, func() bool { return uint64(v.revision()) >= rev })
+		await(t, "a change at "+string(v.name), awaitTimeout, func() bool { return uint64(v.revision()) >= rev })
 	}
-	await(t, "all read from a", soon, func() bool {
+	await(t, "all read from a", awaitTimeout, func() bool {
 		for _, v := range vms[1:] {
 			if v.reader.Source() != "a" {
 				return false
@@ -47,33 +47,33 @@
 	})
 }
 
-// TestTurnOfTheLastDomain gives the first VM of the last of six failure domains its turn
-// within a second, and takes the VMs that are gone out of the order.
-func TestTurnOfTheLastDomain(t *testing.T) {
+// TestStoreDelayOfLastDomain checks that the first VM of the last of six failure domains may read
+// the store within 1 s, and that unresponsive VMs add no delay.
+func TestStoreDelayOfLastDomain(t *testing.T) {
 	var before []Peer
 	for _, vm := range []ids.VM{"a1", "a2", "b1", "b2", "c1", "c2", "d1", "d2", "e1", "e2"} {
 		before = append(before, Peer{VM: vm, CrossDomain: true})
 	}
 	r := &Reader{UpstreamPeers: func() []Peer { return before }}
 	now := time.Now()
-	if got := r.turn(now); got > time.Second {
-		t.Errorf("its turn comes after %v", got)
+	if got := r.storeDelay(now); got > time.Second {
+		t.Errorf("may read the store after %v, want at most 1 s", got)
 	}
 	before = append([]Peer{{VM: "f1"}}, before...)
-	second := r.turn(now)
+	second := r.storeDelay(now)
 	r.avoid.failed("f1", now)
-	if first := r.turn(now); second-first != turnStep {
-		t.Errorf("its turn comes after %v when the one before it is gone, and after %v else", first, second)
+	if first := r.storeDelay(now); second-first != rankStep {
+		t.Errorf("may read the store after %v if the preferred VM is unresponsive, and after %v otherwise", first, second)
 	}
 }
 
-// TestBlindTime adds up how long a VM may be blind when the reader of the store is cut off
-// from it: in the reader's failure domain, and in the last of six domains.
-func TestBlindTime(t *testing.T) {
-	const most, farReaders = 2500 * time.Millisecond, 10
-	own := freshAge + questionWait + seekEvery + turnStep + avoidStale
-	last := freshFar + questionWait + seekEvery + farReaders*farStep + avoidStale
+// TestMaxBlindTime adds up how long a VM may miss changes after the store reader has lost the store:
+// in the reader's failure domain, and in the last of six domains.
+func TestMaxBlindTime(t *testing.T) {
+	const most, crossDomainReaders = 2500 * time.Millisecond, 10
+	own := maxContactAge + readWait + seekInterval + rankStep + avoidStale
+	last := crossDomainMaxAge + readWait + seekInterval + crossDomainReaders*crossDomainStep + avoidStale
 	if own > most || last > most {
-		t.Errorf("%v in the reader's domain, %v in the last one", own, last)
+		t.Errorf("%v in the reader's domain, %v in the last domain", own, last)
 	}
 }
