--- a/internal/objectapi/counted.go
+++ b/internal/objectapi/counted.go
@@ -7,8 +7,8 @@
 	"github.com/threadwall/threadwall/internal/tally"
 )
 
-// CountingStore counts the calls to a store by method and kind of key: each call has its price.
-// Safe for concurrent use.
+// CountingStore counts the calls to a store by method and kind of key, since the platform bills
+// each call. Safe for concurrent use.
 type CountingStore struct {
 	Store
 	tally.Counts
@@ -19,7 +19,7 @@
 	_ StatusStore = (*CountingStore)(nil)
 )
 
-// count notes one call. Keys begin with their kind, and there are few kinds.
+// count counts one call. The first segment of a key is its kind; there are few kinds.
 func (c *CountingStore) count(method, key string) {
 	kind, _, _ := strings.Cut(key, "/")
 	c.Add(method + " " + kind)
@@ -61,7 +61,8 @@
 	return c.Store.Watch(ctx, prefix, after)
 }
 
-// UpdateStatus implements StatusStore, where the store does.
+// UpdateStatus implements StatusStore. It returns ErrUnavailable if the wrapped store does not
+// implement it.
 func (c *CountingStore) UpdateStatus(ctx context.Context, key string, status []byte, version Revision) (Revision, error) {
 	c.count("status", key)
 	w, ok := c.Store.(StatusStore)
--- a/internal/objectapi/counted_test.go
+++ b/internal/objectapi/counted_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCallsAreCounted makes one call of each kind.
-func TestCallsAreCounted(t *testing.T) {
+// TestCountingStore makes one call of each method and checks the counts.
+func TestCountingStore(t *testing.T) {
 	ctx := context.Background()
 	c := &CountingStore{Store: NewMemory()}
 	v, err := c.Create(ctx, "leases/orders", []byte("1"))
@@ -19,9 +19,9 @@
 		t.Fatal(err)
 	}
 	_, _, _ = c.List(ctx, "config/")
-	over, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	_, _, _ = c.Watch(over, "config/", v)
+	_, _, _ = c.Watch(cancelled, "config/", v)
 	_ = c.Delete(ctx, "leases/orders", v)
 	got, err := json.Marshal(c)
 	want := `{"create leases":1,"delete leases":1,"get leases":1,"list config":1,"update leases":1,"watch config":1}`
--- a/internal/objectapi/http.go
+++ b/internal/objectapi/http.go
@@ -17,7 +17,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The HTTP form of the object API:
+// HTTP endpoints of the object API:
 //
 //	GET    /v1/objects?prefix=P                    list
 //	GET    /v1/objects?prefix=P&after=R&wait=MS    watch
@@ -29,59 +29,59 @@
 	pathObject  = "/v1/object"
 )
 
-// watchWait is how long a watch waits on the server before it is renewed.
+// watchWait is how long a watch waits on the server before the client repeats it.
 const watchWait = 20 * time.Second
 
-// listing is the body of list and watch answers.
+// listing is the body of list and watch responses.
 type listing struct {
 	Objects  []Object `json:"objects"`
 	Revision Revision `json:"revision"`
 }
 
-// Budget limits a client's calls, each in calls a second.
+// Budget limits a client's calls, in calls per second.
 type Budget struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 }
 
-// Client speaks the object API over HTTP. Calls beyond the budget fail with
-// ErrOverBudget without being sent.
+// Client is a Store that calls the object API over HTTP. It fails calls beyond its
+// budget with ErrOverBudget and does not send them. Safe for concurrent use.
 type Client struct {
-	base   string
-	http   *http.Client
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	call   time.Duration
+	base    string
+	http    *http.Client
+	writes  *rate.Limiter
+	reads   *rate.Limiter
+	timeout time.Duration
 }
 
 var _ Store = (*Client)(nil)
 
-// burstSeconds is how many seconds of budget may be used at once.
+// burstSeconds is how many seconds of budget may be spent at once.
 const burstSeconds = 2
 
 // NewClient returns a client of the API at base, e.g. "http://10.0.0.1:7000".
-// timeout bounds each call but watches.
+// timeout bounds each call; a watch may take watchWait longer.
 func NewClient(base string, timeout time.Duration, b Budget) *Client {
 	return &Client{
-		base:   base,
-		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
-		writes: rate.NewLimiter(rate.Limit(b.WritesPerSecond), int(b.WritesPerSecond*burstSeconds)+1),
-		reads:  rate.NewLimiter(rate.Limit(b.ReadsPerSecond), int(b.ReadsPerSecond*burstSeconds)+1),
-		call:   timeout,
+		base:    base,
+		http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
+		writes:  rate.NewLimiter(rate.Limit(b.WritesPerSecond), int(b.WritesPerSecond*burstSeconds)+1),
+		reads:   rate.NewLimiter(rate.Limit(b.ReadsPerSecond), int(b.ReadsPerSecond*burstSeconds)+1),
+		timeout: timeout,
 	}
 }
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
 	var o Object
-	err := c.read(ctx, pathObject+"?key="+url.QueryEscape(key), c.call, &o)
+	err := c.read(ctx, pathObject+"?key="+url.QueryEscape(key), c.timeout, &o)
 	return o, err
 }
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]Object, Revision, error) {
 	var l listing
-	err := c.read(ctx, pathObjects+"?prefix="+url.QueryEscape(prefix), c.call, &l)
+	err := c.read(ctx, pathObjects+"?prefix="+url.QueryEscape(prefix), c.timeout, &l)
 	return l.Objects, l.Revision, err
 }
 
@@ -89,7 +89,7 @@
 func (c *Client) Watch(ctx context.Context, prefix string, after Revision) ([]Object, Revision, error) {
 	var l listing
 	path := fmt.Sprintf("%s?prefix=%s&after=%d&wait=%d", pathObjects, url.QueryEscape(prefix), after, watchWait.Milliseconds())
-	err := c.read(ctx, path, watchWait+c.call, &l)
+	err := c.read(ctx, path, watchWait+c.timeout, &l)
 	return l.Objects, l.Revision, err
 }
 
@@ -128,7 +128,7 @@
 		return err
 	}
 	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
-		return errors.Join(ErrUnavailable, eris.Wrapf(err, "read answer of %s", c.base))
+		return errors.Join(ErrUnavailable, eris.Wrapf(err, "read response of store %s", c.base))
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 	if !c.writes.Allow() {
 		return 0, ErrOverBudget
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.call)
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	resp, err := c.do(ctx, method, path, value)
 	if err != nil {
@@ -149,7 +149,7 @@
 	}
 	var o Object
 	if err := json.NewDecoder(resp.Body).Decode(&o); err != nil {
-		return 0, errors.Join(ErrAmbiguous, eris.Wrapf(err, "read answer of %s", c.base))
+		return 0, errors.Join(ErrAmbiguous, eris.Wrapf(err, "read response of store %s", c.base))
 	}
 	return o.Version, nil
 }
@@ -163,8 +163,8 @@
 	return resp, eris.Wrapf(err, "%s at store %s", method, c.base)
 }
 
-// writeFailure tells a write that never left this VM from one that may have.
-// Only a failed dial is proof.
+// writeFailure returns ErrUnavailable if a failed write was certainly not sent, and
+// ErrAmbiguous otherwise. Only a failed dial proves that it was not sent.
 func writeFailure(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -173,9 +173,9 @@
 	return ErrAmbiguous
 }
 
-// statusError maps a status to an error; unclear is used for those that leave
-// the effect open.
-func statusError(resp *http.Response, unclear error) error {
+// statusError maps an HTTP status to an error; undecided is the error for a status
+// that does not show whether the request took effect.
+func statusError(resp *http.Response, undecided error) error {
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
 		return nil
@@ -190,11 +190,12 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return ErrUnavailable // refused before it was applied
 	default:
-		return eris.Wrapf(unclear, "status %d", resp.StatusCode)
+		return eris.Wrapf(undecided, "status %d", resp.StatusCode)
 	}
 }
 
-// maxDrain bounds what is read off a finished answer to reuse its connection.
+// maxDrain bounds the bytes read from the rest of a response body so that its
+// connection can be reused.
 const maxDrain = 64 << 10
 
 func drain(b io.ReadCloser) {
@@ -202,7 +203,7 @@
 	_ = b.Close()
 }
 
-// Handler serves store over HTTP, for stand-ins and tests.
+// Handler serves store over HTTP, for simulated platforms and tests.
 func Handler(store Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathObjects, func(w http.ResponseWriter, r *http.Request) { serveList(store, w, r) })
--- a/internal/objectapi/http_test.go
+++ b/internal/objectapi/http_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-func client(t *testing.T, h http.Handler) *Client {
+func newTestClient(t *testing.T, h http.Handler) *Client {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	return NewClient(srv.URL, 5*time.Second, Budget{WritesPerSecond: 1000, ReadsPerSecond: 1000})
 }
 
-func TestClientSpeaksTheAPI(t *testing.T) {
-	c, ctx := client(t, Handler(NewMemory())), t.Context()
+func TestClientOperations(t *testing.T) {
+	c, ctx := newTestClient(t, Handler(NewMemory())), t.Context()
 	v, err := c.Create(ctx, "a/b c?&", []byte("one"))
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 		t.Errorf("get: %+v, %v", o, err)
 	}
 	if _, err := c.Get(ctx, "none"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("get nothing: %v", err)
+		t.Errorf("get a missing object: %v", err)
 	}
 	events, rev, err := c.Watch(ctx, "a/", v)
 	if err != nil || len(events) != 1 || rev != v2 {
@@ -50,9 +50,10 @@
 	}
 }
 
-// Only what certainly did not take effect may be told as such.
-func TestClientTellsUnclearWrites(t *testing.T) {
-	answer := func(status int) http.Handler {
+// TestClientWriteErrors checks that a write is reported as not applied only if it certainly was
+// not.
+func TestClientWriteErrors(t *testing.T) {
+	respond := func(status int) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
 	for _, c := range []struct {
@@ -60,30 +61,30 @@
 		h    http.Handler
 		want error
 	}{
-		{"500", answer(500), ErrAmbiguous},
-		{"502", answer(502), ErrAmbiguous},
-		{"503", answer(503), ErrUnavailable},
-		{"429", answer(429), ErrUnavailable},
-		{"cut off", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), ErrAmbiguous},
-		{"no JSON", answer(200), ErrAmbiguous},
+		{"500", respond(500), ErrAmbiguous},
+		{"502", respond(502), ErrAmbiguous},
+		{"503", respond(503), ErrUnavailable},
+		{"429", respond(429), ErrUnavailable},
+		{"connection closed", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), ErrAmbiguous},
+		{"no JSON", respond(200), ErrAmbiguous},
 	} {
-		if _, err := client(t, c.h).Create(t.Context(), "k", nil); !errors.Is(err, c.want) {
+		if _, err := newTestClient(t, c.h).Create(t.Context(), "k", nil); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	slow := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	if _, err := client(t, slow).Create(ctx, "k", nil); !errors.Is(err, ErrAmbiguous) {
+	if _, err := newTestClient(t, slow).Create(ctx, "k", nil); !errors.Is(err, ErrAmbiguous) {
 		t.Errorf("timeout: %v", err)
 	}
-	away := NewClient("http://127.0.0.1:1", time.Second, Budget{WritesPerSecond: 1, ReadsPerSecond: 1})
-	if _, err := away.Create(t.Context(), "k", nil); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous) {
-		t.Errorf("nobody there: %v", err)
+	refused := NewClient("http://127.0.0.1:1", time.Second, Budget{WritesPerSecond: 1, ReadsPerSecond: 1})
+	if _, err := refused.Create(t.Context(), "k", nil); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous) {
+		t.Errorf("connection refused: %v", err)
 	}
 }
 
-func TestClientKeepsItsBudget(t *testing.T) {
+func TestClientCallBudget(t *testing.T) {
 	srv := httptest.NewServer(Handler(NewMemory()))
 	defer srv.Close()
 	c := NewClient(srv.URL, time.Second, Budget{WritesPerSecond: 0.001, ReadsPerSecond: 0.001})
--- a/internal/objectapi/linear_test.go
+++ b/internal/objectapi/linear_test.go
@@ -21,7 +21,7 @@
 	value   string
 }
 
-// casOutput is what its caller learned.
+// casOutput is the result that the caller of a casInput observed.
 type casOutput struct {
 	ok      bool
 	unclear bool
@@ -34,8 +34,8 @@
 	value   string
 }
 
-// model is a register with conditional writes. A write of unclear end may have
-// taken effect or not.
+// model is a register with conditional writes. A write whose outcome is unclear may or may not
+// have taken effect.
 var model = porcupine.NondeterministicModel{
 	Init: func() []interface{} { return []interface{}{register{version: 1, value: "start"}} },
 	Step: func(state, input, output interface{}) []interface{} {
@@ -61,8 +61,8 @@
 	Equal: func(a, b interface{}) bool { return a == b },
 }
 
-// TestResolvedWritesAreLinearizable: what callers learn of conditional writes
-// through lost answers and lost writes is that of one register.
+// TestResolvedWritesAreLinearizable checks that the outcomes of conditional writes, under lost
+// responses and lost writes, are those of one register.
 func TestResolvedWritesAreLinearizable(t *testing.T) {
 	memory := objectapi.NewMemory()
 	if _, err := memory.Create(t.Context(), "k", []byte("start")); err != nil {
@@ -89,7 +89,7 @@
 					in = casInput{version: read.Version, value: fmt.Sprintf("%d-%d", client, i)}
 				}
 				op.Call = time.Since(start).Nanoseconds()
-				out := apply(t, store, in)
+				out := resolveInput(t, store, in)
 				op.Input, op.Output, op.Return = in, out, time.Since(start).Nanoseconds()
 				mu.Lock()
 				history = append(history, op)
@@ -103,7 +103,7 @@
 	}
 }
 
-func apply(t *testing.T, s objectapi.Store, in casInput) casOutput {
+func resolveInput(t *testing.T, s objectapi.Store, in casInput) casOutput {
 	if in.value == "" {
 		o, err := s.Get(t.Context(), "k")
 		if err != nil {
@@ -126,15 +126,15 @@
 	}
 }
 
-// overtaking is a store whose first write takes effect, loses its answer, and is
-// overwritten by another before it can be read back.
-type overtaking struct {
+// overwritingStore is a store whose first update takes effect, loses its response, and is
+// overwritten by another writer before it can be read back.
+type overwritingStore struct {
 	*objectapi.Memory
 	done bool
 }
 
 // Update implements objectapi.Store.
-func (o *overtaking) Update(ctx context.Context, key string, value []byte, v objectapi.Revision) (objectapi.Revision, error) {
+func (o *overwritingStore) Update(ctx context.Context, key string, value []byte, v objectapi.Revision) (objectapi.Revision, error) {
 	if o.done {
 		return o.Memory.Update(ctx, key, value, v)
 	}
@@ -149,10 +149,10 @@
 	return 0, objectapi.ErrAmbiguous
 }
 
-// A write that took effect and was overwritten before its read-back must not be
-// told as one that did not take effect.
-func TestOvertakenWrite(t *testing.T) {
-	s := &overtaking{Memory: objectapi.NewMemory()}
+// TestOverwrittenWrite checks that a write that took effect and was overwritten before its
+// read-back is not reported as one that did not take effect.
+func TestOverwrittenWrite(t *testing.T) {
+	s := &overwritingStore{Memory: objectapi.NewMemory()}
 	v, err := s.Create(t.Context(), "k", []byte("start"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/objectapi/memory.go
+++ b/internal/objectapi/memory.go
@@ -9,12 +9,12 @@
 	"sync"
 )
 
-// watchHistory is how many changes Memory keeps for watches.
+// watchHistory is the largest number of changes that Memory keeps for watches.
 const watchHistory = 4096
 
-// Memory is an in-process Store: the fake of tests and the heart of the lab's
-// stand-in server. It is linearizable and loses nothing; wrap it to inject
-// faults.
+// Memory is an in-process Store for tests and for the lab's simulated store server.
+// It is linearizable and never loses a call; wrap it to inject faults. Safe for
+// concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	rev     Revision
@@ -105,6 +105,8 @@
 	}
 }
 
+// since returns the changes after a revision under prefix, the current revision and the
+// channel that the next change closes.
 func (m *Memory) since(prefix string, after Revision) ([]Object, Revision, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,7 +122,7 @@
 	return events, m.rev, m.changed, nil
 }
 
-// put applies one change. The lock is held.
+// put applies one change. The caller holds the lock.
 func (m *Memory) put(o Object) Revision {
 	m.rev++
 	o.Version = m.rev
