--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,16 +1,16 @@
 // Package confsync keeps one VM's copy of a key space of the object API, such as
-// the configuration: adopted by store revision, never backward, spread from few
-// watchers to all VMs as deltas.
+// the configuration. VMs adopt it by store revision, never an older one. A few VMs watch
+// the store; the others receive the changes from peers as deltas.
 //
 // # Invariants
 //
-//   - The revision in force on a VM never falls, whatever peers or the store say.
-//   - A delta is applied only on exactly the revision that it builds on.
+//   - The revision in force on a VM never decreases, whatever peers or the store send.
+//   - A VM applies a delta only to exactly the revision that the delta is based on.
 //   - A starting VM serves only when its revision reaches the floor: the highest
-//     revision that any reachable peer heard to be in force anywhere. Its former
-//     life may have served that one, so an older one would be a step back.
+//     revision that any reachable peer knows to be in force anywhere. The VM's previous
+//     incarnation may have served the floor, so an older revision would be a step back.
 //
-// Store is a plain state machine; the daemon's duties feed it.
+// Store is a plain state machine without I/O; the daemon's background tasks drive it.
 package confsync
 
 import (
@@ -23,30 +23,30 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Snapshot is a whole configuration, or with Base a change of one.
+// Snapshot is a full configuration or, with Base set, a delta to one.
 type Snapshot struct {
-	Base     objectapi.Revision // zero: Objects are all there are
+	Base     objectapi.Revision // zero: Objects is the full configuration
 	Revision objectapi.Revision
 	Floor    objectapi.Revision
 	Objects  []objectapi.Object
 	Deleted  []string
 }
 
-// OfferResult says what became of an offer.
+// OfferResult is the result of offering a snapshot.
 type OfferResult uint8
 
-// The verdicts.
+// The results of an offer.
 const (
-	Adopted   OfferResult = iota // it is in force now
-	Stale                        // it is not newer than what is in force
-	WrongBase                    // a delta of another revision; ask for all
+	Adopted   OfferResult = iota // the snapshot is in force now
+	Stale                        // the snapshot is not newer than the revision in force
+	WrongBase                    // the snapshot is a delta to another revision; request a full one
 )
 
-// deleteLog is how many deletes are kept for deltas.
-const deleteLog = 1024
+// maxDeletes bounds how many deletes are kept for deltas.
+const maxDeletes = 1024
 
-// AdoptFunc takes in a newly adopted revision. It is called under the store's lock
-// and must not call back.
+// AdoptFunc receives each newly adopted revision with all its objects, sorted by key. Store
+// calls it with its lock held, so it must not call the store.
 type AdoptFunc func(rev objectapi.Revision, objects []objectapi.Object)
 
 // Store holds the revision in force. Safe for concurrent use.
@@ -57,37 +57,38 @@
 	mu       sync.Mutex
 	objects  map[string]objectapi.Object
 	deleted  []objectapi.Object // Key and Version, oldest first
-	deltaMin objectapi.Revision // deltas can be given from this revision on
+	deltaMin objectapi.Revision // lowest revision that a delta can be based on
 	floor    objectapi.Revision
 	changed  chan struct{}
 }
 
-// New returns a store without a revision.
+// New returns a store without a revision that calls adopt for each one it adopts.
 func New(adopt AdoptFunc) *Store {
 	return &Store{adopt: adopt, objects: map[string]objectapi.Object{}, changed: make(chan struct{}, 1)}
 }
 
-// Revision returns the revision in force; zero is none.
+// Revision returns the revision in force; zero: none.
 func (s *Store) Revision() objectapi.Revision { return objectapi.Revision(s.revision.Load()) }
 
-// Changed receives a token after adoptions; several may share one.
+// Changed returns a channel that receives a value after an adoption; several adoptions may
+// share one value.
 func (s *Store) Changed() <-chan struct{} { return s.changed }
 
-// RaiseFloor raises the floor by a revision that some VM is said to serve.
+// RaiseFloor raises the floor to a revision that some VM is reported to serve.
 func (s *Store) RaiseFloor(rev objectapi.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.floor = max(s.floor, rev)
 }
 
-// Floor returns the highest revision heard of.
+// Floor returns the highest revision known to be in force anywhere.
 func (s *Store) Floor() objectapi.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.floor
 }
 
-// ReachedFloor tells whether a configuration is in force that is as new as the floor.
+// ReachedFloor reports whether a revision is in force that is at least the floor.
 func (s *Store) ReachedFloor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,8 @@
 	return rev > 0 && rev >= s.floor
 }
 
-// Offer adopts a snapshot if it is newer and fits.
+// Offer adopts a snapshot if it is newer than the revision in force and, for a delta, based on
+// that revision.
 func (s *Store) Offer(n Snapshot) OfferResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,8 +124,9 @@
 	return Adopted
 }
 
-// replace takes a whole snapshot. What it no longer holds was deleted at some
-// revision up to its own, so deltas can be given from there on only.
+// replace installs a full snapshot. Objects missing from it were deleted at unknown
+// revisions up to its own, so later deltas can't be based on an earlier revision. The
+// caller holds the lock.
 func (s *Store) replace(n Snapshot) {
 	s.objects = make(map[string]objectapi.Object, len(n.Objects))
 	for _, o := range n.Objects {
@@ -132,6 +135,7 @@
 	s.deleted, s.deltaMin = nil, n.Revision
 }
 
+// apply installs a delta. The caller holds the lock.
 func (s *Store) apply(n Snapshot) {
 	for _, o := range n.Objects {
 		s.objects[o.Key] = o
@@ -140,13 +144,14 @@
 		delete(s.objects, key)
 		s.deleted = append(s.deleted, objectapi.Object{Key: key, Version: n.Revision})
 	}
-	if extra := len(s.deleted) - deleteLog; extra > 0 {
+	if extra := len(s.deleted) - maxDeletes; extra > 0 {
 		s.deltaMin = s.deleted[extra-1].Version
 		s.deleted = slices.Clone(s.deleted[extra:])
 	}
 }
 
-// Delta turns a watch's events into a delta of the revision in force.
+// Delta returns the delta from base to rev that consists of a watch's events. The last event of
+// each key counts.
 func (s *Store) Delta(base objectapi.Revision, events []objectapi.Object, rev objectapi.Revision) Snapshot {
 	n := Snapshot{Base: base, Revision: rev}
 	last := map[string]objectapi.Object{}
@@ -163,7 +168,7 @@
 	return n
 }
 
-// Since returns what changed after a revision, or all when that is not known.
+// Since returns a delta to revision have, or a full snapshot if the store can't compute the delta.
 func (s *Store) Since(have objectapi.Revision) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/confsync/current.go
+++ b/internal/confsync/current.go
@@ -7,10 +7,11 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Current is the compiled configuration in force. Its Adopt is an Adopter.
+// Current holds the compiled configuration in force. Its Adopt is an AdoptFunc. Safe for
+// concurrent use.
 type Current struct{ p atomic.Pointer[config.Config] }
 
-// NewCurrent returns an empty configuration at revision zero.
+// NewCurrent returns a Current with an empty configuration at revision zero.
 func NewCurrent() *Current {
 	c := &Current{}
 	c.Adopt(0, nil)
@@ -22,5 +23,5 @@
 	c.p.Store(config.Compile(rev, objects))
 }
 
-// Get returns the configuration in force; never nil.
+// Get returns the configuration in force, never nil.
 func (c *Current) Get() *config.Config { return c.p.Load() }
--- a/internal/confsync/fuzz_test.go
+++ b/internal/confsync/fuzz_test.go
@@ -16,7 +16,7 @@
 	m.Run()
 }
 
-// node is one VM's store; the oracle is the history of the object API itself.
+// node is one VM's store with the content that it adopted last.
 type node struct {
 	s       *Store
 	adopted objectapi.Revision
@@ -35,14 +35,15 @@
 	return n
 }
 
-// world is the object API's history: content by revision.
-type world struct {
+// cluster is a set of nodes and the object API's history, content by revision, which serves
+// as the oracle.
+type cluster struct {
 	store   *objectapi.Memory
 	history []map[string]string
 	nodes   []*node
 }
 
-func (w *world) write(rt *rapid.T) {
+func (w *cluster) write(rt *rapid.T) {
 	key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "key")
 	old, err := w.store.Get(rt.Context(), key)
 	value := []byte(fmt.Sprint(len(w.history)))
@@ -62,9 +63,9 @@
 	w.history = append(w.history, now)
 }
 
-// step is one of: a change; a node lists or watches; a node is offered another's
-// whole copy, a delta, or a copy kept from long ago; a node restarts.
-func (w *world) step(rt *rapid.T, kept *[]Snapshot) {
+// step performs one random step: a write; a list or watch by a node; an offer to a node of
+// another's full snapshot, delta, or earlier snapshot; or a restart of a node.
+func (w *cluster) step(rt *rapid.T, earlier *[]Snapshot) {
 	i := rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "node")
 	n := w.nodes[i]
 	from := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "from")]
@@ -83,19 +84,19 @@
 		n.s.Offer(n.s.Delta(base, events, rev))
 	case 4:
 		s := from.s.Since(rapid.SampledFrom([]objectapi.Revision{0, n.s.Revision(), from.s.Revision() / 2}).Draw(rt, "since"))
-		*kept = append(*kept, s)
+		*earlier = append(*earlier, s)
 		n.s.Offer(s)
 	case 5:
-		if len(*kept) > 0 {
-			n.s.Offer((*kept)[rapid.IntRange(0, len(*kept)-1).Draw(rt, "late")])
+		if len(*earlier) > 0 {
+			n.s.Offer((*earlier)[rapid.IntRange(0, len(*earlier)-1).Draw(rt, "late")])
 		}
 	default:
 		w.restart(rt, i, from)
 	}
 }
 
-// restart loses a node's copy; it hears of every revision that others serve.
-func (w *world) restart(rt *rapid.T, i int, from *node) {
+// restart drops a node's copy. The node receives the revision of every other node.
+func (w *cluster) restart(rt *rapid.T, i int, from *node) {
 	n := newNode()
 	w.nodes[i] = n
 	for _, p := range w.nodes {
@@ -109,7 +110,7 @@
 	}
 }
 
-func (w *world) highest() objectapi.Revision {
+func (w *cluster) highest() objectapi.Revision {
 	var h objectapi.Revision
 	for _, n := range w.nodes {
 		h = max(h, n.s.Revision())
@@ -117,36 +118,36 @@
 	return h
 }
 
-// TestAdoption checks that a node's copy is always exactly the object API's
-// content at the revision it names, and that the revision never falls.
+// TestAdoption checks that a node's copy always equals the object API's content at the
+// node's revision, and that the revision never decreases.
 func TestAdoption(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := &world{store: objectapi.NewMemory(), nodes: []*node{newNode(), newNode(), newNode()}}
-		var kept []Snapshot
+		w := &cluster{store: objectapi.NewMemory(), nodes: []*node{newNode(), newNode(), newNode()}}
+		var earlier []Snapshot
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			before := make([]objectapi.Revision, len(w.nodes))
-			lives := make([]*Store, len(w.nodes))
+			stores := make([]*Store, len(w.nodes))
 			for i, n := range w.nodes {
-				before[i], lives[i] = n.s.Revision(), n.s
+				before[i], stores[i] = n.s.Revision(), n.s
 			}
-			w.step(rt, &kept)
+			w.step(rt, &earlier)
 			for i, n := range w.nodes {
-				w.check(rt, n, before[i], lives[i] == n.s)
+				w.check(rt, n, before[i], stores[i] == n.s)
 			}
 		}
 	})
 }
 
-func (w *world) check(rt *rapid.T, n *node, before objectapi.Revision, sameLife bool) {
+func (w *cluster) check(rt *rapid.T, n *node, before objectapi.Revision, sameStore bool) {
 	rev := n.s.Revision()
-	if sameLife && rev < before {
-		rt.Fatalf("revision fell from %d to %d", before, rev)
+	if sameStore && rev < before {
+		rt.Fatalf("revision decreased from %d to %d", before, rev)
 	}
 	if rev == 0 {
 		return
 	}
 	if rev != n.adopted {
-		rt.Fatalf("revision %d, adopted %d", rev, n.adopted)
+		rt.Fatalf("store is at revision %d, adopted %d", rev, n.adopted)
 	}
 	if want := w.history[rev-1]; !maps.Equal(n.content, want) {
 		rt.Fatalf("at revision %d content is %v, want %v", rev, n.content, want)
