--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -31,16 +31,16 @@
 	Documents  map[string]Document
 	Templates  map[string]Template
 	Workspaces map[ids.Workspace]Workspace
-	// Rejected holds why stored objects are not in force, by key.
+	// Rejected holds the reason why a stored object is not in force, by the object's key.
 	Rejected map[string]string
 
 	byKey     map[string]ids.Workspace
 	byService map[string]Service
 }
 
-// Compile builds the configuration of one revision. Objects that don't decode,
-// and templates whose references don't resolve, are left out and listed in
-// Rejected: one operator's mistake takes nobody else's configuration down.
+// Compile builds the configuration of one revision. It leaves out objects that don't
+// decode and templates whose references don't resolve, and lists them in Rejected, so
+// that one operator's mistake does not affect other operators' objects.
 func Compile(rev objectapi.Revision, objects []objectapi.Object) *Config {
 	c := &Config{
 		Revision:   rev,
@@ -54,7 +54,7 @@
 	for _, raw := range objects {
 		o, err := Decode(raw.Value)
 		if err == nil && o.Key() != raw.Key {
-			err = eris.Errorf("object says it is %s", o.Key())
+			err = eris.Errorf("object declares itself as %s", o.Key())
 		}
 		if err != nil {
 			c.Rejected[raw.Key] = err.Error()
@@ -77,7 +77,7 @@
 	}
 }
 
-// resolve checks references and builds the look-up tables.
+// resolve checks references between objects and builds the lookup tables.
 func (c *Config) resolve() {
 	for _, name := range sortedKeys(c.Templates) {
 		t := c.Templates[name]
@@ -99,7 +99,7 @@
 		for _, h := range c.Workspaces[ws].APIKeySHA256 {
 			h = strings.ToLower(h)
 			if other, taken := c.byKey[h]; taken && other != ws {
-				c.Rejected[Key(KindWorkspace, string(ws))] = "an API key is already that of workspace " + string(other)
+				c.Rejected[Key(KindWorkspace, string(ws))] = "an API key already belongs to workspace " + string(other)
 				continue
 			}
 			c.byKey[h] = ws
@@ -157,26 +157,26 @@
 	}
 }
 
-// WorkspaceOf returns the workspace of an API key.
+// WorkspaceOf returns the workspace of an API key and reports whether there is one.
 func (c *Config) WorkspaceOf(apiKey string) (ids.Workspace, bool) {
 	ws, ok := c.byKey[HashKey(apiKey)]
 	return ws, ok
 }
 
-// ServiceOf returns the template of a plain service.
+// ServiceOf returns the template of a plain service and reports whether there is one.
 func (c *Config) ServiceOf(service string) (Service, bool) {
 	s, ok := c.byService[service]
 	return s, ok
 }
 
-// MayUse tells whether a workspace may use a template.
+// MayUse reports whether a workspace may use a template.
 func (c *Config) MayUse(ws ids.Workspace, template string) bool {
 	allowed := c.Workspaces[ws].Templates
 	return len(allowed) == 0 || slices.Contains(allowed, template)
 }
 
-// Render returns the level texts of a prompt for one request. A missing or
-// oversized parameter is an error that names it.
+// Render returns the texts of a prompt's levels for one request. If a parameter is missing
+// or too long, the error names it.
 func (c *Config) Render(ws ids.Workspace, p Prompt, params map[string]string) ([]string, error) {
 	var out []string
 	for _, l := range p.Levels {
@@ -203,8 +203,8 @@
 	return out, nil
 }
 
-// ModelNames returns the models and prompt templates that a workspace may use,
-// as the callers' interface lists them.
+// ModelNames returns the names under which a workspace may request its models and prompt
+// templates, sorted and without duplicates.
 func (c *Config) ModelNames(ws ids.Workspace) []string {
 	var out []string
 	for _, name := range sortedKeys(c.Templates) {
@@ -218,7 +218,7 @@
 	return slices.Compact(out)
 }
 
-// TemplateModelPrefix marks a model name that asks for a template.
+// TemplateModelPrefix is the prefix of model names that select a template.
 const TemplateModelPrefix = "template:"
 
 func sortedKeys[K ~string, V any](m map[K]V) []K {
@@ -230,12 +230,13 @@
 	return keys
 }
 
-// PlainPrompt is the template of a request that names a model directly.
+// PlainPrompt returns the template of a request that names a model directly.
 func PlainPrompt(m ids.Model) Prompt {
 	return *Template{Prompt: &Prompt{Model: m}}.withDefaults().Prompt
 }
 
-// LongestRetention returns the longest claim retention of any service template.
+// LongestRetention returns the longest claim retention of all service templates, at least
+// DefaultClaimRetention.
 func (c *Config) LongestRetention() time.Duration {
 	longest := DefaultClaimRetention
 	for _, s := range c.byService {
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -1,6 +1,6 @@
-// Package config holds the kinds that operators declare in the object API:
-// documents, templates and workspaces. It decodes, validates and compiles them
-// into an immutable Config; package confsync spreads them between VMs.
+// Package config defines the kinds of objects that operators declare in the object API:
+// documents, templates and workspaces. It decodes, validates and compiles them into an
+// immutable Config; package confsync distributes them among the VMs.
 package config
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Prefix is where all configuration lives in the object API.
+// Prefix is the key prefix of all configuration objects in the object API.
 const Prefix = "config/"
 
-// Kind names a kind of configuration object.
+// Kind is a kind of configuration object.
 type Kind string
 
 // The kinds.
@@ -33,11 +33,11 @@
 	KindWorkspace Kind = "workspace"
 )
 
-// Kinds lists all kinds in the order in which they are applied: what is
-// referred to comes first.
+// Kinds lists all kinds in the order in which they are applied, so that an object follows
+// those that it refers to.
 var Kinds = []Kind{KindDocument, KindTemplate, KindWorkspace}
 
-// Object is the envelope of every kind. Exactly one of the specs is set.
+// Object is a configuration object of any kind. Exactly the field of its kind is set.
 type Object struct {
 	Kind      Kind       `json:"kind" validate:"required,oneof=document template workspace"`
 	Name      string     `json:"name" validate:"required,max=120,slug"`
@@ -46,10 +46,10 @@
 	Workspace *Workspace `json:"workspace,omitempty"`
 }
 
-// Key is the object's key in the object API.
+// Key returns the object's key in the object API.
 func (o Object) Key() string { return Key(o.Kind, o.Name) }
 
-// Key is the key of a configuration object in the object API.
+// Key returns the key of a configuration object in the object API.
 func Key(k Kind, name string) string { return Prefix + string(k) + "/" + name }
 
 // Document is a shared text that templates refer to, such as terms of hire.
@@ -57,64 +57,64 @@
 	Text string `json:"text" validate:"required,max=900000"`
 }
 
-// Template declares one kind of work: a prompt for a model, or a call of a plain
-// service.
+// Template declares one kind of request: a prompt for a model or a call of a plain service.
+// Exactly one of the fields is set.
 type Template struct {
 	Prompt  *Prompt  `json:"prompt,omitempty"`
 	Service *Service `json:"service,omitempty"`
 }
 
-// Prompt is a template for a model. Levels are put before the caller's own
-// messages, in order, the most widely shared first.
+// Prompt is a template for a model. Its levels precede the caller's own messages, in order,
+// the most widely shared first.
 type Prompt struct {
 	Model  ids.Model `json:"model" validate:"required"`
 	Levels []Level   `json:"levels" validate:"max=16,dive"`
-	// Priority orders queues in overload. Default 0; higher goes first.
+	// Priority orders queues in overload, the highest first. Default 0.
 	Priority int `json:"priority,omitempty" validate:"min=-10,max=10"`
 	// RecomputeWeight is how many seconds of time to first token one second of
-	// avoidable prefill work is worth. Default 0.2. Tail latency first: near 0.
+	// avoidable prefill work is worth. Default 0.2. Values near 0 favor tail latency.
 	RecomputeWeight *float64 `json:"recompute_weight,omitempty" validate:"omitempty,min=0,max=10"`
-	// Continue allows a stream that broke to go on from the delivered text on
-	// another replica. Default false: it ends with an error event.
+	// Continue lets a broken stream continue after the delivered text on another
+	// replica. Default false: it ends with an error event.
 	Continue bool `json:"continue,omitempty"`
 	// Deadline bounds the whole request. Default 2m.
 	Deadline durations.Duration `json:"deadline,omitempty"`
 }
 
-// Level is one shared part of a prompt. Exactly one source is set.
+// Level is one shared part of a prompt. Exactly one of the sources of its text is set.
 type Level struct {
 	Name string `json:"name" validate:"required"`
 	// Document names a document object, the same for all workspaces.
 	Document string `json:"document,omitempty"`
 	// WorkspaceParameter names a parameter that the workspace declares.
 	WorkspaceParameter string `json:"workspace_parameter,omitempty"`
-	// RequestParameter names a parameter that each request brings.
+	// RequestParameter names a parameter that each request sets.
 	RequestParameter string `json:"request_parameter,omitempty"`
-	// MaxBytes bounds a request parameter. Default 262144.
+	// MaxBytes bounds a request parameter, in bytes. Default 262144.
 	MaxBytes int `json:"max_bytes,omitempty" validate:"min=0,max=1048576"`
 }
 
 // Service is a template for calls of a plain service.
 type Service struct {
 	Service string `json:"service" validate:"required,slug"`
-	// Repeatable says that a call may run more than once. Default false: each
-	// call needs an Idempotency-Key and runs at most once.
+	// Repeatable allows a call to run more than once. Default false: each call
+	// needs an Idempotency-Key and runs at most once.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// KeepAnswer records the answer with the claim, so that a late duplicate is
-	// given it. Default false: a duplicate is told that the call ran.
+	// KeepAnswer stores the response with the claim and returns it to a late
+	// duplicate. Default false: a duplicate gets an error that says the call ran.
 	KeepAnswer bool `json:"keep_answer,omitempty"`
-	// MaxBodyBytes bounds a call's body. Default 65536.
+	// MaxBodyBytes bounds a call's body, in bytes. Default 65536.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty" validate:"min=0,max=1048576"`
 	// Deadline bounds the call. Default 10s.
 	Deadline durations.Duration `json:"deadline,omitempty"`
 	// ClaimRetention is how long a UUIDv7 key stays valid; its claim is kept
-	// longer than that. Default 24h. Claims of other keys are kept for good.
+	// longer than that. Default 24h. Claims of other keys are never deleted.
 	ClaimRetention durations.Duration `json:"claim_retention,omitempty"`
 }
 
 // Workspace is one tenant.
 type Workspace struct {
-	// APIKeySHA256 holds the hex SHA-256 of each key that callers may use.
+	// APIKeySHA256 holds the SHA-256, in hex, of each API key that callers may use.
 	APIKeySHA256 []string          `json:"api_key_sha256" validate:"required,min=1,dive,len=64,hexadecimal"`
 	Parameters   map[string]string `json:"parameters,omitempty"`
 	// Templates lists the templates that the workspace may use. Empty: all.
@@ -124,11 +124,12 @@
 
 // Limits bound one workspace over all VMs.
 type Limits struct {
-	// RequestsPerSecond over all VMs. Default 50.
+	// RequestsPerSecond is the rate over all VMs. Default 50.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty" validate:"min=0"`
 	// Concurrency is how many requests may be in flight over all VMs. Default 64.
 	Concurrency int `json:"concurrency,omitempty" validate:"min=0"`
-	// Weight is the share in overload, relative to other workspaces. Default 1.
+	// Weight is the workspace's share in overload relative to other workspaces.
+	// Default 1.
 	Weight float64 `json:"weight,omitempty" validate:"min=0,max=1000"`
 }
 
@@ -146,7 +147,7 @@
 
 func must(err error) {
 	if err != nil {
-		panic(err) // a mistake in this file's tags, found by any test
+		panic(err) // invalid struct tags in this file; any test fails
 	}
 }
 
@@ -159,14 +160,14 @@
 	return s != ""
 }
 
-// HashKey returns the form in which an API key is declared.
+// HashKey returns the hex SHA-256 of an API key, the form in which workspaces declare it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// ParseFile reads the objects of one file: JSON with comments, one object or an
-// array of them. Errors name the file and the path in it.
+// ParseFile parses the objects of one file: JSON with comments, one object or an array of
+// them. Errors name the file, the object's number and the field.
 func ParseFile(name string, data []byte) ([]Object, error) {
 	std, err := hujson.Standardize(data)
 	if err != nil {
@@ -192,8 +193,8 @@
 	return out, nil
 }
 
-// Decode reads and validates one object on its own. References between objects
-// are checked by Compile.
+// Decode parses and validates one object on its own. Compile checks references between
+// objects.
 func Decode(data []byte) (Object, error) {
 	var o Object
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -204,7 +205,7 @@
 	return o, o.Validate()
 }
 
-// Validate checks an object on its own.
+// Validate checks an object without its references to other objects.
 func (o Object) Validate() error {
 	if err := validate.Struct(o); err != nil {
 		return describe(err)
@@ -242,7 +243,8 @@
 	return nil
 }
 
-// describe turns a validator error into one line with path and reason.
+// describe formats a validator error as one line with the path and the failed rule of each
+// field.
 func describe(err error) error {
 	var fields validator.ValidationErrors
 	if !eris.As(err, &fields) {
