--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -192,17 +192,18 @@
 	avoidStarting = 100 * time.Millisecond
 	// avoidFirst is how long a peer is avoided after its first failure; the time doubles with
 	// each consecutive failure up to avoidFirst << maxAvoidDoublings.
-	avoidFirst     = 2 * time.Second
-	avoidDoublings = 4
+	avoidFirst        = 2 * time.Second
+	maxAvoidDoublings = 4
 )
 
+// failed records a failed call.
 func (a *avoidance) failed(vm ids.VM, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.until == nil {
 		a.until, a.fails = map[ids.VM]time.Time{}, map[ids.VM]int{}
 	}
-	a.until[vm] = now.Add(avoidFirst << min(a.fails[vm], avoidDoublings))
+	a.until[vm] = now.Add(avoidFirst << min(a.fails[vm], maxAvoidDoublings))
 	a.fails[vm]++
 }
 
@@ -224,6 +225,7 @@
 	return a.fails[vm] > 0 && now.Before(a.until[vm])
 }
 
+// succeeded ends the avoidance of a peer.
 func (a *avoidance) succeeded(vm ids.VM) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -231,6 +233,7 @@
 	delete(a.fails, vm)
 }
 
+// avoids reports whether a peer must not be called now.
 func (a *avoidance) avoids(vm ids.VM, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -51,9 +51,9 @@
 	checkInterval = time.Second
 	// seekInterval is how often a VM that waits for its rank checks the same.
 	seekInterval = 100 * time.Millisecond
-	// rankStep is the delay for each VM that ranks before this one in its failure domain: a dial and
-	// a list. crossDomainStep is the delay for each one in another domain; there
-	// are two per domain. With rankStep for these too, the first VM of the last of six domains
+	// rankStep is the delay for each VM that ranks before this one in its failure domain: a
+	// dial and a list. crossDomainStep is the delay for each one in another domain; there are
+	// two per domain. With rankStep for these too, the first VM of the last of six domains
 	// waited for 4 s, and 43 of 195 VMs could no longer prove that their keys are valid.
 	rankStep        = 400 * time.Millisecond
 	crossDomainStep = 40 * time.Millisecond
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -5,8 +5,9 @@
 //
 // The VMs of a domain have a fixed order, the same for all. The first one reads the
 // store. Each other VM reads from the first VM before it that answers, and from the
-// store if none does. A VM never reads from one after it, so there are no cycles. In small fleets each VM reads the store by itself: there are few calls, and
-// no VM depends on another.
+// store if none does. A VM never reads from one after it, so there are no cycles. In
+// small fleets each VM reads the store by itself: there are few calls, and no VM
+// depends on another.
 //
 // # Copies
 //
--- a/internal/objectapi/counted.go
+++ b/internal/objectapi/counted.go
@@ -7,8 +7,8 @@
 	"github.com/threadwall/threadwall/internal/tally"
 )
 
-// CountingStore counts the calls to a store by method and kind of key, since the platform bills
-// each call. Safe for concurrent use.
+// CountingStore counts the calls to a store by method and kind of key, since each call has a
+// cost. Safe for concurrent use.
 type CountingStore struct {
 	Store
 	tally.Counts
