--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -2,9 +2,9 @@
 // host and path prefix, services, API keys and limits.
 //
 // A Catalog is one version of that declaration, immutable and indexed for the
-// request path. A request is judged by one Catalog for its whole life. Current
-// holds the version in force, which never falls, and the proof of how fresh it
-// is: an API key counts only while the proof is young enough.
+// request path. Each request uses one Catalog from start to end. Current holds the
+// version in force, which never decreases, and the proof of its freshness: an API key
+// is valid only while the proof is recent enough.
 package catalog
 
 import (
@@ -18,68 +18,68 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Kind says what may be repeated on a route.
+// Kind is how far requests on a route may be repeated.
 type Kind uint8
 
-// The kinds. The zero value is the one that promises least.
+// The kinds. The zero value allows the least.
 const (
 	// Once marks calls that may run at most once.
 	Once Kind = iota
 	// Idempotent marks calls that may run again after any failure.
 	Idempotent
-	// Stream marks answers that are a series of numbered events. They may run at
-	// most once, unless the route is resumable.
+	// Stream marks calls whose response is a series of numbered events. They may
+	// run at most once unless the route is resumable.
 	Stream
 )
 
 // String returns the kind's name in logs.
 func (k Kind) String() string { return [...]string{"once", "idempotent", "stream"}[k] }
 
-// Share is a service's part of a route's traffic.
+// Share is a service's share of a route's traffic, in proportion to the weights of all.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host below a path prefix go.
+// Route declares where requests to a host and path prefix are sent, and under which rules.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time that a caller is kept waiting; zero: no bound
-	Objective   time.Duration // latency within which an answer is on time
-	MaxEventGap time.Duration // longest pause between events that is still on time
-	Priority    int           // 0 is first
+	Timeout     time.Duration // longest time that a caller waits; zero: unlimited
+	Objective   time.Duration // latency up to which a response is on time
+	MaxEventGap time.Duration // longest time between two events that is still on time
+	Priority    int           // 0 is the highest
 	Split       []Share
-	Attempts    int  // replicas that one request may run on
+	Attempts    int  // most replicas on which one request may run
 	Public      bool // needs no API key
 	Prompts     bool // requests describe a prompt by levels
-	Resumable   bool // a stream may go on at another replica behind its last event
+	Resumable   bool // a stream may continue on another replica after its last event
 }
 
-// Repeatable tells whether a request may run again after an unknown outcome.
+// Repeatable reports whether a request may run again after an unknown outcome.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service is a group of replicas that routes name.
+// Service is a group of replicas to which routes send requests.
 type Service struct {
 	Name     string
-	MaxConns int // connections that one replica takes from all callers together; zero: not known
+	MaxConns int // connections that one replica accepts from all callers together; zero: unknown
 	Engine   *Engine
 	KVStore  *KVStore
 }
 
 // Engine describes the replicas of a service that serve models.
 type Engine struct {
-	Slots         int   // requests in a batch
-	CacheTokens   int64 // memory for the KV cache, in tokens
-	FeedReaders   int   // cache feeds that one replica serves at once
-	BytesPerToken int64
+	Slots         int   // most requests in a batch
+	CacheTokens   int64 // capacity of the KV cache
+	FeedReaders   int   // most cache feeds that one replica serves at once
+	BytesPerToken int64 // of KV cache
 }
 
-// KVStore is a store that keeps KV cache beside the engines.
+// KVStore is a store outside the engines that holds KV cache.
 type KVStore struct {
 	Addr          string
 	FailureDomain ids.FailureDomain
@@ -91,21 +91,22 @@
 type Workspace struct {
 	Name     ids.Workspace
 	Keys     []string
-	Priority *int // goes before the route's priority
+	Priority *int // overrides the route's priority; nil: does not
 	Isolated bool // shares no KV cache with other workspaces
-	// Allowance is what it may use over all VMs together.
+	// Allowance is the limit over all VMs together.
 	Allowance Allowance
 }
 
-// Allowance is what a workspace may use over all VMs together.
+// Allowance limits what a workspace may use over all VMs together.
 type Allowance struct {
-	Rate          float64 // units/s; zero, like Burst: there is no limit
-	Burst         float64 // units at once beyond it
-	Tokens        bool    // units are tokens; otherwise requests
-	DefaultTokens int64   // tokens of a request that names none
+	Rate          float64 // units/s; zero, with Burst also zero: no limit
+	Burst         float64 // units that may be used at once, beyond the rate
+	Tokens        bool    // units are tokens; false: requests
+	DefaultTokens int64   // cost of a request that gives no number of tokens
 }
 
-// Cost is what a request costs that names so many tokens, in units; zero: it names none.
+// Cost returns the cost, in units, of a request that gives the number of its tokens; zero tokens:
+// it gives none.
 func (a *Allowance) Cost(tokens int64) float64 {
 	switch {
 	case !a.Tokens:
@@ -125,7 +126,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Declaration is a whole version as operators wrote it.
+// Declaration is one version as operators declared it.
 type Declaration struct {
 	Version    uint64
 	Routes     []Route
@@ -134,21 +135,21 @@
 	Limits     Limits
 }
 
-// Catalog is a declaration, indexed. It is immutable.
+// Catalog is an indexed declaration. It is immutable.
 type Catalog struct {
 	Declaration
 	byHost   map[string][]*Route // longest prefix first
 	byKey    map[string]*Workspace
 	services map[string]*Service
-	// isolated names the workspaces that share no KV cache, joined in order. What the
-	// others share is void when this changes: a workspace that is isolated now may have
-	// made some of it.
+	// isolated is the sorted list of the workspaces that share no KV cache. When it changes,
+	// the KV cache that the others share must not be used any more: a workspace that is
+	// isolated now may have created some of it.
 	isolated string
-	// KVStores are the stores of kept KV cache.
+	// KVStores are the KV stores of all services.
 	KVStores []*KVStore
 }
 
-// New indexes a declaration.
+// New indexes a declaration. The caller must not change it afterwards.
 func New(d Declaration) *Catalog {
 	c := &Catalog{
 		Declaration: d, byHost: map[string][]*Route{}, byKey: map[string]*Workspace{}, services: map[string]*Service{},
@@ -182,8 +183,8 @@
 	return c
 }
 
-// Match returns the route of a request: of the host's routes the one with the
-// longest prefix of the path, or nil.
+// Match returns the route of a request, or nil: of the routes of the host, the one with
+// the longest prefix of the path. It ignores case and port of the host.
 func (c *Catalog) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range c.byHost[host] {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// RequiresAPIKey tells whether requests need an API key at all.
+// RequiresAPIKey reports whether requests to routes that are not public need an API key.
 func (c *Catalog) RequiresAPIKey() bool { return len(c.Workspaces) > 0 }
 
 // WorkspaceOf returns the workspace that holds an API key, or nil.
@@ -203,9 +204,9 @@
 // Service returns a service by name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
-// KVStoreOf returns the store that keeps the KV cache of a prefix: of those that are
-// usable the one with the highest rendezvous weight, so that all VMs agree and the
-// stores share the load. Nil: there is none.
+// KVStoreOf returns the store for the KV cache of a prefix, or nil if none is usable: of
+// the usable stores, the one with the highest rendezvous weight, so that all VMs agree
+// and the load is spread over the stores.
 func (c *Catalog) KVStoreOf(prefix uint64, usable func(addr string) bool) *KVStore {
 	var best *KVStore
 	bestWeight := uint64(0)
@@ -217,8 +218,8 @@
 	return best
 }
 
-// Pick returns the service of a request by the route's weights; point is any
-// number, equally distributed.
+// Pick returns the service of a request according to the route's weights, or "" if the
+// route has none; point must be uniformly distributed.
 func (r *Route) Pick(point uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -230,12 +231,12 @@
 		}
 		return r.Split[0].Service
 	}
-	at := int(point % uint64(total))
+	remaining := int(point % uint64(total))
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		remaining -= s.Weight
 	}
 	return r.Split[0].Service
 }
--- a/internal/catalog/current.go
+++ b/internal/catalog/current.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Current is the version in force on this VM and the proof of its freshness.
+// Current holds the version in force on this VM and the proof of its freshness.
 // Safe for concurrent use.
 //
-// A proof is the moment at which the call was sent whose answer showed that no
-// newer version was confirmed before it. Counting from the sending and on the
-// clock that counts suspensions (package clock) makes the age an upper bound, also after
-// the VM stood still.
+// The proof is the time at which a call was sent whose response showed that no newer
+// version had been confirmed before. Its age counts from the sending of the call and on
+// a clock that includes suspensions of the VM (package clock), so it is an upper bound
+// also after a suspension.
 type Current struct {
 	mu     sync.Mutex
 	now    atomic.Pointer[Catalog]
 	proven atomic.Pointer[time.Time]
 }
 
-// Get returns the version in force; nil before the first.
+// Get returns the version in force, or nil before the first Adopt.
 func (c *Current) Get() *Catalog { return c.now.Load() }
 
-// Adopt puts a version in force unless it is older than the one that is. It
-// returns whether the version changed.
+// Adopt puts a version in force if it is newer than the current one, and reports whether
+// it did.
 func (c *Current) Adopt(n *Catalog) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,8 @@
 	return true
 }
 
-// Prove records that the version in force was the newest when a call was sent.
+// Prove records that the version in force was the newest one at the given time, when the
+// proving call was sent. An earlier time than the last is ignored.
 func (c *Current) Prove(sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +45,8 @@
 	}
 }
 
-// ProofAge returns how long ago the version in force was proven to be the newest.
+// ProofAge returns the time since the version in force was last proven to be the newest; it
+// exceeds any limit if that never happened.
 func (c *Current) ProofAge(now time.Time) time.Duration {
 	p := c.proven.Load()
 	if p == nil {
@@ -53,5 +55,5 @@
 	return now.Sub(*p)
 }
 
-// neverProven is longer than any age that is accepted.
+// neverProven exceeds any limit on the age of a proof.
 const neverProven = 1 << 62 * time.Nanosecond
--- a/internal/catalog/isolation.go
+++ b/internal/catalog/isolation.go
@@ -6,8 +6,9 @@
 	"github.com/zeebo/xxh3"
 )
 
-// IsolationKey names the group of requests that may share KV cache with a workspace's:
-// its own alone if it is isolated, all others' otherwise. ws may be nil.
+// IsolationKey returns the key of the requests that may share KV cache with those of a
+// workspace: only its own if the workspace is isolated, those of all workspaces that are
+// not isolated otherwise. ws may be nil.
 func (c *Catalog) IsolationKey(ws *Workspace) string {
 	if ws != nil && ws.Isolated {
 		return "own-" + string(ws.Name)
