--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -13,7 +13,7 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Action says what applying an object would do or did.
+// Action is the effect of applying an object.
 type Action string
 
 // The actions.
@@ -24,23 +24,22 @@
 	Deleted   Action = "deleted"
 )
 
-// Change is one object's part of a plan.
+// Change is the planned change of one object.
 type Change struct {
 	Kind    config.Kind        `json:"kind"`
 	Name    string             `json:"name"`
 	Action  Action             `json:"action"`
-	Version objectapi.Revision `json:"version"` // seen by the plan, then as written
+	Version objectapi.Revision `json:"version"` // as read by NewPlan; after Run, as written
 	Before  []byte             `json:"-"`
 	After   []byte             `json:"-"`
 }
 
-// Plan is what applying objects would do to the store as it was read.
+// Plan holds the changes that bring objects into the store as it was read.
 type Plan struct{ Changes []Change }
 
-// NewPlan reads the store and plans how to bring objects into it. The whole
-// configuration that would result is compiled first: an object that would be
-// rejected, or would make another one rejected, is an error, and nothing is
-// written.
+// NewPlan reads the store and plans the changes that bring objects into it. It writes
+// nothing. It compiles the configuration that would result and returns an error if an
+// object would be rejected or would cause another one to be rejected.
 func NewPlan(ctx context.Context, s objectapi.Store, objects []config.Object) (*Plan, error) {
 	stored, rev, err := s.List(ctx, config.Prefix)
 	if err != nil {
@@ -66,6 +65,8 @@
 	return p, checkResult(rev, byKey, rejectedBefore)
 }
 
+// checkResult compiles the resulting objects and returns an error for the first key that is
+// rejected now and was not before.
 func checkResult(rev objectapi.Revision, byKey map[string]objectapi.Object, before map[string]string) error {
 	var all []objectapi.Object
 	for _, o := range byKey {
@@ -88,21 +89,21 @@
 func encode(o config.Object) []byte {
 	b, err := json.Marshal(o)
 	if err != nil {
-		panic(err) // plain data: can't fail
+		panic(err) // plain data always encodes
 	}
 	return b
 }
 
-// ConflictError names an object that another operator changed since it was read.
+// ConflictError reports an object that another writer changed since it was read.
 type ConflictError struct{ Key string }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return e.Key + " was changed by somebody else meanwhile; their change stands, look at it and apply again"
+	return e.Key + " was changed by another writer since it was read; that change is kept, review it and apply again"
 }
 
-// Run writes a plan's changes in order and stops at the first failure. Done
-// holds what was written.
+// Run writes a plan's changes in order and stops at the first error. done holds the
+// changes made until then, with their new versions.
 func (p *Plan) Run(ctx context.Context, s objectapi.Store) (done []Change, err error) {
 	for _, c := range p.Changes {
 		if c.Action != Unchanged {
@@ -131,8 +132,8 @@
 	return obj.Version, eris.Wrapf(err, "write %s", key)
 }
 
-// Delete removes one object if it still has the version that was read, and if no
-// other object refers to it.
+// Delete removes one object unless another object refers to it. If the object changes
+// between its read and its delete, Delete returns a *ConflictError.
 func Delete(ctx context.Context, s objectapi.Store, k config.Kind, name string) error {
 	stored, rev, err := s.List(ctx, config.Prefix)
 	if err != nil {
@@ -150,14 +151,14 @@
 	before := config.Compile(rev, stored).Rejected
 	delete(byKey, key)
 	if err := checkResult(rev, byKey, before); err != nil {
-		return eris.Wrapf(err, "%s/%s is still needed", k, name)
+		return eris.Wrapf(err, "can't delete %s/%s, which is still referenced", k, name)
 	}
 	err = s.Delete(ctx, key, old.Version)
 	switch {
 	case errors.Is(err, objectapi.ErrConflict):
 		return &ConflictError{Key: key}
 	case errors.Is(err, objectapi.ErrAmbiguous):
-		if _, gerr := s.Get(ctx, key); errors.Is(gerr, objectapi.ErrNotFound) {
+		if _, getErr := s.Get(ctx, key); errors.Is(getErr, objectapi.ErrNotFound) {
 			return nil
 		}
 	}
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -14,8 +14,8 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// TestApply runs testdata/apply: files are applied to one store, one after the
-// other; what is said of bad ones is shown, and that they change nothing.
+// TestApply runs testdata/apply. It applies each file in turn to one store and checks the
+// changes made, or the error of an invalid file, which must change nothing.
 func TestApply(t *testing.T) {
 	store := objectapi.NewMemory()
 	datadriven.RunTest(t, "testdata/apply", func(t *testing.T, d *datadriven.TestData) string {
@@ -44,9 +44,10 @@
 	})
 }
 
-// Two operators plan on the same state; the second to write is told, and the
-// first one's change stands. A document that a template needs can't be deleted.
-func TestOperatorsRace(t *testing.T) {
+// TestConcurrentOperators lets two operators plan on the same state: the second one to write must
+// get a ConflictError, and the first one's change must remain. A document that a template refers
+// to can't be deleted.
+func TestConcurrentOperators(t *testing.T) {
 	store := objectapi.NewMemory()
 	document := func(text string) []config.Object {
 		return []config.Object{{Kind: config.KindDocument, Name: "d", Document: &config.Document{Text: text}}}
@@ -64,12 +65,12 @@
 		t.Fatal(err)
 	}
 	_, err = second.Run(t.Context(), store)
-	var raced *ConflictError
-	if !errors.As(err, &raced) {
-		t.Fatalf("the second operator was told %v", err)
+	var conflict *ConflictError
+	if !errors.As(err, &conflict) {
+		t.Fatalf("second operator: got error %v, want a ConflictError", err)
 	}
 	if o, _ := store.Get(t.Context(), config.Key(config.KindDocument, "d")); !strings.Contains(string(o.Value), "first") {
-		t.Errorf("stored is %s", o.Value)
+		t.Errorf("stored object is %s, want the first operator's", o.Value)
 	}
 	template := []config.Object{{Kind: config.KindTemplate, Name: "t", Template: &config.Template{
 		Prompt: &config.Prompt{Model: "m", Levels: []config.Level{{Name: "l", Document: "d"}}},
@@ -82,6 +83,6 @@
 		t.Fatal(err)
 	}
 	if err := Delete(t.Context(), store, config.KindDocument, "d"); err == nil {
-		t.Error("a document that a template needs was deleted")
+		t.Error("deleted a document that a template refers to")
 	}
 }
--- a/internal/apply/read.go
+++ b/internal/apply/read.go
@@ -1,6 +1,6 @@
-// Package apply brings operators' files into the object API: read, validated as
-// a whole, then written with conditional updates, so that racing operators never
-// overwrite each other silently.
+// Package apply writes operators' files to the object API. It reads the files, validates
+// the resulting configuration as a whole and writes it with conditional updates, so that
+// concurrent operators never overwrite each other's changes silently.
 package apply
 
 import (
@@ -15,9 +15,10 @@
 	"github.com/threadwall/threadwall/internal/config"
 )
 
-// ReadPath reads all objects of a file or of a directory and those below it.
-// Files ending in .json hold objects; .md and .txt files are documents named
-// after the file.
+// ReadPath reads all objects of a file, or of a directory and its subdirectories, in the
+// order in which they are to be applied. Files ending in .json hold objects; .md and .txt
+// files are documents named after the file. It is an error if there are no objects or if
+// two have the same kind and name.
 func ReadPath(path string) ([]config.Object, error) {
 	var out []config.Object
 	seen := map[string]string{}
