--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the daemon's settings: JSON with comments, every
-// duration with its unit, checked before anything starts.
+// Package settings reads and validates the daemon's settings: JSON with comments, in
+// which every duration has a unit. The daemon reads them before it starts anything.
 package settings
 
 import (
@@ -20,18 +20,18 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Settings are those of one threadwalld. The comment of each field gives
-// default, unit and effect.
+// Settings are the settings of one threadwalld. The comment of each field gives its
+// effect, unit and default.
 type Settings struct {
 	// VM is this VM's name. Required.
 	VM ids.VM `json:"vm" validate:"required"`
-	// FailureDomain is where this VM stands. Required.
+	// FailureDomain is this VM's failure domain. Required.
 	FailureDomain ids.FailureDomain `json:"failure_domain" validate:"required"`
-	// Listen is ip:port for callers. Required.
+	// Listen is the ip:port on which callers connect. Required.
 	Listen string `json:"listen" validate:"required,hostname_port"`
-	// PeerListen is ip:port for other VMs. Required.
+	// PeerListen is the ip:port on which other VMs connect. Required.
 	PeerListen string `json:"peer_listen" validate:"required,hostname_port"`
-	// AdminListen is ip:port for operators: status, metrics, time line. Required.
+	// AdminListen is the ip:port for operators: status, metrics, timeline. Required.
 	AdminListen string `json:"admin_listen" validate:"required,hostname_port"`
 	// Store is the object API's base URL. Required.
 	Store string `json:"store" validate:"required,http_url"`
@@ -40,48 +40,51 @@
 	Peers []string `json:"peers,omitempty" validate:"dive,hostname_port"`
 	// StoreTimeout bounds one call of the object API. Default 2s.
 	StoreTimeout durations.Duration `json:"store_timeout,omitempty"`
-	// StoreWritesPerSecond bounds this VM's writes. Default 40.
+	// StoreWritesPerSecond bounds this VM's writes to the object API. Default 40.
 	StoreWritesPerSecond float64 `json:"store_writes_per_second,omitempty" validate:"min=0"`
-	// StoreReadsPerSecond bounds this VM's reads. Default 60.
+	// StoreReadsPerSecond bounds this VM's reads of the object API. Default 60.
 	StoreReadsPerSecond float64 `json:"store_reads_per_second,omitempty" validate:"min=0"`
-	// Heartbeat is how often this VM speaks to peers. Default 1s.
+	// Heartbeat is the interval at which this VM exchanges state with peers. Default 1s.
 	Heartbeat durations.Duration `json:"heartbeat,omitempty"`
-	// News is how often fresh cache beliefs and loads are passed on between
-	// heartbeats. Default 250ms. Longer: fewer bytes, lower hit rate.
+	// News is the interval at which this VM sends updates of the cache view and of
+	// loads to peers between heartbeats. Default 250ms. A longer one saves bytes and
+	// lowers the hit rate.
 	News durations.Duration `json:"news,omitempty"`
-	// CacheFeed reads engines' cache events. Default false: where all requests come
-	// through threadwall, answers and peers tell as much (docs/design/routing.md).
+	// CacheFeed enables reading of the engines' cache events. Default false: if all
+	// requests pass through threadwall, responses and peers give the same information
+	// (docs/design/routing.md).
 	CacheFeed bool `json:"cache_feed,omitempty"`
-	// Probe is how often idle targets are probed. Default 1s.
+	// Probe is the interval at which idle targets are probed. Default 1s.
 	Probe durations.Duration `json:"probe,omitempty"`
-	// IdleTimeout ends a stream on which the target is silent. Default 10s.
+	// IdleTimeout ends a stream on which the target has sent nothing for so long.
+	// Default 10s.
 	IdleTimeout durations.Duration `json:"idle_timeout,omitempty"`
 	// DialTimeout bounds connecting to a target. Default 1s.
 	DialTimeout durations.Duration `json:"dial_timeout,omitempty"`
-	// ReadyNotice is how long the VM says "not ready" before it stops taking
-	// work at shutdown, so that the balancer sees it. Default 2s.
+	// ReadyNotice is how long the VM reports "not ready" at shutdown before it stops
+	// accepting requests, so that the load balancer notices. Default 2s.
 	ReadyNotice durations.Duration `json:"ready_notice,omitempty"`
 	// DrainTimeout bounds waiting for requests in flight at shutdown. Default 150s.
 	DrainTimeout durations.Duration `json:"drain_timeout,omitempty"`
-	// MaxBodyBytes bounds a caller's body. Default 4194304.
+	// MaxBodyBytes bounds the body of a request, in bytes. Default 4194304.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty" validate:"min=0"`
 	// MaxInFlight bounds requests in flight on this VM. Default 2048.
 	MaxInFlight int `json:"max_in_flight,omitempty" validate:"min=0"`
-	// TimelineEvents is how many events are kept in memory. Default 8192.
+	// TimelineEvents is how many timeline events are kept in memory. Default 8192.
 	TimelineEvents int `json:"timeline_events,omitempty" validate:"min=0,max=1000000"`
-	// WeightLoadsPerMinute bounds how many engines of the failure domain are ordered
-	// to read from the weight store. Default 6.
+	// WeightLoadsPerMinute bounds how many engines of the failure domain per minute are
+	// ordered to read from the weight store. Default 6.
 	WeightLoadsPerMinute float64 `json:"weight_loads_per_minute,omitempty" validate:"min=0"`
-	// Policy picks targets: "cost" or "round-robin". Default "cost".
+	// Policy is the policy that selects targets: "cost" or "round-robin". Default "cost".
 	Policy string `json:"policy,omitempty" validate:"omitempty,oneof=cost round-robin"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `json:"log_level,omitempty" validate:"omitempty,oneof=debug info warn error"`
-	// Edge makes this VM serve opaque requests for the platform whose metadata store
-	// Store names, in place of threadwall's own interface. Default none.
+	// Edge makes this VM serve opaque requests for the platform whose metadata store is
+	// at Store, instead of threadwall's own API. Default none.
 	Edge *Edge `json:"edge,omitempty"`
 }
 
-// Load reads, checks and completes the settings of a file.
+// Load reads and validates the settings of a file and sets the defaults.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +94,8 @@
 	return s, eris.Wrapf(err, "settings %s", path)
 }
 
-// Parse reads, checks and completes settings.
+// Parse decodes and validates settings and sets the defaults. The error names all invalid
+// fields.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	std, err := hujson.Standardize(data)
@@ -125,7 +129,7 @@
 	return eris.New(strings.Join(parts, "; "))
 }
 
-// WithDefaults returns s with every unset field at its default.
+// WithDefaults returns s with every unset field set to its default.
 func (s Settings) WithDefaults() Settings {
 	for _, d := range []struct {
 		field *durations.Duration
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestParse runs testdata/parse: what settings files are taken, and what is said
-// of those that are not.
+// TestParse runs testdata/parse: which settings files are accepted, and the errors of those that
+// are not.
 func TestParse(t *testing.T) {
 	datadriven.RunTest(t, "testdata/parse", func(_ *testing.T, d *datadriven.TestData) string {
 		s, err := Parse([]byte(d.Input))
@@ -20,8 +20,8 @@
 	})
 }
 
-// TestWeightsAllWithin checks by when all engines must have new weights where settings
-// don't say it, and that it may be as soon as old ones may no longer be used.
+// TestWeightsAllWithin checks the default of WeightsAllWithin and that it may equal
+// WeightsWithin.
 func TestWeightsAllWithin(t *testing.T) {
 	for edge, want := range map[string]time.Duration{
 		``:                         14 * time.Second,
