--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -44,9 +44,9 @@
 
 // buildReader creates the reader of the store and the server that mirrors it to peers.
 func (d *Daemon) buildReader() {
-	wakeUp := &mirror.Bell{}
+	wakeUp := &mirror.Notifier{}
 	space := func(prefix string, next follow.Handler) *mirror.Space {
-		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Watched(next), Bell: wakeUp}
+		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Watched(next), Notifier: wakeUp}
 	}
 	catalogs := &follow.Catalogs{Current: d.Catalog, Decode: d.adapter.DecodeConfig, Key: d.adapter.KeyConfig, Adopted: d.applyCatalog, Log: d.Log}
 	spaces := []*mirror.Space{
@@ -56,8 +56,8 @@
 	if d.Forward.Software != nil {
 		spaces = append(spaces, space(canary.Prefix, d.Forward.Software))
 	}
-	d.mirrors = &mirror.Server{Spaces: spaces, Bell: wakeUp}
-	d.reader = &mirror.Reader{Spaces: spaces, Before: d.vms.upstreamPeers, Introduce: d.listVMs, Direct: d.readStore, Log: d.Log, Wait: d.Settings.Edge.ProofEvery.D() / 4, Meter: d.adapter.Meter}
+	d.mirrors = &mirror.Server{Spaces: spaces, Notifier: wakeUp}
+	d.reader = &mirror.Reader{Spaces: spaces, UpstreamPeers: d.vms.upstreamPeers, Bootstrap: d.listVMs, ReadStore: d.readStore, Log: d.Log, Wait: d.Settings.Edge.ProofEvery.D() / 4, Meter: d.adapter.Meter}
 }
 
 // readStore follows the store until ctx ends.
@@ -147,7 +147,7 @@
 		key := readerKey(d)
 		slices.SortFunc(domains[d], func(a, b vmRecord) int { return byLink(key, a, b) })
 		for _, r := range domains[d][:min(readersPerDomain, len(domains[d]))] {
-			out = append(out, mirror.Peer{VM: r.VM, Addr: r.PeerAddr, Far: true})
+			out = append(out, mirror.Peer{VM: r.VM, Addr: r.PeerAddr, CrossDomain: true})
 		}
 	}
 	return out
--- a/internal/edge/store_test.go
+++ b/internal/edge/store_test.go
@@ -124,7 +124,7 @@
 		for _, p := range d.vms.upstreamPeers() {
 			upstreamOf[r.VM] = append(upstreamOf[r.VM], p.VM)
 		}
-		if peers := d.vms.upstreamPeers(); len(peers) > 0 && peers[0].Far {
+		if peers := d.vms.upstreamPeers(); len(peers) > 0 && peers[0].CrossDomain {
 			crossDomain++
 		}
 		d.Log.Close()
