--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -89,12 +89,12 @@
 		return nil, refuse(outcome.CodeOverloaded, "this VM is at its limit of requests in flight", retryCapacity)
 	}
 	s := l.workspace(ws)
-	if s.inFlight >= max(1, int(float64(limits.Concurrency)*l.allowed.Part(ws))) {
+	if s.inFlight >= max(1, int(float64(limits.Concurrency)*l.allowed.Share(ws))) {
 		return nil, refuse(outcome.CodeRateLimited, "the workspace is at its limit of requests in flight", retryCapacity)
 	}
 	decision := l.allowed.Take(allowance.Call{Workspace: ws, Cost: 1})
 	if !decision.Admitted {
-		return nil, refuse(outcome.CodeRateLimited, "the workspace is over its rate limit", decision.ComeBack)
+		return nil, refuse(outcome.CodeRateLimited, "the workspace is over its rate limit", decision.RetryAfter)
 	}
 	l.inFlight++
 	s.inFlight++
--- a/internal/admission/sharing_test.go
+++ b/internal/admission/sharing_test.go
@@ -71,13 +71,13 @@
 
 func (s *sharing) exchange(side func(vm int) int) {
 	for i, from := range s.shares {
-		uses := from.Told()
+		uses := from.OwnUse()
 		for j, to := range s.shares {
 			if i == j || side(i) != side(j) {
 				continue
 			}
 			s.seq++
-			to.Heard(ids.VM(fmt.Sprint("vm", i)), 1, s.seq, uses)
+			to.RecordUse(ids.VM(fmt.Sprint("vm", i)), 1, s.seq, uses)
 		}
 	}
 }
--- a/internal/allowance/account.go
+++ b/internal/allowance/account.go
@@ -68,7 +68,7 @@
 		return
 	}
 	a.at = now
-	if a.limit.None() {
+	if a.limit.Unlimited() {
 		return
 	}
 	a.level += (a.limit.Rate*(1-a.reserved) - flow(a.othersUsed)) * dt
@@ -97,7 +97,7 @@
 func (a *account) state(cost float64, now time.Time) State {
 	return State{
 		Limit: a.limit, Level: a.level, Reserved: a.reserved, Cost: cost,
-		Demand: flow(a.asked(now) + a.othersOffered), Came: flow(a.offered.now(now) + a.othersOffered),
+		Demand: flow(a.asked(now) + a.othersOffered), ObservedDemand: flow(a.offered.now(now) + a.othersOffered),
 	}
 }
 
@@ -121,7 +121,7 @@
 // is let in of it changes from moment to moment where more is asked than the limit, and two
 // sides of a cut that saw it at different moments kept too little for each other.
 func (a *account) part(asked float64, vms int) float64 {
-	if a.limit.None() {
+	if a.limit.Unlimited() {
 		return 1 / float64(vms)
 	}
 	equal := equalPart * a.limit.Rate * memory.Seconds() / float64(vms)
--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -40,8 +40,8 @@
 	Burst float64 // units that may be used at once beyond it
 }
 
-// None tells whether there is no limit.
-func (l Limit) None() bool { return l.Rate <= 0 && l.Burst <= 0 }
+// Unlimited tells whether there is no limit.
+func (l Limit) Unlimited() bool { return l.Rate <= 0 && l.Burst <= 0 }
 
 // State is what a VM knows of a workspace's use when a call comes.
 type State struct {
@@ -50,15 +50,15 @@
 	Level float64
 	// Demand is what callers ask of all VMs that are heard, this call left out, in units/s.
 	Demand float64
-	// Came is Demand without what is taken to have been asked before this VM started, in units/s.
-	Came float64
+	// ObservedDemand is Demand without what is taken to have been asked before this VM started, in units/s.
+	ObservedDemand float64
 	// Cost is the call's, in units.
 	Cost float64
 	// Reserved is the part of the limit that is kept for VMs that are not heard.
 	Reserved float64
-	// Settle is within how long what is left of the burst is given out when more is asked
+	// DrainTime is within how long what is left of the burst is given out when more is asked
 	// than the limit; zero where no other VM is heard.
-	Settle time.Duration
+	DrainTime time.Duration
 }
 
 const (
@@ -77,15 +77,15 @@
 // Verdict says whether a call is let in.
 type Verdict struct {
 	Admitted bool
-	// ComeBack is when to come back if not.
-	ComeBack time.Duration
+	// RetryAfter is when to come back if not.
+	RetryAfter time.Duration
 }
 
 // Decide lets a call in or not. draw is a random number in [0, 1). As long as all VMs are
 // heard, what the call itself costs plays no part: long prompts are turned away no more often
 // than short ones.
 func (s State) Decide(draw float64) Verdict {
-	if s.Limit.None() {
+	if s.Limit.Unlimited() {
 		return Verdict{Admitted: true}
 	}
 	chance := s.chance()
@@ -93,7 +93,7 @@
 		return Verdict{Admitted: true}
 	}
 	// Those refused are the upper part of the draws, so they are scaled anew.
-	return Verdict{ComeBack: s.comeBack((draw - chance) / (1 - chance))}
+	return Verdict{RetryAfter: s.comeBack((draw - chance) / (1 - chance))}
 }
 
 // chance is the part of the calls that may be let in.
@@ -103,13 +103,13 @@
 // four seconds' worth of the limit. So as much of the call's cost counts as demand as is
 // kept for others.
 func (s State) chance() float64 {
-	if s.Settle <= 0 {
+	if s.DrainTime <= 0 {
 		if s.Level > 0 {
 			return 1
 		}
 		return 0
 	}
-	room := s.rate() + s.Level/s.Settle.Seconds()
+	room := s.rate() + s.Level/s.DrainTime.Seconds()
 	demand := s.Demand + flow(s.Cost)*s.Reserved
 	switch {
 	case room <= 0:
@@ -129,7 +129,7 @@
 func (s State) comeBack(draw float64) time.Duration {
 	rate := max(s.rate(), leastRate)
 	wait := max(-s.Level, 0) / rate
-	spread := max(s.Came-rate, 0) / rate
+	spread := max(s.ObservedDemand-rate, 0) / rate
 	after := time.Duration((wait + draw*spread) * float64(time.Second))
 	return min(max(after, 0), longestReturn) + time.Duration((1+draw)*float64(shortestReturn))
 }
--- a/internal/allowance/bench_test.go
+++ b/internal/allowance/bench_test.go
@@ -26,7 +26,7 @@
 	}
 	l.SetLimits(limits)
 	for i := range vms {
-		l.Heard(names[i], 1, 1, uses)
+		l.RecordUse(names[i], 1, 1, uses)
 	}
 	return l, uses, spaces
 }
@@ -50,7 +50,7 @@
 			seq := uint64(1)
 			for b.Loop() {
 				seq++
-				l.Heard("vm0", 1, seq, uses)
+				l.RecordUse("vm0", 1, seq, uses)
 			}
 		})
 	}
@@ -60,6 +60,6 @@
 func BenchmarkHeardFleet(b *testing.B) {
 	l, uses, _ := benchLimiter(379, 580)
 	for b.Loop() {
-		l.HeardFleet(uses)
+		l.RecordFleetUse(uses)
 	}
 }
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Judged is a verdict and what it rests on.
-type Judged struct {
+// Decision is a verdict and what it rests on.
+type Decision struct {
 	Verdict
 	State
 	// Age is how old the oldest word of a peer is that was counted.
@@ -110,23 +110,23 @@
 // Take lets a call in, and counts it, or not. Until this VM has read which others there are
 // it lets in nothing that is limited: of four that were all killed each took itself for the
 // only one for some ms after their start, and had the whole burst.
-func (l *Limiter) Take(c Call) Judged {
+func (l *Limiter) Take(c Call) Decision {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[HashOf(c.Workspace)]
-	if a == nil || a.limit.None() {
-		return Judged{Verdict: Verdict{Admitted: true}}
+	if a == nil || a.limit.Unlimited() {
+		return Decision{Verdict: Verdict{Admitted: true}}
 	}
 	a.last = now
 	a.advance(now)
 	if !l.listed {
 		a.refusals++
 		a.refused += c.Cost
-		return Judged{Verdict: Verdict{ComeBack: shortestReturn}, State: a.state(c.Cost, now)}
+		return Decision{Verdict: Verdict{RetryAfter: shortestReturn}, State: a.state(c.Cost, now)}
 	}
-	out := Judged{State: a.state(c.Cost, now), Age: l.age(now)}
-	out.Settle = l.settle()
+	out := Decision{State: a.state(c.Cost, now), Age: l.age(now)}
+	out.DrainTime = l.settle()
 	out.Verdict = l.decide(out.State, a.nextDraw())
 	a.offered.add(c.Cost, now)
 	if !out.Admitted {
@@ -147,7 +147,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[HashOf(c.Workspace)]
-	if a == nil || a.limit.None() {
+	if a == nil || a.limit.Unlimited() {
 		return
 	}
 	a.advance(now)
@@ -172,9 +172,9 @@
 	return xxh3.HashStringSeed(string(l.self), uint64(l.started.UnixNano())^uint64(hash))
 }
 
-// Part is the part of a workspace's limits that this VM may use: its part of what callers ask
+// Share is the part of a workspace's limits that this VM may use: its part of what callers ask
 // of all VMs that are heard, and an equal part at least.
-func (l *Limiter) Part(ws ids.Workspace) float64 {
+func (l *Limiter) Share(ws ids.Workspace) float64 {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/allowance/limiter_test.go
+++ b/internal/allowance/limiter_test.go
@@ -53,7 +53,7 @@
 					seq++
 					for j, o := range vms {
 						if i != j && hears(i, j) {
-							o.Heard(nameOf(i), 1, seq, l.Told())
+							o.RecordUse(nameOf(i), 1, seq, l.OwnUse())
 						}
 					}
 				}
@@ -87,7 +87,7 @@
 	l.SetLimits(limits(Limit{100, 0}))
 	for seq := range uint64(20) {
 		clock.pass(SweepEvery)
-		l.Heard("b", 1, seq+1, []Use{{Workspace: HashOf("w"), Used: 100, Offered: 900}})
+		l.RecordUse("b", 1, seq+1, []Use{{Workspace: HashOf("w"), Used: 100, Offered: 900}})
 		l.Sweep()
 	}
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Admitted || s.Demand < 899 {
@@ -116,7 +116,7 @@
 		clock.pass(10 * time.Millisecond)
 		l.Return(c, clock.t.Add(-10*time.Millisecond))
 	}
-	if u := l.Told(); len(u) != 1 || u[0].Used > 1e-3 {
+	if u := l.OwnUse(); len(u) != 1 || u[0].Used > 1e-3 {
 		t.Fatalf("peers are told %+v", u)
 	}
 }
@@ -127,7 +127,7 @@
 	clock := newAt()
 	l := New("a", clock.now)
 	l.SetLimits(limits(Limit{20, 20}))
-	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Admitted || s.ComeBack <= 0 {
+	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Admitted || s.RetryAfter <= 0 {
 		t.Fatalf("before the list was read: %+v", s)
 	}
 	if s := l.Take(Call{Workspace: "unlimited", Cost: 1}); !s.Admitted {
@@ -156,12 +156,12 @@
 	for i, u := range []Use{{Used: nan}, {Offered: nan}, {Used: inf}, {Used: -5}, {Offered: inf}} {
 		u.Workspace = HashOf("w")
 		clock.pass(SweepEvery)
-		l.Heard("b", 1, uint64(i+1), []Use{u})
-		l.HeardOne("b", u)
+		l.RecordUse("b", 1, uint64(i+1), []Use{u})
+		l.RecordWorkspaceUse("b", u)
 	}
 	clock.pass(2 * startFor)
 	l.Sweep()
-	l.Heard("b", 1, 100, nil)
+	l.RecordUse("b", 1, 100, nil)
 	clock.pass(SweepEvery)
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); !s.Admitted {
 		t.Fatalf("after garbled words: %+v", s)
@@ -183,7 +183,7 @@
 		if given < allowed*0.9999 || given > allowed+(allowed*b.Excess+b.Slack)*0.5+1 {
 			rt.Fatalf("%+v gives out %.1f in a window, %.1f are allowed", l, given, allowed)
 		}
-		if l.None() != (rate <= 0 && burst <= 0) {
+		if l.Unlimited() != (rate <= 0 && burst <= 0) {
 			rt.Fatalf("%+v for %v, %v", l, rate, burst)
 		}
 	})
--- a/internal/allowance/peers.go
+++ b/internal/allowance/peers.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Present notes that a VM was heard, whatever it said.
-func (l *Limiter) Present(vm ids.VM) {
+// MarkSeen notes that a VM was heard, whatever it said.
+func (l *Limiter) MarkSeen(vm ids.VM) {
 	if l == nil {
 		return
 	}
@@ -85,8 +85,8 @@
 	return true
 }
 
-// Heard takes in all that a VM says of its use. life and seq order what it says.
-func (l *Limiter) Heard(vm ids.VM, life int64, seq uint64, uses []Use) {
+// RecordUse takes in all that a VM says of its use. life and seq order what it says.
+func (l *Limiter) RecordUse(vm ids.VM, life int64, seq uint64, uses []Use) {
 	if l == nil {
 		return
 	}
@@ -111,9 +111,9 @@
 	l.take(p, uses, known, since, now)
 }
 
-// HeardOne takes in what a VM says of its use of one workspace; the others are as it said
+// RecordWorkspaceUse takes in what a VM says of its use of one workspace; the others are as it said
 // before.
-func (l *Limiter) HeardOne(vm ids.VM, u Use) {
+func (l *Limiter) RecordWorkspaceUse(vm ids.VM, u Use) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,8 +154,8 @@
 	l.reserveAnew(now)
 }
 
-// HeardFleet takes in the sum of what all other VMs say.
-func (l *Limiter) HeardFleet(uses []Use) {
+// RecordFleetUse takes in the sum of what all other VMs say.
+func (l *Limiter) RecordFleetUse(uses []Use) {
 	if l == nil {
 		return
 	}
@@ -256,8 +256,8 @@
 	}
 }
 
-// Told returns what this VM has let in and was asked for, for its peers.
-func (l *Limiter) Told() []Use {
+// OwnUse returns what this VM has let in and was asked for, for its peers.
+func (l *Limiter) OwnUse() []Use {
 	if l == nil {
 		return nil
 	}
--- a/internal/allowance/status.go
+++ b/internal/allowance/status.go
@@ -28,7 +28,7 @@
 	defer l.mu.Unlock()
 	var out []Status
 	for _, a := range l.accounts {
-		if a.limit.None() {
+		if a.limit.Unlimited() {
 			continue
 		}
 		a.advance(now)
--- a/internal/allowance/ways_test.go
+++ b/internal/allowance/ways_test.go
@@ -20,17 +20,17 @@
 }
 
 func (w *limiterWay) take(c Call) bool { return w.l.Take(c).Admitted }
-func (w *limiterWay) tell() any        { return w.l.Told() }
+func (w *limiterWay) tell() any        { return w.l.OwnUse() }
 func (w *limiterWay) sweep()           { w.l.Sweep() }
 func (w *limiterWay) hear(from ids.VM, life int64, seq uint64, said any) {
 	switch said := said.(type) {
 	case []Use:
-		w.l.Heard(from, life, seq, said)
+		w.l.RecordUse(from, life, seq, said)
 	case summed:
 		for _, vm := range said.members {
-			w.l.Present(vm)
+			w.l.MarkSeen(vm)
 		}
-		w.l.HeardFleet(said.uses)
+		w.l.RecordFleetUse(said.uses)
 	}
 }
 
--- a/internal/edge/allowances.go
+++ b/internal/edge/allowances.go
@@ -22,7 +22,7 @@
 	limits := map[ids.Workspace]allowance.Limit{}
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
-		if l := bounds.Limit(w.Allowance.Rate, w.Allowance.Burst); !l.None() {
+		if l := bounds.Limit(w.Allowance.Rate, w.Allowance.Burst); !l.Unlimited() {
 			limits[w.Name] = l
 		}
 	}
--- a/internal/forward/allowance.go
+++ b/internal/forward/allowance.go
@@ -32,8 +32,8 @@
 	r.f.Log.Request("over-allowance", string(r.call.ID)).Str("workspace", string(call.Workspace)).Float64("cost", call.Cost).
 		Float64("rate", judged.Limit.Rate).Float64("burst", judged.Limit.Burst).Float64("left", judged.Level).
 		Float64("demand", judged.Demand).Float64("reserved", judged.Reserved).Int64("age_ms", judged.Age.Milliseconds()).
-		Int64("come_back_ms", judged.ComeBack.Milliseconds()).Send()
-	return outcome.New(outcome.NotRun, outcome.CodeRateLimited, stepAllowance, "", "the workspace is over its allowance").After(judged.ComeBack)
+		Int64("come_back_ms", judged.RetryAfter.Milliseconds()).Send()
+	return outcome.New(outcome.NotRun, outcome.CodeRateLimited, stepAllowance, "", "the workspace is over its allowance").After(judged.RetryAfter)
 }
 
 // settle gives back what a call took that has run nowhere.
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -334,7 +334,7 @@
 	}
 	x.Load.SetPeerLoads(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
 	if !x.isLarge() { // the tree's totals say it all
-		x.Allowances.Heard(m.VM, m.Incarnation, m.Seq, m.Uses)
+		x.Allowances.RecordUse(m.VM, m.Incarnation, m.Seq, m.Uses)
 	}
 	x.OnUnresponsive(m.VM, m.Unresponsive)
 	for _, n := range m.RecentWeights {
@@ -393,7 +393,7 @@
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.NotResumable})
 	})
-	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.list())), Uses: x.Allowances.Told(), Limits: x.Limits()}
+	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.list())), Uses: x.Allowances.OwnUse(), Limits: x.Limits()}
 	if len(loads) == 0 && len(m.Uses) == 0 && x.told == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.idle < idleRounds {
 		x.idle++
 		return
--- a/internal/news/treetell.go
+++ b/internal/news/treetell.go
@@ -79,7 +79,7 @@
 		}
 		d.Silent = append(d.Silent, w)
 	}
-	d.Named, d.Uses, d.Limits = x.RecentWeights(), x.Allowances.Told(), wireLimits(x.VM, x.Limits())
+	d.Named, d.Uses, d.Limits = x.RecentWeights(), x.Allowances.OwnUse(), wireLimits(x.VM, x.Limits())
 	if l := x.LeaseLapse(); l != nil {
 		d.Lapsed = append(d.Lapsed, *l)
 	}
@@ -164,7 +164,7 @@
 	for _, m := range members {
 		if p, ok := x.tree.peerOf(m.vm); ok {
 			x.note(p.VM, 0, now)
-			x.Allowances.Present(p.VM)
+			x.Allowances.MarkSeen(p.VM)
 		}
 	}
 	total := make([]Load, 0, len(d.Loads))
@@ -175,7 +175,7 @@
 	}
 	loads := map[ids.Target]loadview.PeerLoad{}
 	total, uses := x.tree.without(x.VM, total, d.Uses, members)
-	x.Allowances.HeardFleet(uses)
+	x.Allowances.RecordFleetUse(uses)
 	for _, l := range total {
 		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
 	}
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -134,7 +134,7 @@
 func (n *Node) Beat() {
 	n.counter.Add(1)
 	told := map[uint32]bool{}
-	for _, u := range n.Allowances.Told() {
+	for _, u := range n.Allowances.OwnUse() {
 		told[u.Workspace] = true
 		n.outbox.Demand(&peerpb.Demand{
 			Workspace: u.Workspace, Decirequests: uint32(allowance.Rate(u.Used) * deci), Decioffered: uint32(allowance.Rate(u.Offered) * deci),
@@ -261,7 +261,7 @@
 		n.dispatched(d)
 	}
 	for _, d := range m.Demands {
-		n.Allowances.HeardOne(vm, allowance.Use{
+		n.Allowances.RecordWorkspaceUse(vm, allowance.Use{
 			Workspace: d.Workspace, Used: allowance.Sum(float64(d.Decirequests) / deci), Offered: allowance.Sum(float64(d.Decioffered) / deci),
 		})
 	}
@@ -273,7 +273,7 @@
 	if b == nil || !n.Fleet.Members.Heartbeat(vm, ids.Incarnation(incarnation), b.Counter, b.ConfigRevision, b.Leaving, clock.Now()) {
 		return
 	}
-	n.Allowances.Present(vm)
+	n.Allowances.MarkSeen(vm)
 	n.Config.Hear(objectapi.Revision(b.ConfigRevision))
 	if b.ConfigRevision > uint64(n.Config.Revision()) {
 		n.wants.TryPut(want{space: peerpb.KeySpace_CONFIG, vm: vm, addr: addr})
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -137,13 +137,13 @@
 func (w *bucketWay) tell() any {
 	w.bucket.Sweep()
 	w.seq++
-	return bucketWord{w.l.Told(), w.bucket.Told(), w.life, w.seq}
+	return bucketWord{w.l.Told(), w.bucket.OwnUse(), w.life, w.seq}
 }
 
 func (w *bucketWay) hear(from ids.VM, said any) {
 	word := said.(bucketWord)
 	w.fewWay.hear(from, word.limits)
-	w.bucket.Heard(from, word.life, word.seq, word.uses)
+	w.bucket.RecordUse(from, word.life, word.seq, word.uses)
 	w.learn()
 }
 
