--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -273,12 +273,12 @@
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.lapsed, OnLeaseLapse: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
-		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.heardLimit,
+		Limits: d.Fleet.Members.Limits.Reports, OnLimit: d.heardLimit,
 		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.ApplyPeerChange,
 	}
 	d.vms.d = d
 	d.buildCanaries()
-	d.Fleet.Members.Limits.Standing = d.standing
+	d.Fleet.Members.Limits.Position = d.standing
 	d.buildReader()
 	d.ready.set(false, "starting")
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -7,7 +7,7 @@
 )
 
 // standing returns this VM's place among those that send to a target that limits its rate.
-func (d *Daemon) standing(id ids.Target) ratelimit.Standing {
+func (d *Daemon) standing(id ids.Target) ratelimit.Position {
 	domain, _ := d.domainOfTarget(id)
 	return d.vms.standing(id, domain)
 }
@@ -18,14 +18,14 @@
 
 // standing is Daemon.standing. VMs of the target's failure domain come first: what they send
 // crosses no boundary.
-func (c *vmList) standing(id ids.Target, domain ids.FailureDomain) ratelimit.Standing {
+func (c *vmList) standing(id ids.Target, domain ids.FailureDomain) ratelimit.Position {
 	listed := c.count()
 	if listed == 0 {
-		return ratelimit.Standing{Rank: unknownFleet, Living: 1, Listed: unknownFleet}
+		return ratelimit.Position{Rank: unknownFleet, Live: 1, Listed: unknownFleet}
 	}
 	alive := c.living()
-	return ratelimit.Standing{
-		Rank: alive.rankOf(id, domain, c.d.Settings.VM), Living: len(alive.domain), Listed: max(listed, len(alive.domain)),
+	return ratelimit.Position{
+		Rank: alive.rankOf(id, domain, c.d.Settings.VM), Live: len(alive.domain), Listed: max(listed, len(alive.domain)),
 	}
 }
 
@@ -52,10 +52,10 @@
 }
 
 // heardLimit takes in what a peer knows of a target's limit.
-func (d *Daemon) heardLimit(w ratelimit.Word) {
+func (d *Daemon) heardLimit(w ratelimit.Report) {
 	if !d.Fleet.ApplyPeerLimit(w) {
 		return
 	}
 	d.Log.Belief("replica-limit").Str("target", string(w.Target)).Uint64("incarnation", uint64(w.Incarnation)).Str("from", "news").
-		Bool("limited", w.Limit.Named).Float64("limit_per_s", w.Limit.PerSecond).Int64("age_ms", w.Age.Milliseconds()).Send()
+		Bool("limited", w.Limit.Announced).Float64("limit_per_s", w.Limit.PerSecond).Int64("age_ms", w.Age.Milliseconds()).Send()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,7 +92,7 @@
 	}
 	f := &Fleet{Members: m, Cache: c, Load: l, policy: policy, now: now, rate: defaultPrefillRate}
 	f.scratch.New = func() any { return &Scratch{} }
-	m.Limits.Usual = f.expectedRate
+	m.Limits.RecentRate = f.expectedRate
 	f.Refresh()
 	return f
 }
@@ -303,8 +303,8 @@
 	for _, t := range tried {
 		snap.withIndex(t, func(i int) { sc.Inputs[i].Tried = true })
 	}
-	for _, r := range f.Members.Limits.Rooms() {
-		snap.withIndex(r.Target, func(i int) { sc.Inputs[i].RateLimited, sc.Inputs[i].Reserved = !r.Free, r.Free })
+	for _, r := range f.Members.Limits.LimitedTargets() {
+		snap.withIndex(r.Target, func(i int) { sc.Inputs[i].RateLimited, sc.Inputs[i].Reserved = !r.Allowed, r.Allowed })
 	}
 }
 
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -27,8 +27,8 @@
 // limit changed. It does not apply a report for another incarnation until this VM knows that
 // incarnation, too: a corrupted one, if too high, would make the limiter ignore all of the
 // target's own signals.
-func (f *Fleet) ApplyPeerLimit(w ratelimit.Word) (changed bool) {
-	return w.Incarnation == f.Members.Incarnation(w.Target) && f.Members.Limits.Heard(w)
+func (f *Fleet) ApplyPeerLimit(w ratelimit.Report) (changed bool) {
+	return w.Incarnation == f.Members.Incarnation(w.Target) && f.Members.Limits.ApplyReport(w)
 }
 
 // expectedRate estimates how many requests per second a target gets from all VMs, assuming
--- a/internal/fleet/signals_test.go
+++ b/internal/fleet/signals_test.go
@@ -60,13 +60,13 @@
 	f := New(membership.New("vm", membership.DefaultTuning), cacheview.New(1024, nil), loadview.New(), routing.NewFetching(), nil)
 	f.Members.Platform([]platform.Record{{ID: "a", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
 	f.Refresh()
-	if f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
+	if f.ApplyPeerLimit(ratelimit.Report{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
 		t.Error("a peer's limit for an unknown incarnation was applied")
 	}
 	if !f.ApplySignals("a", 1, membership.Signals{Limit: ratelimit.PerSecond(2)}, time.Now()).Limit {
 		t.Error("the target's own limit was not applied")
 	}
-	if !f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1, Limit: ratelimit.PerSecond(3)}) {
+	if !f.ApplyPeerLimit(ratelimit.Report{Target: "a", Incarnation: 1, Limit: ratelimit.PerSecond(3)}) {
 		t.Error("a peer's limit for the known incarnation was not applied")
 	}
 }
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -12,5 +12,5 @@
 	s := &reply.Signals
 	t.r.f.Log.Belief("replica-signals").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("request", string(t.r.call.ID)).
 		Bool("leaving", s.Leaving).Int64("rest_ms", s.Rest.Milliseconds()).
-		Bool("limited", s.Limit.Named).Bool("limit_garbled", s.Limit.Garbled).Float64("limit_per_s", s.Limit.PerSecond).Send()
+		Bool("limited", s.Limit.Announced).Bool("limit_garbled", s.Limit.Malformed).Float64("limit_per_s", s.Limit.PerSecond).Send()
 }
--- a/internal/membership/signals.go
+++ b/internal/membership/signals.go
@@ -32,7 +32,7 @@
 // Signaled takes in what a target said of itself in an answer that came now, to a request
 // that was sent at a time, and returns what of it is news.
 func (t *Table) Signaled(id ids.Target, inc ids.Incarnation, s Signals, sent, now time.Time) SignalChange {
-	change := SignalChange{Limit: t.Limits.Answered(id, inc, s.Limit, sent)}
+	change := SignalChange{Limit: t.Limits.ObserveResponse(id, inc, s.Limit, sent)}
 	if !s.Leaving && s.Rest <= 0 {
 		return change
 	}
--- a/internal/news/limits.go
+++ b/internal/news/limits.go
@@ -19,19 +19,19 @@
 	AgeMs       int64
 }
 
-func wireLimits(vm ids.VM, words []ratelimit.Word) []wireLimit {
+func wireLimits(vm ids.VM, words []ratelimit.Report) []wireLimit {
 	var out []wireLimit
 	for _, w := range words {
 		out = append(out, wireLimit{
-			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
+			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Named: w.Limit.Announced, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
 		})
 	}
 	return out
 }
 
 // word is the inverse of wireLimits. A rate that is none is garbled.
-func (w *wireLimit) word(t ids.Target) ratelimit.Word {
-	out := ratelimit.Word{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
+func (w *wireLimit) word(t ids.Target) ratelimit.Report {
+	out := ratelimit.Report{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
 	if w.Named {
 		out.Limit = ratelimit.PerSecond(w.PerSecond)
 	}
--- a/internal/news/limits_test.go
+++ b/internal/news/limits_test.go
@@ -14,13 +14,13 @@
 	x := newExchange()
 	x.SetPeers([]Peer{{VM: "vm1", Addr: "a:2"}})
 	x.Unresponsive, x.RecentWeights = func() []ids.Target { return nil }, func() []RecentWeights { return nil }
-	var got []ratelimit.Word
-	x.OnLimit = func(w ratelimit.Word) { got = append(got, w) }
-	want := []ratelimit.Word{
+	var got []ratelimit.Report
+	x.OnLimit = func(w ratelimit.Report) { got = append(got, w) }
+	want := []ratelimit.Report{
 		{Target: "e1", Incarnation: 3, Limit: ratelimit.PerSecond(1.3), Age: 250 * time.Millisecond},
 		{Target: "e2", Incarnation: 1, Age: time.Second},
 	}
-	x.takeMessage(t, Message{VM: "vm1", Incarnation: 1, Seq: 1, Limits: append(want, ratelimit.Word{Target: "unknown", Limit: ratelimit.PerSecond(1)})})
+	x.takeMessage(t, Message{VM: "vm1", Incarnation: 1, Seq: 1, Limits: append(want, ratelimit.Report{Target: "unknown", Limit: ratelimit.PerSecond(1)})})
 	if len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	x, heard := newExchange(), 0
-	x.OnLimit = func(ratelimit.Word) { heard++ }
+	x.OnLimit = func(ratelimit.Report) { heard++ }
 	x.takeLimits([]wireLimit{word("vm0", 1, true, 0), word("vm1", 1, true, 0)})
 	if heard != 1 {
 		t.Errorf("%d words were heard, one of two is this VM's own", heard)
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -70,7 +70,7 @@
 	// Uses are what this VM lets workspaces use, along with Seq.
 	Uses []allowance.Use
 	// Limits are rates that targets named, and the ends of such.
-	Limits []ratelimit.Word
+	Limits []ratelimit.Report
 	// Canaries are what this VM has counted of versions that are being brought into service.
 	Canaries []canary.Report
 	// Report and Total are what several VMs say, in large fleets (tree.go).
@@ -172,8 +172,8 @@
 	Allowances *allowance.Limiter
 	// Limits returns what peers are to know of the rates that targets named, and HeardLimit
 	// is called with what a peer tells of one.
-	Limits  func() []ratelimit.Word
-	OnLimit func(w ratelimit.Word)
+	Limits  func() []ratelimit.Report
+	OnLimit func(w ratelimit.Report)
 	// OnCanaryReports is called with what a VM has counted of canaries.
 	OnCanaryReports func(vm ids.VM, life int64, r []canary.Report)
 	// Meter counts the bytes that are sent. Nil: nothing does.
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -16,7 +16,7 @@
 	return &Exchange{
 		VM: "vm0", FailureDomain: "z", TreeFrom: 100, Load: loadview.New(), OnOrder: func(Order) {}, OnUnresponsive: func(ids.VM, []ids.Target) {},
 		OnStoreDown: func(string) {}, OnRecentWeights: func(RecentWeights) {}, OnCacheChange: func(cacheview.Change) {},
-		Resolve: resolveIn("e1", "e2"), LeaseLapse: func() *LeaseLapse { return nil }, OnLeaseLapse: func(LeaseLapse) {}, Limits: func() []ratelimit.Word { return nil }, OnLimit: func(ratelimit.Word) {},
+		Resolve: resolveIn("e1", "e2"), LeaseLapse: func() *LeaseLapse { return nil }, OnLeaseLapse: func(LeaseLapse) {}, Limits: func() []ratelimit.Report { return nil }, OnLimit: func(ratelimit.Report) {},
 	}
 }
 
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -13,13 +13,13 @@
 	for _, n := range []int{0, 2, 90} {
 		b.Run(fmt.Sprint(n, " limits"), func(b *testing.B) {
 			l := New(nil)
-			l.Standing = func(ids.Target) Standing { return Standing{Rank: 1, Living: 90, Listed: 90} }
-			l.Usual = func(ids.Target) float64 { return 0 }
+			l.Position = func(ids.Target) Position { return Position{Rank: 1, Live: 90, Listed: 90} }
+			l.RecentRate = func(ids.Target) float64 { return 0 }
 			for i := range n {
-				l.Answered(ids.Target(fmt.Sprint("t", i)), 1, PerSecond(20), l.now())
+				l.ObserveResponse(ids.Target(fmt.Sprint("t", i)), 1, PerSecond(20), l.now())
 			}
 			for b.Loop() {
-				l.Rooms()
+				l.LimitedTargets()
 				l.Take("t0")
 			}
 		})
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -25,10 +25,10 @@
 // Limit is what an answer says of the requests that its target takes from all VMs together.
 // The zero value names none.
 type Limit struct {
-	Named bool
-	// Garbled tells that a limit was named that can't be read. It says that the target is in
+	Announced bool
+	// Malformed tells that a limit was named that can't be read. It says that the target is in
 	// need, and not how much it takes.
-	Garbled   bool
+	Malformed bool
 	PerSecond float64 // requests a second
 }
 
@@ -39,18 +39,18 @@
 // PerSecond returns a limit of so many requests a second. What is no rate is garbled.
 func PerSecond(rate float64) Limit {
 	if !(rate >= 0) { // NaN is none, too
-		return Limit{Named: true, Garbled: true}
+		return Limit{Announced: true, Malformed: true}
 	}
-	return Limit{Named: true, PerSecond: min(rate, maxPerSecond)}
+	return Limit{Announced: true, PerSecond: min(rate, maxPerSecond)}
 }
 
 // Lower returns the limit that binds where a target names two: the lower of those that can be
 // read.
 func Lower(a, b Limit) Limit {
 	switch {
-	case !a.Named, b.Named && a.Garbled:
+	case !a.Announced, b.Announced && a.Malformed:
 		return b
-	case !b.Named, b.Garbled, a.PerSecond <= b.PerSecond:
+	case !b.Announced, b.Malformed, a.PerSecond <= b.PerSecond:
 		return a
 	default:
 		return b
@@ -64,10 +64,10 @@
 // rate is what all VMs together may send, in requests/s.
 func (l Limit) rate() float64 { return max(l.PerSecond, leastPerSecond) }
 
-// Standing is a VM's place among those that may send to a target.
-type Standing struct {
+// Position is a VM's place among those that may send to a target.
+type Position struct {
 	Rank   int // living VMs that come before it
-	Living int // VMs that it hears, itself included
+	Live   int // VMs that it hears, itself included
 	Listed int // VMs that the platform lists, itself included
 }
 
@@ -84,16 +84,16 @@
 )
 
 // senders is how many of the VMs that hear each other send to a target.
-func (s Standing) senders(rate float64) int {
+func (s Position) senders(rate float64) int {
 	n := int((leastSenders + sendersPerRate*rate) * s.part())
-	return min(max(n, 1), s.Living)
+	return min(max(n, 1), s.Live)
 }
 
 // part is the part of the rate that belongs to the VMs that hear each other.
-func (s Standing) part() float64 { return min(float64(s.Living)/float64(max(s.Listed, 1)), 1) }
+func (s Position) part() float64 { return min(float64(s.Live)/float64(max(s.Listed, 1)), 1) }
 
 // share is this VM's part of a rate, in requests/s; zero: others send.
-func (s Standing) share(rate float64) float64 {
+func (s Position) share(rate float64) float64 {
 	n := s.senders(rate)
 	if s.Rank >= n {
 		return 0
@@ -102,4 +102,4 @@
 }
 
 // equalShare is what each of all VMs may send without knowing of the others, in requests/s.
-func (s Standing) equalShare(rate float64) float64 { return rate / float64(max(s.Listed, 1)) }
+func (s Position) equalShare(rate float64) float64 { return rate / float64(max(s.Listed, 1)) }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -28,8 +28,8 @@
 	forgetAfter = 10 * time.Minute
 )
 
-// Word is what one VM knows of a target's limit, for its peers.
-type Word struct {
+// Report is what one VM knows of a target's limit, for its peers.
+type Report struct {
 	Target      ids.Target
 	Incarnation ids.Incarnation
 	Limit       Limit         // none: it has ended
@@ -39,12 +39,12 @@
 // Limiter keeps the limits that targets name on one VM. Safe for concurrent use. It is empty
 // at first.
 type Limiter struct {
-	// Standing returns this VM's place among those that send to a target. Nil: it is the only
+	// Position returns this VM's place among those that send to a target. Nil: it is the only
 	// one. Both are set before the first use.
-	Standing func(id ids.Target) Standing
-	// Usual returns what a target got lately from all VMs together, about, in requests/s. Nil:
+	Position func(id ids.Target) Position
+	// RecentRate returns what a target got lately from all VMs together, about, in requests/s. Nil:
 	// it is not known.
-	Usual func(id ids.Target) float64
+	RecentRate func(id ids.Target) float64
 
 	now     func() time.Time
 	count   atomic.Int32 // limits in force
@@ -68,17 +68,17 @@
 	endedAt     time.Time // the first word of the end
 	own         bool      // this VM has it from the target
 
-	standing   Standing
+	standing   Position
 	standingAt time.Time
 	share      float64 // requests/s
 	credit     float64 // requests that may be sent
 	creditAt   time.Time
 }
 
-// Answered takes in what an answer says, to a request that was sent at a time and is
+// ObserveResponse takes in what an answer says, to a request that was sent at a time and is
 // answered now. It returns whether what is known of the limit has changed.
-func (l *Limiter) Answered(id ids.Target, inc ids.Incarnation, limit Limit, sent time.Time) (changed bool) {
-	if !limit.Named && l.count.Load() == 0 {
+func (l *Limiter) ObserveResponse(id ids.Target, inc ids.Incarnation, limit Limit, sent time.Time) (changed bool) {
+	if !limit.Announced && l.count.Load() == 0 {
 		return false
 	}
 	now := l.now()
@@ -86,9 +86,9 @@
 	defer l.mu.Unlock()
 	e := l.targets[id]
 	switch {
-	case e != nil && inc < e.incarnation, limit.Garbled:
+	case e != nil && inc < e.incarnation, limit.Malformed:
 		return false // what was known is kept
-	case limit.Named:
+	case limit.Announced:
 		changed = l.name(id, inc, limit, now, now)
 		l.targets[id].own = true
 	case e == nil, inc == e.incarnation && !sent.After(e.at):
@@ -100,9 +100,9 @@
 	return changed
 }
 
-// Heard takes in what a peer knows. It returns whether what is known has changed.
-func (l *Limiter) Heard(w Word) (changed bool) {
-	if !w.Limit.Named && l.count.Load() == 0 {
+// ApplyReport takes in what a peer knows. It returns whether what is known has changed.
+func (l *Limiter) ApplyReport(w Report) (changed bool) {
+	if !w.Limit.Announced && l.count.Load() == 0 {
 		return false
 	}
 	now := l.now()
@@ -112,11 +112,11 @@
 	e := l.targets[w.Target]
 	same := e != nil && w.Incarnation == e.incarnation
 	switch {
-	case w.Limit.Garbled, e != nil && w.Incarnation < e.incarnation, same && !at.After(e.at):
+	case w.Limit.Malformed, e != nil && w.Incarnation < e.incarnation, same && !at.After(e.at):
 		return false
-	case w.Limit.Named:
+	case w.Limit.Announced:
 		changed = l.name(w.Target, w.Incarnation, w.Limit, at, now)
-	case e == nil, same && e.limit.Named && !at.After(e.at.Add(crossing)):
+	case e == nil, same && e.limit.Announced && !at.After(e.at.Add(crossing)):
 		return false
 	default:
 		changed = l.end(e, w.Incarnation, at, now)
@@ -128,8 +128,8 @@
 // name puts a limit in force, as it was at a time. The lock is held.
 func (l *Limiter) name(id ids.Target, inc ids.Incarnation, limit Limit, at, now time.Time) (changed bool) {
 	e := l.targets[id]
-	if e == nil || !e.limit.Named || inc != e.incarnation {
-		if e == nil || !e.limit.Named {
+	if e == nil || !e.limit.Announced || inc != e.incarnation {
+		if e == nil || !e.limit.Announced {
 			l.count.Add(1)
 		}
 		e = &limited{incarnation: inc, creditAt: now}
@@ -156,7 +156,7 @@
 		return 0
 	}
 	credit := 1 - float64(e.standing.Rank)/float64(e.standing.senders(e.limit.rate()))
-	if l.Usual == nil || l.Usual(id) > e.limit.rate() {
+	if l.RecentRate == nil || l.RecentRate(id) > e.limit.rate() {
 		credit -= e.share * window.Seconds()
 	}
 	return credit
@@ -164,7 +164,7 @@
 
 // end notes that a target names no limit any more. The lock is held.
 func (l *Limiter) end(e *limited, inc ids.Incarnation, at, now time.Time) (changed bool) {
-	changed = e.limit.Named
+	changed = e.limit.Announced
 	if changed {
 		l.count.Add(-1)
 		e.endedAt = now
@@ -176,9 +176,9 @@
 // stand looks at this VM's place anew. A VM that comes to be a sender has no credit yet, since
 // the one in whose place it comes may have used its own. The lock is held.
 func (l *Limiter) stand(id ids.Target, e *limited, now time.Time) {
-	s := Standing{Living: 1, Listed: 1}
-	if l.Standing != nil {
-		s = l.Standing(id)
+	s := Position{Live: 1, Listed: 1}
+	if l.Position != nil {
+		s = l.Position(id)
 	}
 	e.standing, e.standingAt = s, now
 	share := s.share(e.limit.rate())
@@ -207,27 +207,27 @@
 	}
 }
 
-// Room tells whether this VM may send a request to a target that names a limit.
-type Room struct {
-	Target ids.Target
-	Free   bool
+// LimitedTarget tells whether this VM may send a request to a target that names a limit.
+type LimitedTarget struct {
+	Target  ids.Target
+	Allowed bool
 }
 
-// Rooms returns the targets that name a limit.
-func (l *Limiter) Rooms() []Room {
+// LimitedTargets returns the targets that name a limit.
+func (l *Limiter) LimitedTargets() []LimitedTarget {
 	if l.count.Load() == 0 {
 		return nil
 	}
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Room
+	var out []LimitedTarget
 	for id, e := range l.targets {
-		if !e.limit.Named {
+		if !e.limit.Announced {
 			continue
 		}
 		l.advance(id, e, now)
-		out = append(out, Room{id, e.credit >= 1})
+		out = append(out, LimitedTarget{id, e.credit >= 1})
 	}
 	return out
 }
@@ -241,7 +241,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.targets[id]
-	if e == nil || !e.limit.Named {
+	if e == nil || !e.limit.Announced {
 		return true
 	}
 	if l.advance(id, e, now); e.credit < 1 {
@@ -270,7 +270,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.targets[id]
-	if e == nil || !e.limit.Named {
+	if e == nil || !e.limit.Announced {
 		return 0, 0, true
 	}
 	l.advance(id, e, now)
@@ -281,18 +281,18 @@
 	return time.Duration(max(1-e.credit, 0) / e.share * second), time.Duration(second / e.share), true
 }
 
-// Told returns what this VM knows later than its peers, for them.
-func (l *Limiter) Told() []Word {
+// Reports returns what this VM knows later than its peers, for them.
+func (l *Limiter) Reports() []Report {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Word
+	var out []Report
 	for id, e := range l.targets {
-		switch ended := !e.limit.Named; {
+		switch ended := !e.limit.Announced; {
 		case ended && now.Sub(e.endedAt) > tellEnd, now.Sub(e.at) > forgetAfter:
 			l.forget(id, e)
 		case e.own:
-			out = append(out, Word{Target: id, Incarnation: e.incarnation, Limit: e.limit, Age: now.Sub(e.at)})
+			out = append(out, Report{Target: id, Incarnation: e.incarnation, Limit: e.limit, Age: now.Sub(e.at)})
 		}
 	}
 	return out
@@ -300,7 +300,7 @@
 
 // forget drops what is known of a target. The lock is held.
 func (l *Limiter) forget(id ids.Target, e *limited) {
-	if e.limit.Named {
+	if e.limit.Announced {
 		l.count.Add(-1)
 	}
 	delete(l.targets, id)
@@ -324,7 +324,7 @@
 	defer l.mu.Unlock()
 	out := []Status{}
 	for id, e := range l.targets {
-		if !e.limit.Named {
+		if !e.limit.Announced {
 			continue
 		}
 		l.advance(id, e, now)
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -16,7 +16,7 @@
 func newOne(usual float64) *one {
 	o := &one{at: time.Unix(1_000_000, 0)}
 	o.Limiter = New(func() time.Time { return o.at })
-	o.Usual = func(ids.Target) float64 { return usual }
+	o.RecentRate = func(ids.Target) float64 { return usual }
 	return o
 }
 
@@ -33,7 +33,7 @@
 
 // answers lets an answer to a request sent some time ago say something.
 func (o *one) answers(inc ids.Incarnation, l Limit, ago time.Duration) bool {
-	return o.Answered(target, inc, l, o.at.Add(-ago))
+	return o.ObserveResponse(target, inc, l, o.at.Add(-ago))
 }
 
 // TestLimitHolds keeps to a limit for as long as it is named, whichever answer comes first.
@@ -49,7 +49,7 @@
 	if n := o.takes(2 * time.Second); n > 5 {
 		t.Errorf("a late answer has ended the limit: %d requests in 2 s", n)
 	}
-	o.answers(1, Limit{Named: true, Garbled: true}, 0)
+	o.answers(1, Limit{Announced: true, Malformed: true}, 0)
 	if n := o.takes(2 * time.Second); n < 3 || n > 5 {
 		t.Errorf("a garbled limit has changed the one before: %d requests in 2 s", n)
 	}
@@ -102,19 +102,21 @@
 // does not, and only what this VM knows latest is told again.
 func TestLimitHeard(t *testing.T) {
 	o := newOne(0)
-	word := func(inc ids.Incarnation, l Limit, age time.Duration) bool { return o.Heard(Word{target, inc, l, age}) }
-	if !word(1, PerSecond(2), time.Second) || word(1, PerSecond(9), 2*time.Second) || len(o.Told()) != 0 {
+	word := func(inc ids.Incarnation, l Limit, age time.Duration) bool {
+		return o.ApplyReport(Report{target, inc, l, age})
+	}
+	if !word(1, PerSecond(2), time.Second) || word(1, PerSecond(9), 2*time.Second) || len(o.Reports()) != 0 {
 		t.Error("an older word counts, or a peer's is told again")
 	}
 	if word(1, Limit{}, time.Second-crossing/2) {
 		t.Error("an end seen about as early as the limit counts")
 	}
 	o.answers(1, PerSecond(3), 0)
-	if told := o.Told(); len(told) != 1 || told[0].Limit.PerSecond != 3 {
+	if told := o.Reports(); len(told) != 1 || told[0].Limit.PerSecond != 3 {
 		t.Errorf("told %+v", told)
 	}
 	o.at = o.at.Add(time.Second)
-	if !word(1, Limit{}, 0) || len(o.Told()) != 0 || o.takes(time.Second) != 100 {
+	if !word(1, Limit{}, 0) || len(o.Reports()) != 0 || o.takes(time.Second) != 100 {
 		t.Error("the end that a peer saw does not count")
 	}
 	if word(0, PerSecond(1), 0) {
@@ -122,11 +124,11 @@
 	}
 	o.answers(1, PerSecond(3), 0)
 	o.answers(2, Limit{}, 0)
-	if told := o.Told(); len(told) != 1 || told[0].Limit.Named || told[0].Incarnation != 2 {
+	if told := o.Reports(); len(told) != 1 || told[0].Limit.Announced || told[0].Incarnation != 2 {
 		t.Errorf("of the end is told %+v", told)
 	}
 	o.at = o.at.Add(tellEnd + time.Second)
-	if told := o.Told(); len(told) != 0 {
+	if told := o.Reports(); len(told) != 0 {
 		t.Errorf("long after the end %+v is told", told)
 	}
 }
@@ -135,7 +137,7 @@
 // anything of a limit for long.
 func TestLimitStale(t *testing.T) {
 	o := newOne(0)
-	o.Standing = func(ids.Target) Standing { return Standing{Rank: 50, Living: 90, Listed: 90} }
+	o.Position = func(ids.Target) Position { return Position{Rank: 50, Live: 90, Listed: 90} }
 	o.answers(1, PerSecond(9), 0)
 	if n := o.takes(staleAfter - time.Second); n != 0 {
 		t.Errorf("%d requests of a VM that does not send", n)
--- a/internal/ratelimit/play_test.go
+++ b/internal/ratelimit/play_test.go
@@ -32,13 +32,13 @@
 // silent is after how long without a word a VM counts as gone.
 const silent = 3 * time.Second
 
-func (f *fleetView) standing() Standing {
-	s := Standing{Listed: f.listed, Living: 1}
+func (f *fleetView) standing() Position {
+	s := Position{Listed: f.listed, Live: 1}
 	for vm, at := range f.heard {
 		if vm == f.self || at.IsZero() || f.now().Sub(at) >= silent {
 			continue
 		}
-		s.Living++
+		s.Live++
 		if (vm*37)%101 < (f.self*37)%101 {
 			s.Rank++
 		}
@@ -211,7 +211,7 @@
 			if x.life[i] != life {
 				return
 			}
-			if _, known := x.told[i]; !known && says.Named {
+			if _, known := x.told[i]; !known && says.Announced {
 				x.told[i] = x.at
 			}
 			w.answered(says, sent)
@@ -227,7 +227,7 @@
 		allowed, n := float64(toleratedN), 0.0
 		for t := end - window; t < end; t += tick {
 			l := x.p.limit(max(t, namedAt))
-			if !l.Named {
+			if !l.Announced {
 				allowed = math.Inf(1)
 			}
 			allowed += tolerated * l.PerSecond * tick.Seconds()
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -18,25 +18,25 @@
 func newFewWay(before float64) func(v *fleetView) way {
 	return func(v *fleetView) way {
 		l := New(v.now)
-		l.Standing = func(ids.Target) Standing { return v.standing() }
-		l.Usual = func(ids.Target) float64 { return before }
+		l.Position = func(ids.Target) Position { return v.standing() }
+		l.RecentRate = func(ids.Target) float64 { return before }
 		return &fewWay{l}
 	}
 }
 
 func (w *fewWay) take() bool                       { return w.l.Take(target) }
-func (w *fewWay) answered(l Limit, sent time.Time) { w.l.Answered(target, 1, l, sent) }
+func (w *fewWay) answered(l Limit, sent time.Time) { w.l.ObserveResponse(target, 1, l, sent) }
 func (w *fewWay) knows() bool                      { return len(w.l.Status()) > 0 }
 func (w *fewWay) tell() any {
-	if words := w.l.Told(); len(words) > 0 {
+	if words := w.l.Reports(); len(words) > 0 {
 		return words
 	}
 	return nil
 }
 
 func (w *fewWay) hear(_ ids.VM, said any) {
-	for _, word := range said.([]Word) {
-		w.l.Heard(word)
+	for _, word := range said.([]Report) {
+		w.l.ApplyReport(word)
 	}
 }
 
@@ -51,7 +51,7 @@
 func newPartsWay(v *fleetView) way { return &partsWay{v: v, credit: 1, at: v.now()} }
 
 func (w *partsWay) take() bool {
-	if !w.limit.Named {
+	if !w.limit.Announced {
 		return true
 	}
 	now := w.v.now()
@@ -64,7 +64,7 @@
 	return true
 }
 
-func (w *partsWay) knows() bool                   { return w.limit.Named }
+func (w *partsWay) knows() bool                   { return w.limit.Announced }
 func (w *partsWay) answered(l Limit, _ time.Time) { w.limit = l }
 func (w *partsWay) tell() any                     { return nil }
 func (w *partsWay) hear(ids.VM, any)              {}
@@ -105,7 +105,7 @@
 
 // bucketWord is what a VM of bucketWay tells.
 type bucketWord struct {
-	limits []Word
+	limits []Report
 	uses   []allowance.Use
 	life   int64
 	seq    uint64
@@ -123,7 +123,7 @@
 }
 
 func (w *bucketWay) take() bool {
-	if !w.limit.Named {
+	if !w.limit.Announced {
 		return true
 	}
 	return w.bucket.Take(allowance.Call{Workspace: account, Cost: 1}).Admitted
@@ -137,7 +137,7 @@
 func (w *bucketWay) tell() any {
 	w.bucket.Sweep()
 	w.seq++
-	return bucketWord{w.l.Told(), w.bucket.OwnUse(), w.life, w.seq}
+	return bucketWord{w.l.Reports(), w.bucket.OwnUse(), w.life, w.seq}
 }
 
 func (w *bucketWay) hear(from ids.VM, said any) {
