--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -56,8 +56,8 @@
 	StateUnknown  State = "unknown" // it may have run; nobody works on it
 )
 
-// Answer is a recorded answer of a plain service.
-type Answer struct {
+// Response is a recorded answer of a plain service.
+type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -72,7 +72,7 @@
 	VM       ids.VM      `json:"vm"`
 	Deadline time.Time   `json:"deadline"` // of the attempt, by the VM's clock
 	KeyTime  time.Time   `json:"key_time"` // of a UUIDv7 key; zero: kept for good
-	Answer   *Answer     `json:"answer,omitempty"`
+	Response   *Response     `json:"answer,omitempty"`
 }
 
 // Call identifies what a caller asked for.
@@ -93,7 +93,7 @@
 }
 
 // AlreadyRan is returned by Ledger.Claim when the call ran before.
-type AlreadyRan struct{ Answer Answer }
+type AlreadyRan struct{ Response Response }
 
 // Error implements error.
 func (*AlreadyRan) Error() string { return "the call ran before" }
@@ -164,7 +164,7 @@
 	}
 	switch old.State {
 	case StateRan:
-		return nil, &AlreadyRan{Answer: *old.Answer}
+		return nil, &AlreadyRan{Response: *old.Response}
 	case StateReleased:
 		obj, err := objectapi.ResolveUpdate(ctx, l.store, key, rec.encode(), obj.Version, rec.isMine)
 		if errors.Is(err, objectapi.ErrConflict) {
@@ -199,7 +199,7 @@
 // Settle records how the attempt ended. It never fails towards the caller: what
 // can't be written now is left to the settler, and until then the claim stays
 // claimed, which is safe.
-func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, a *Answer) {
+func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, a *Response) {
 	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), answer: a}
 	if err := l.settler.settle(ctx, s); err != nil {
 		l.settler.put(s)
--- a/internal/claims/fuzz_test.go
+++ b/internal/claims/fuzz_test.go
@@ -65,7 +65,7 @@
 		if end != outcome.NotRun { // an unknown end may have run: the worst case
 			m.locked(func() { m.runs[key]++; x.ran = true })
 		}
-		l.Settle(ctx, held, end, &Answer{})
+		l.Settle(ctx, held, end, &Response{})
 		if !x.dead.Load() {
 			m.locked(func() { x.told, x.heard = end, true })
 		}
--- a/internal/claims/settler.go
+++ b/internal/claims/settler.go
@@ -19,7 +19,7 @@
 	record    Record
 	version   objectapi.Revision // of the claim; unknown if abandoned
 	state     State
-	answer    *Answer
+	answer    *Response
 	abandoned bool // the claim may or may not have been written
 }
 
@@ -88,9 +88,9 @@
 		return s.abandon(ctx, x)
 	}
 	end := x.record
-	end.State, end.Answer = x.state, x.answer
-	if end.State == StateRan && end.Answer == nil {
-		end.Answer = &Answer{}
+	end.State, end.Response = x.state, x.answer
+	if end.State == StateRan && end.Response == nil {
+		end.Response = &Response{}
 	}
 	mine := func(stored []byte) bool {
 		var r Record
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -83,7 +83,7 @@
 
 // Run runs a call and returns its answer. The error is an *outcome.Error whose
 // outcome is that of the call, not of the last attempt alone.
-func (r *Runner) Run(ctx context.Context, c *Call) (*claims.Answer, error) {
+func (r *Runner) Run(ctx context.Context, c *Call) (*claims.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Template.Deadline.D())
 	defer cancel()
 	r.Budget.Deposit()
@@ -98,7 +98,7 @@
 }
 
 // repeatable tries targets until one answers.
-func (r *Runner) repeatable(ctx context.Context, c *Call) (*claims.Answer, error) {
+func (r *Runner) repeatable(ctx context.Context, c *Call) (*claims.Response, error) {
 	var tried []ids.Target
 	mayRan := false
 	for {
@@ -120,7 +120,7 @@
 
 // once claims the call and sends it at most once per attempt that is not known
 // to have been refused.
-func (r *Runner) once(ctx context.Context, c *Call) (*claims.Answer, error) {
+func (r *Runner) once(ctx context.Context, c *Call) (*claims.Response, error) {
 	keyTime := claims.KeyTime(c.Key)
 	if claims.Expired(keyTime, time.Now(), c.Template.ClaimRetention.D()) {
 		return nil, outcome.New(outcome.NotRun, outcome.CodeKeyExpired, "claim", "", "this idempotency key is older than its template allows, or from the future")
@@ -133,7 +133,7 @@
 	var ran *claims.AlreadyRan
 	if errors.As(err, &ran) {
 		r.record(c, "", "claim", "ran before; the recorded answer is given")
-		return &ran.Answer, nil
+		return &ran.Response, nil
 	}
 	if err != nil {
 		r.record(c, "", "claim", err.Error())
@@ -151,7 +151,7 @@
 
 // sendHeld sends a held attempt. Only a target that certainly did not run the
 // call is followed by another, under the same attempt: it is still unused.
-func (r *Runner) sendHeld(ctx context.Context, c *Call, held *claims.Held) (*claims.Answer, error) {
+func (r *Runner) sendHeld(ctx context.Context, c *Call, held *claims.Held) (*claims.Response, error) {
 	var tried []ids.Target
 	for {
 		a, target, err := r.try(ctx, c, held.Attempt, tried)
@@ -166,14 +166,14 @@
 	}
 }
 
-func (r *Runner) settle(ctx context.Context, c *Call, held *claims.Held, a *claims.Answer, err error) {
+func (r *Runner) settle(ctx context.Context, c *Call, held *claims.Held, a *claims.Response, err error) {
 	o := outcome.Ran
 	if err != nil {
 		o = outcome.Of(err).Outcome
 	}
-	var keep *claims.Answer
+	var keep *claims.Response
 	if o == outcome.Ran && a != nil {
-		keep = &claims.Answer{Status: a.Status, ContentType: a.ContentType}
+		keep = &claims.Response{Status: a.Status, ContentType: a.ContentType}
 		if c.Template.KeepAnswer {
 			keep.Kept, keep.Body = true, a.Body
 		}
@@ -191,7 +191,7 @@
 
 // try makes one attempt on one target. The target is empty when none could take
 // the call.
-func (r *Runner) try(ctx context.Context, c *Call, attempt ids.Attempt, tried []ids.Target) (*claims.Answer, ids.Target, error) {
+func (r *Runner) try(ctx context.Context, c *Call, attempt ids.Attempt, tried []ids.Target) (*claims.Response, ids.Target, error) {
 	target, err := r.pick(c, tried)
 	if err != nil {
 		return nil, "", err
@@ -212,7 +212,7 @@
 
 // guard tells what an attempt says of the request: that a target answered it and lives, or
 // that one hung up on it and may have ended.
-func (r *Runner) guard(ctx context.Context, c *Call, t routing.Target, sent time.Time, a *claims.Answer, err error) {
+func (r *Runner) guard(ctx context.Context, c *Call, t routing.Target, sent time.Time, a *claims.Response, err error) {
 	switch {
 	case err == nil:
 		c.guarded.Answered(a.Status)
@@ -232,7 +232,7 @@
 	return snap.View.Targets[d.Index], nil
 }
 
-func (r *Runner) send(ctx context.Context, c *Call, attempt ids.Attempt, t routing.Target) (*claims.Answer, error) {
+func (r *Runner) send(ctx context.Context, c *Call, attempt ids.Attempt, t routing.Target) (*claims.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+t.Addr+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeBadRequest, "build", string(t.ID), "the call's path is not valid")
@@ -256,7 +256,7 @@
 	return readAnswer(resp, attempt, t.ID)
 }
 
-func readAnswer(resp *http.Response, attempt ids.Attempt, t ids.Target) (*claims.Answer, error) {
+func readAnswer(resp *http.Response, attempt ids.Attempt, t ids.Target) (*claims.Response, error) {
 	if resp.Header.Get(engine.HeaderOutcome) == outcome.NotRun.String() {
 		return nil, outcome.Wrap(engine.ReadRefusal(resp), outcome.NotRun, outcome.CodeUpstream, "answer", string(t), "the target refused the call")
 	}
@@ -274,7 +274,7 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(t), "the target failed with status "+strconv.Itoa(resp.StatusCode))
 	}
-	return &claims.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body, Kept: true}, nil
+	return &claims.Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body, Kept: true}, nil
 }
 
 func (r *Runner) learn(ctx context.Context, c *Call, attempt ids.Attempt, t ids.Target, err error) {
