--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -72,7 +72,7 @@
 	VM       ids.VM      `json:"vm"`
 	Deadline time.Time   `json:"deadline"` // of the attempt, by the VM's clock
 	KeyTime  time.Time   `json:"key_time"` // of a UUIDv7 key; zero: kept for good
-	Response   *Response     `json:"answer,omitempty"`
+	Response *Response   `json:"answer,omitempty"`
 }
 
 // Call identifies what a caller asked for.
