--- a/internal/allowance/account.go
+++ b/internal/allowance/account.go
@@ -7,82 +7,82 @@
 )
 
 const (
-	// pastLooks is how many looks at what is asked of all are kept, one at each sweep: over the
-	// time until a silent VM is noticed.
-	pastLooks = int(silentAfter / SweepEvery)
-	// equalPart is the part of a limit that is split evenly where it is kept for VMs that
-	// are not heard; the rest goes by what each of them was asked for. Without it nothing would be
-	// kept for a VM that was idle when it was cut off.
-	equalPart = 0.1
-	// longestDebt bounds a debt, in seconds of the rate. One that is longer comes of a limit
-	// that was lowered or of a cut that healed, and callers would pay for it after the window
-	// in which use is counted.
-	longestDebt = 4 * time.Second
-	// shortestCount is for how long a VM is taken to have counted at least: a single call right
-	// after its start says little.
-	shortestCount = 50 * time.Millisecond
-	// forgetAfter is after how long without a call or news an account is dropped: its bucket
-	// is full again.
+	// demandSamples is the number of samples of the fleet's demand that are kept, one per sweep:
+	// they cover the time until a VM counts as unresponsive.
+	demandSamples = int(unresponsiveAfter / SweepEvery)
+	// equalFraction is the fraction of a limit that is split evenly when shares are reserved for
+	// unresponsive VMs; the rest is split by demand. Without it nothing would be reserved for a
+	// VM that was idle when it was partitioned.
+	equalFraction = 0.1
+	// maxDebt bounds a debt, as the time in which the rate pays it. A longer debt results from a
+	// lowered limit or a healed partition, and callers would still pay for it after the window
+	// in which operators count use.
+	maxDebt = 4 * time.Second
+	// minCounted is the shortest counting time assumed when demand is extrapolated: a single
+	// call right after the start says little.
+	minCounted = 50 * time.Millisecond
+	// forgetAfter is the time without a call or reported use after which an account is dropped:
+	// its bucket is full again.
 	forgetAfter = time.Minute
 )
 
-// account is one workspace's bucket.
+// account is the bucket of one workspace. The lock of the Limiter guards it.
 type account struct {
-	name  ids.Workspace // empty: the configuration does not name it
-	limit Limit
-	level float64
-	at    time.Time // of level
-	last  time.Time // a call or news of use
+	name       ids.Workspace // empty: the configuration sets no limit for it
+	limit      Limit
+	level      float64
+	levelAt    time.Time // time of level
+	lastActive time.Time // last call or report of use
 
-	used, offered decaying  // by this VM
-	started       time.Time // of this VM: nothing was counted before
+	used, offered decayingSum // by this VM
+	started       time.Time   // start of this VM, before which nothing was counted
 
-	// Of the VMs that are heard, as last told; this one left out.
-	othersUsed, othersOffered float64
-	reserved                  float64 // part of the limit kept for VMs that are not heard
+	// Sums last reported by the responsive peers, in units.
+	peersUsed, peersOffered float64
+	reserved                float64 // fraction of the limit reserved for unresponsive VMs
 
-	draws uint64 // the last draw, as a part of 2^64
+	sequence uint64 // last sample, times 2^64
 
-	past   [pastLooks]float64 // what was asked of all at the last sweeps
-	looked int
+	demandHistory [demandSamples]float64 // the fleet's demand at the last sweeps
+	sampleCount   int
 
-	admitted, refused float64 // units, since the account began
+	admitted, refused float64 // units, since the account was created
 	refusals          int64
 }
 
 // goldenStep is 2^64 divided by the golden ratio.
 const goldenStep = 0x9E3779B97F4A7C15
 
-// nextDraw returns a number in [0, 1). Numbers in a row lie as evenly as can be, so that the part
-// of the calls that is let in is the part that may be: with independent draws a VM that sees
-// a few calls a second lets in far fewer or more than that.
-func (a *account) nextDraw() float64 {
-	a.draws += goldenStep
-	return float64(a.draws>>11) / (1 << 53)
+// nextSample returns a number in [0, 1) of a low-discrepancy sequence, so that the fraction of
+// admitted calls stays close to the probability: with independent random numbers a VM that
+// receives a few calls per second admits far fewer or more.
+func (a *account) nextSample() float64 {
+	a.sequence += goldenStep
+	return float64(a.sequence>>11) / (1 << 53)
 }
 
-// advance brings the level up to now.
+// advance updates the level to now.
 func (a *account) advance(now time.Time) {
-	dt := now.Sub(a.at).Seconds()
+	dt := now.Sub(a.levelAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	a.at = now
+	a.levelAt = now
 	if a.limit.Unlimited() {
 		return
 	}
-	a.level += (a.limit.Rate*(1-a.reserved) - flow(a.othersUsed)) * dt
-	a.bound()
+	a.level += (a.limit.Rate*(1-a.reserved) - rateOf(a.peersUsed)) * dt
+	a.clampLevel()
 }
 
-// bound keeps the level between the longest debt and the burst.
-func (a *account) bound() {
+// clampLevel keeps the level between the largest debt and the burst.
+func (a *account) clampLevel() {
 	a.level = min(a.level, a.limit.Burst*(1-a.reserved))
-	a.level = max(a.level, -a.limit.Rate*longestDebt.Seconds())
+	a.level = max(a.level, -a.limit.Rate*maxDebt.Seconds())
 }
 
-// setLimit puts a limit in force. A higher one counts at once, and so does a lower one;
-// what was used before is held against it as far as its own longest debt.
+// setLimit puts a limit into force, raised or lowered, at once. Earlier use counts against the
+// new limit up to the new limit's largest debt.
 func (a *account) setLimit(limit Limit, now time.Time) {
 	if limit == a.limit {
 		return
@@ -90,80 +90,82 @@
 	a.advance(now)
 	a.level += max(limit.Burst-a.limit.Burst, 0)
 	a.limit = limit
-	a.bound()
+	a.clampLevel()
 }
 
-// state is what is known for the verdict on a call.
+// state returns the state for the verdict on a call, without DrainTime.
 func (a *account) state(cost float64, now time.Time) State {
 	return State{
 		Limit: a.limit, Level: a.level, Reserved: a.reserved, Cost: cost,
-		Demand: flow(a.asked(now) + a.othersOffered), ObservedDemand: flow(a.offered.now(now) + a.othersOffered),
+		Demand: rateOf(a.demand(now) + a.peersOffered), ObservedDemand: rateOf(a.offered.value(now) + a.peersOffered),
 	}
 }
 
-// asked is the sum that what callers ask of this VM keeps up. Of a VM that has just started the
-// sum holds only what came since, and taken as it is makes demand that was there before for one
-// that comes up: VMs that start together would let in several times the rate.
-func (a *account) asked(now time.Time) float64 {
-	return a.offered.now(now) / (1 - decay(max(now.Sub(a.started), shortestCount)))
+// demand returns the sum that the callers' demand on this VM sustains. After a start the counted
+// sum holds only what has arrived since, and used as it is would make constant demand look like
+// rising demand: VMs that start together would admit several times the rate.
+func (a *account) demand(now time.Time) float64 {
+	return a.offered.value(now) / (1 - decay(max(now.Sub(a.started), minCounted)))
 }
 
-// look keeps what is asked of all for later.
-func (a *account) look(now time.Time) {
-	a.past[a.looked%pastLooks] = a.asked(now) + a.othersOffered
-	a.looked++
+// sampleDemand records the fleet's demand.
+func (a *account) sampleDemand(now time.Time) {
+	a.demandHistory[a.sampleCount%demandSamples] = a.demand(now) + a.peersOffered
+	a.sampleCount++
 }
 
-// before is what was asked of all when a VM that is noticed to be silent was last heard.
-func (a *account) before() float64 { return a.past[a.looked%pastLooks] }
+// pastDemand returns the fleet's demand at the time when a VM that now counts as unresponsive
+// last sent a message.
+func (a *account) pastDemand() float64 { return a.demandHistory[a.sampleCount%demandSamples] }
 
-// part is the part of the limit of a VM of which a sum was asked when it was last heard. What
-// is let in of it changes from moment to moment where more is asked than the limit, and two
-// sides of a cut that saw it at different moments kept too little for each other.
-func (a *account) part(asked float64, vms int) float64 {
+// share returns the fraction of the limit that belongs to one of vms VMs, given the demand that
+// it last reported. The admitted load would not do: it fluctuates while demand exceeds the
+// limit, and two sides of a partition that sampled it at different times reserved too little
+// for each other.
+func (a *account) share(demand float64, vms int) float64 {
 	if a.limit.Unlimited() {
 		return 1 / float64(vms)
 	}
-	equal := equalPart * a.limit.Rate * memory.Seconds() / float64(vms)
-	return min((asked+equal)/(max(a.before(), asked)+equal*float64(vms)), 1)
+	equal := equalFraction * a.limit.Rate * decayTime.Seconds() / float64(vms)
+	return min((demand+equal)/(max(a.pastDemand(), demand)+equal*float64(vms)), 1)
 }
 
-// told takes in what a VM says of its use, after what it said a time ago.
-func (a *account) told(was, is Use, since time.Duration, now time.Time) {
+// updateReport replaces a VM's previous report by a new one that came the time since later.
+func (a *account) updateReport(was, is Use, since time.Duration, now time.Time) {
 	a.advance(now)
 	before, after := float64(was.Used), float64(is.Used)
-	a.othersUsed = max(a.othersUsed+after-before, 0)
-	a.othersOffered = max(a.othersOffered+float64(is.Offered)-float64(was.Offered), 0)
-	// A sum can't shrink faster than it decays: one that did lost what a VM had told that is
-	// gone now, and that stays used.
+	a.peersUsed = max(a.peersUsed+after-before, 0)
+	a.peersOffered = max(a.peersOffered+float64(is.Offered)-float64(was.Offered), 0)
+	// A sum cannot shrink faster than it decays: if it did, the total lost the report of a VM
+	// that is gone now, and that VM's use still counts.
 	grown := max(after, before*decay(since)) - before
-	// The rate in between was taken to be the former; on average it was in the middle.
-	a.level -= grown * (1 + since.Seconds()/memory.Seconds()/2)
-	a.bound()
+	// advance assumed the previous rate for the interval; on average it was halfway.
+	a.level -= grown * (1 + since.Seconds()/decayTime.Seconds()/2)
+	a.clampLevel()
 	if after > 0 {
-		a.last = now
+		a.lastActive = now
 	}
 }
 
-// forget takes out what a VM said without taking it for used or not.
-func (a *account) forget(was Use, now time.Time) {
+// removeReport drops a VM's last report and leaves the level as it is.
+func (a *account) removeReport(was Use, now time.Time) {
 	a.advance(now)
-	a.othersUsed = max(a.othersUsed-float64(was.Used), 0)
-	a.othersOffered = max(a.othersOffered-float64(was.Offered), 0)
+	a.peersUsed = max(a.peersUsed-float64(was.Used), 0)
+	a.peersOffered = max(a.peersOffered-float64(was.Offered), 0)
 }
 
-// trust begins to count what a VM says that was not heard before.
-func (a *account) trust(is Use, now time.Time) {
+// addReport adds the first report of a VM and leaves the level as it is.
+func (a *account) addReport(is Use, now time.Time) {
 	a.advance(now)
-	a.othersUsed += float64(is.Used)
-	a.othersOffered += float64(is.Offered)
+	a.peersUsed += float64(is.Used)
+	a.peersOffered += float64(is.Offered)
 }
 
-// reserve keeps a part of the limit for a VM that is not heard: of the rate from now on, and
+// reserve reserves a fraction of the limit for an unresponsive VM: of the rate from now on, and
 // of the burst as if it had been used.
-func (a *account) reserve(part float64, now time.Time) {
+func (a *account) reserve(fraction float64, now time.Time) {
 	a.advance(now)
-	a.reserved = min(a.reserved+part, 1)
-	a.level -= part * a.limit.Burst
-	a.bound()
+	a.reserved = min(a.reserved+fraction, 1)
+	a.level -= fraction * a.limit.Burst
+	a.clampLevel()
 }
--- a/internal/allowance/bench_test.go
+++ b/internal/allowance/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// benchLimiter knows vms VMs that tell of the use of all workspaces.
+// benchLimiter returns a limiter with vms peers, each of which has reported use of all workspaces.
 func benchLimiter(vms, workspaces int) (*Limiter, []Use, []ids.Workspace) {
 	l := New("self", nil)
 	var names []ids.VM
@@ -31,7 +31,7 @@
 	return l, uses, spaces
 }
 
-// BenchmarkTake is one verdict on a VM of 90, with 16 workspaces.
+// BenchmarkTake measures one verdict on a VM of 90, with 16 workspaces.
 func BenchmarkTake(b *testing.B) {
 	l, _, spaces := benchLimiter(89, 16)
 	i := 0
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkHeard takes in one word of a peer about all workspaces, in fleets whose VMs tell each
-// other (90, 16 workspaces) and in one of 580 workspaces.
+// BenchmarkHeard measures one report of a peer on all workspaces, in a fleet of 90 VMs that report
+// to each other directly, with 16 and with 580 workspaces.
 func BenchmarkHeard(b *testing.B) {
 	for _, n := range []int{16, 580} {
 		b.Run(fmt.Sprint(n, " workspaces"), func(b *testing.B) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkHeardFleet takes in one total of a tree of 380 VMs.
+// BenchmarkHeardFleet measures one total of a tree of 380 VMs.
 func BenchmarkHeardFleet(b *testing.B) {
 	l, uses, _ := benchLimiter(379, 580)
 	for b.Loop() {
--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Bounds are how operators judge what workspaces use: in any window no more than a rate over
-// its length and a burst, with some tolerance.
+// Bounds are the operators' criterion for what a workspace uses: in any window no more than the
+// rate times the window's length plus the burst, with some tolerance.
 type Bounds struct {
-	Window time.Duration // zero: not known
-	Excess float64       // tolerated, as a part of what is allowed in a window
-	Slack  float64       // tolerated beyond that, in units
+	Window time.Duration // zero: unknown
+	Excess float64       // tolerated, as a fraction of what is allowed in a window
+	Slack  float64       // tolerated in addition, in units
 }
 
 const (
-	// aimed is the part of the tolerance that is used. The rest is for calls that cross: a
-	// workspace of 4.2 times its limit, cut off in parts as it turns hot, took up to 0.2 of
-	// the tolerance with none of it used on purpose (TestWays).
-	aimed = 0.4
-	// burstKept is the part of a burst that may be used at once; the rest is given out over
-	// the window. A workspace whose burst was 3.6 s of its rate, and that asked for 1.7 times
-	// its rate, had 0.39 of its calls refused by a bucket of its rate, though in no window it
-	// came near what it was allowed.
-	burstKept = 0.5
+	// toleranceUsed is the fraction of the tolerance that is used on purpose. The rest is for
+	// calls that VMs admit before reports arrive: a workspace at 4.2 times its limit, in a fleet
+	// that is partitioned as its demand rises, took up to 0.2 of the tolerance with none of it
+	// used on purpose (TestAlgorithms).
+	toleranceUsed = 0.4
+	// immediateBurst is the fraction of a burst that may be used at once; the rest is spread over
+	// the window. A workspace with a burst of 3.6 s of its rate and a demand of 1.7 times its
+	// rate had 0.39 of its calls refused by a bucket that filled at its rate, though it came
+	// near what it was allowed in no window.
+	immediateBurst = 0.5
 )
 
-// Limit is the bucket for a workspace that may use a rate, in units/s, and a burst: in no
-// window it gives out more than is allowed and the part of the tolerance that is aimed at.
+// Limit returns the bucket for a workspace with a rate, in units/s, and a burst, in units. In any
+// window the bucket admits at most what is allowed plus toleranceUsed of the tolerance.
 func (b Bounds) Limit(rate, burst float64) Limit {
 	if b.Window <= 0 || rate <= 0 && burst <= 0 {
 		return Limit{rate, burst}
 	}
-	inWindow := rate*b.Window.Seconds() + burst
-	aim := inWindow + aimed*(inWindow*b.Excess+b.Slack)
-	kept := burstKept * burst
-	return Limit{Rate: (aim - kept) / b.Window.Seconds(), Burst: kept}
+	allowed := rate*b.Window.Seconds() + burst
+	total := allowed + toleranceUsed*(allowed*b.Excess+b.Slack)
+	immediate := immediateBurst * burst
+	return Limit{Rate: (total - immediate) / b.Window.Seconds(), Burst: immediate}
 }
--- a/internal/allowance/decaying.go
+++ b/internal/allowance/decaying.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// memory is within how long a decaying sum forgets all but a 1/e of what went in: about one
-// round of news of 100 VMs. Longer, and demand that comes up is taken for less than it is.
-const memory = 500 * time.Millisecond
-
-// decaying is a sum that forgets. Divided by memory it is the present rate; and what went in
-// between two looks is what the sum has grown by, plus the rate over the time between them.
-// Sums of several VMs add up to that of all.
-type decaying struct {
+// decayTime is the time in which a sum decays to 1/e: about one round of reports of 100 VMs. A
+// longer one underestimates rising demand.
+const decayTime = 500 * time.Millisecond
+
+// decayingSum is a sum that decays exponentially. Divided by decayTime it is the current rate,
+// and what was added between two readings is the growth of the sum plus the rate times the time
+// between them. The sums of several VMs add up to the sum of all.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// now returns the sum at a moment.
-func (d *decaying) now(t time.Time) float64 {
+// value returns the sum at time t.
+func (d *decayingSum) value(t time.Time) float64 {
 	if d.sum == 0 {
 		return 0
 	}
 	return d.sum * decay(t.Sub(d.at))
 }
 
-// add puts units in at a moment, or takes them out.
-func (d *decaying) add(units float64, t time.Time) {
-	d.sum, d.at = max(d.now(t)+units, 0), t
+// add adds units at time t; a negative number removes them.
+func (d *decayingSum) add(units float64, t time.Time) {
+	d.sum, d.at = max(d.value(t)+units, 0), t
 }
 
-// decay is what is left of a sum after a time.
-func decay(d time.Duration) float64 { return math.Exp(-max(d, 0).Seconds() / memory.Seconds()) }
+// decay returns the fraction of a sum that is left after d.
+func decay(d time.Duration) float64 { return math.Exp(-max(d, 0).Seconds() / decayTime.Seconds()) }
 
-// flow is the rate that a sum stands for, in units/s.
-func flow(sum float64) float64 { return sum / memory.Seconds() }
+// rateOf returns the rate that sustains a sum, in units/s.
+func rateOf(sum float64) float64 { return sum / decayTime.Seconds() }
 
-// Rate is the rate that a sum of Use stands for, in units/s.
-func Rate(sum float32) float64 { return flow(float64(sum)) }
+// Rate returns the rate that sustains a sum of Use, in units/s.
+func Rate(sum float32) float64 { return rateOf(float64(sum)) }
 
-// Sum is the sum of Use that a rate in units/s keeps up.
-func Sum(rate float64) float32 { return float32(rate * memory.Seconds()) }
+// Sum returns the sum of Use that a rate in units/s sustains.
+func Sum(rate float64) float32 { return float32(rate * decayTime.Seconds()) }
--- a/internal/allowance/fleet_test.go
+++ b/internal/allowance/fleet_test.go
@@ -10,128 +10,129 @@
 	"github.com/threadwall/threadwall/internal/lab/draw"
 )
 
-// way is one VM's part of a way to bound a workspace's use over all VMs.
-type way interface {
+// algorithm is one VM's instance of an algorithm that bounds a workspace's use on all VMs.
+type algorithm interface {
 	take(c Call) bool
-	// tell returns what the VM tells its peers, and hear takes it in.
-	tell() any
-	hear(from ids.VM, life int64, seq uint64, said any)
+	// report returns the VM's message to its peers, and receive handles one.
+	report() any
+	receive(from ids.VM, incarnation int64, seq uint64, msg any)
 	sweep()
-	limit(l Limit)
-	list(vms []ids.VM)
+	setLimit(l Limit)
+	setVMs(vms []ids.VM)
 }
 
-// pattern is a load on one workspace, and what happens to the VMs meanwhile.
-type pattern struct {
+// scenario is a load on one workspace together with faults of the VMs.
+type scenario struct {
 	vms    int
 	length time.Duration
 	limit  func(t time.Duration) Limit
-	// demand is what callers ask of a VM, in units/s.
+	// demand is the callers' demand on a VM, in units/s.
 	demand func(vm int, t time.Duration) float64
-	// side is where a VM is while the fleet is cut; nil: it is not.
-	side func(vm int, t time.Duration) int
-	// down tells whether a VM is killed.
+	// partition returns the side of the network partition that a VM is on; nil: no partition.
+	partition func(vm int, t time.Duration) int
+	// down reports whether a VM is down; nil: none is.
 	down func(vm int, t time.Duration) bool
-	// listed tells whether a VM is there at all yet; nil: all are.
-	listed func(vm int, t time.Duration) bool
-	loss   float64 // of words
-	tree   bool    // only sums are told
-	mean   float64 // cost of a call, units
+	// listed reports whether the platform lists a VM; nil: all are.
+	listed   func(vm int, t time.Duration) bool
+	loss     float64 // fraction of messages lost
+	tree     bool    // VMs receive only totals
+	meanCost float64 // cost of a call, units
 }
 
 const (
 	// tick is the step of virtual time.
 	tick = 10 * time.Millisecond
-	// started is when the fleet has started; how it starts is a pattern of its own.
-	started = 3 * time.Second
-	// direct is the pause between two words of a VM that has 89 peers.
-	direct = 445 * time.Millisecond
-	// treePause is that between two sums over a tree.
-	treePause = 150 * time.Millisecond
-	// window and the next ones bound use as a large fleet's operators do: over all calls sent
-	// in a window, a tenth more than the limit, and a slack in tokens.
+	// startupTime is the time after which the result counts; start-up has scenarios of its own.
+	startupTime = 3 * time.Second
+	// directInterval is the time between two reports of a VM with 89 peers.
+	directInterval = 445 * time.Millisecond
+	// treeInterval is the time between two totals over a tree.
+	treeInterval = 150 * time.Millisecond
+	// window, excess and slack are the bounds of the operators of a large fleet: for all calls
+	// in a window they tolerate a tenth more than the limit, plus a slack in tokens.
 	window = 8 * time.Second
 	excess = 0.1
 	slack  = 110_000.0
 )
 
-// figures are what came of one play.
-type figures struct {
-	beyond float64 // most used in a window, as a part of what lies between limit and bound; over 1: the bound is broken
-	short  float64 // part of what one bucket for all would have let in that was not
-	long   float64 // part of the longest tenth of calls that was let in, against that of all
-	words  int
-	served float64 // units let in
-	owed   float64 // units that one bucket would have let in
+// result is the result of one simulation.
+type result struct {
+	overuse    float64 // largest use beyond the limit in a window, as a fraction of the tolerance; over 1: the bound is violated
+	shortfall  float64 // fraction of ideal that was not admitted
+	longRatio  float64 // fraction admitted of the longest tenth of calls, over that of all calls
+	messages   int
+	admitted   float64 // units
+	idealLevel float64 // units that one bucket for all VMs would have admitted
 }
 
-// player plays a pattern.
-type player struct {
-	p     pattern
-	rng   *rand.Rand
-	start time.Time
-	at    time.Duration
-	vms   []way
-	life  []int64
-	next  []time.Duration // of a VM's words
-	seq   uint64
-	mail  map[time.Duration][]func()
-	build func(vm int, now func() time.Time) way
-	known int // VMs listed
-	limit Limit
+// simulation runs a scenario in virtual time.
+type simulation struct {
+	scenario    scenario
+	rng         *rand.Rand
+	start       time.Time
+	at          time.Duration
+	vms         []algorithm
+	incarnation []int64
+	nextReport  []time.Duration // time of a VM's next report
+	seq         uint64
+	inTransit   map[time.Duration][]func()
+	build       func(vm int, now func() time.Time) algorithm
+	listedCount int // number of listed VMs
+	limit       Limit
 
-	used    []float64 // by tick, of calls let in
-	allowed []float64 // by tick: the limit's rate
+	used    []float64 // units admitted, by tick
+	allowed []float64 // units at the limit's rate, by tick
 	bursts  []float64
-	ideal   float64 // level of one bucket for all
-	out     figures
-	sizes   []sized
+	ideal   float64 // level of one bucket for all VMs
+	out     result
+	sizes   []callResult
 }
 
-type sized struct {
-	cost float64
-	in   bool
+type callResult struct {
+	cost     float64
+	admitted bool
 }
 
 func nameOf(vm int) ids.VM { return ids.VM(fmt.Sprint("vm", vm)) }
 
-func (x *player) now() time.Time { return x.start.Add(x.at) }
+func (x *simulation) now() time.Time { return x.start.Add(x.at) }
 
-func (x *player) isDown(vm int) bool { return x.p.down != nil && x.p.down(vm, x.at) }
-func (x *player) isListed(vm int) bool {
-	return x.p.listed == nil || x.p.listed(vm, x.at)
+func (x *simulation) isDown(vm int) bool { return x.scenario.down != nil && x.scenario.down(vm, x.at) }
+
+func (x *simulation) isListed(vm int) bool {
+	return x.scenario.listed == nil || x.scenario.listed(vm, x.at)
 }
 
-func (x *player) hears(from, to int) bool {
-	return x.p.side == nil || x.p.side(from, x.at) == x.p.side(to, x.at)
+func (x *simulation) connected(from, to int) bool {
+	return x.scenario.partition == nil || x.scenario.partition(from, x.at) == x.scenario.partition(to, x.at)
 }
 
-// play plays a pattern with one way.
-func play(p pattern, seed uint64, build func(vm int, now func() time.Time) way) figures {
+// simulate runs a scenario with one algorithm.
+func simulate(p scenario, seed uint64, build func(vm int, now func() time.Time) algorithm) result {
 	x := run(p, seed, build)
-	x.out.beyond = x.mostBeyond()
-	x.out.short = max(x.out.owed-x.out.served, 0) / max(x.out.owed, 1)
-	x.out.long = x.longPart()
+	x.out.overuse = x.maxOveruse()
+	x.out.shortfall = max(x.out.idealLevel-x.out.admitted, 0) / max(x.out.idealLevel, 1)
+	x.out.longRatio = x.longCallRatio()
 	return x.out
 }
 
-// run plays a pattern to its end.
-func run(p pattern, seed uint64, build func(vm int, now func() time.Time) way) *player {
-	x := &player{
-		p: p, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1_000_000, 0), build: build,
-		vms: make([]way, p.vms), life: make([]int64, p.vms), next: make([]time.Duration, p.vms), mail: map[time.Duration][]func(){},
+// run runs a scenario to its end.
+func run(p scenario, seed uint64, build func(vm int, now func() time.Time) algorithm) *simulation {
+	x := &simulation{
+		scenario: p, rng: rand.New(rand.NewPCG(seed, 1)), start: time.Unix(1_000_000, 0), build: build,
+		vms: make([]algorithm, p.vms), incarnation: make([]int64, p.vms), nextReport: make([]time.Duration, p.vms), inTransit: map[time.Duration][]func(){},
 	}
 	for x.at = 0; x.at < p.length; x.at += tick {
-		x.lives()
-		for _, f := range x.mail[x.at] {
+		x.updateVMs()
+		for _, f := range x.inTransit[x.at] {
 			f()
 		}
-		delete(x.mail, x.at)
+		delete(x.inTransit, x.at)
 		x.calls()
-		if x.p.tree {
-			x.sums()
+		if x.scenario.tree {
+			x.exchangeTotals()
 		} else {
-			x.words()
+			x.exchangeReports()
 		}
 		if x.at%SweepEvery == 0 {
 			for _, w := range x.vms {
@@ -144,8 +145,8 @@
 	return x
 }
 
-// lives kills and starts VMs.
-func (x *player) lives() {
+// updateVMs stops and starts VMs.
+func (x *simulation) updateVMs() {
 	n := 0
 	for i := range x.vms {
 		if x.isListed(i) {
@@ -164,134 +165,135 @@
 			x.vms[i] = nil
 		case x.vms[i] == nil:
 			x.vms[i] = x.build(i, x.now)
-			x.vms[i].list(names)
-			x.vms[i].limit(x.p.limit(x.at))
-			x.life[i]++
-			x.next[i] = x.at
-		case n != x.known:
-			x.vms[i].list(names)
+			x.vms[i].setVMs(names)
+			x.vms[i].setLimit(x.scenario.limit(x.at))
+			x.incarnation[i]++
+			x.nextReport[i] = x.at
+		case n != x.listedCount:
+			x.vms[i].setVMs(names)
 		}
 	}
-	x.known = n
+	x.listedCount = n
 }
 
 // calls lets callers ask.
-func (x *player) calls() {
-	limit, dt := x.p.limit(x.at), tick.Seconds()
+func (x *simulation) calls() {
+	limit, dt := x.scenario.limit(x.at), tick.Seconds()
 	if limit != x.limit {
 		x.limit = limit
 		for _, w := range x.vms {
 			if w != nil {
-				w.limit(limit)
+				w.setLimit(limit)
 			}
 		}
 	}
 	x.ideal = min(x.ideal+limit.Rate*dt, limit.Burst)
 	x.allowed, x.bursts, x.used = append(x.allowed, limit.Rate*dt), append(x.bursts, limit.Burst), append(x.used, 0)
 	for i, w := range x.vms {
-		for range draw.Poisson(x.rng, x.p.demand(i, x.at)*dt/x.p.mean) {
+		for range draw.Poisson(x.rng, x.scenario.demand(i, x.at)*dt/x.scenario.meanCost) {
 			if w == nil {
-				continue // nobody is asked
+				continue // the VM is down
 			}
-			cost := x.p.mean * math.Exp(x.rng.NormFloat64()*0.8-0.32)
+			cost := x.scenario.meanCost * math.Exp(x.rng.NormFloat64()*0.8-0.32)
 			in := w.take(Call{Workspace: "w", Cost: cost})
-			counts := x.at >= started
+			counts := x.at >= startupTime
 			if x.ideal > 0 {
 				x.ideal -= cost
 				if counts {
-					x.out.owed += cost
+					x.out.idealLevel += cost
 				}
 			}
 			if in {
 				if counts {
-					x.out.served += cost
+					x.out.admitted += cost
 				}
 				x.used[len(x.used)-1] += cost
 			}
-			x.sizes = append(x.sizes, sized{cost, in})
+			x.sizes = append(x.sizes, callResult{cost, in})
 		}
 	}
 }
 
-// words lets VMs tell each other.
-func (x *player) words() {
+// exchangeReports sends the reports that are due.
+func (x *simulation) exchangeReports() {
 	for i, w := range x.vms {
-		if w == nil || x.at < x.next[i] {
+		if w == nil || x.at < x.nextReport[i] {
 			continue
 		}
-		x.next[i] = x.at + direct
-		if x.p.vms < 24 {
-			x.next[i] = x.at + treePause
+		x.nextReport[i] = x.at + directInterval
+		if x.scenario.vms < 24 {
+			x.nextReport[i] = x.at + treeInterval
 		}
-		said, life := w.tell(), x.life[i]
+		msg, incarnation := w.report(), x.incarnation[i]
 		x.seq++
 		seq := x.seq
 		for j := range x.vms {
-			if i == j || x.rng.Float64() < x.p.loss || !x.hears(i, j) {
+			if i == j || x.rng.Float64() < x.scenario.loss || !x.connected(i, j) {
 				continue
 			}
-			x.out.words++
+			x.out.messages++
 			x.deliver(time.Duration(1+x.rng.IntN(5))*tick, func() {
-				if x.vms[j] != nil && x.hears(i, j) {
-					x.vms[j].hear(nameOf(i), life, seq, said)
+				if x.vms[j] != nil && x.connected(i, j) {
+					x.vms[j].receive(nameOf(i), incarnation, seq, msg)
 				}
 			})
 		}
 	}
 }
 
-func (x *player) deliver(after time.Duration, f func()) {
-	x.mail[x.at+after] = append(x.mail[x.at+after], f)
+func (x *simulation) deliver(after time.Duration, f func()) {
+	x.inTransit[x.at+after] = append(x.inTransit[x.at+after], f)
 }
 
-// summed is what a VM hears over a tree.
-type summed struct {
+// totalReport is a message over a tree.
+type totalReport struct {
 	uses    []Use
 	members []ids.VM
 }
 
-// sums lets VMs hear the sum of what those of their side say, three rounds old at most.
-func (x *player) sums() {
-	if x.at%treePause != 0 {
+// exchangeTotals sends each VM the total of the VMs on its side of a partition, at most three
+// rounds old.
+func (x *simulation) exchangeTotals() {
+	if x.at%treeInterval != 0 {
 		return
 	}
-	said := make([][]Use, len(x.vms))
+	reports := make([][]Use, len(x.vms))
 	for i, w := range x.vms {
 		if w != nil {
-			said[i], _ = w.tell().([]Use)
+			reports[i], _ = w.report().([]Use)
 		}
 	}
 	for j := range x.vms {
-		if x.vms[j] == nil || x.rng.Float64() < x.p.loss {
+		if x.vms[j] == nil || x.rng.Float64() < x.scenario.loss {
 			continue
 		}
 		total := Use{Workspace: HashOf("w")}
 		var members []ids.VM
 		for i := range x.vms {
-			if x.vms[i] == nil || !x.hears(i, j) {
+			if x.vms[i] == nil || !x.connected(i, j) {
 				continue
 			}
 			members = append(members, nameOf(i))
 			if i == j {
 				continue
 			}
-			for _, u := range said[i] {
+			for _, u := range reports[i] {
 				total.Used += u.Used
 				total.Offered += u.Offered
 			}
 		}
-		x.out.words++
+		x.out.messages++
 		x.deliver(time.Duration(10+x.rng.IntN(30))*tick, func() {
 			if x.vms[j] != nil {
-				x.vms[j].hear("", 0, 0, summed{[]Use{total}, members})
+				x.vms[j].receive("", 0, 0, totalReport{[]Use{total}, members})
 			}
 		})
 	}
 }
 
-// mostBeyond looks at all windows: what was used beyond the limit, in parts of what lies
-// between it and the bound. Where the limit changed the highest in the window counts.
-func (x *player) mostBeyond() float64 {
+// maxOveruse returns the largest use beyond the limit in any window, as a fraction of the
+// tolerance. If the limit changed, the highest limit in the window counts.
+func (x *simulation) maxOveruse() float64 {
 	n, most := int(window/tick), 0.0
 	for end := n; end <= len(x.used); end++ {
 		used, rate, burst := 0.0, 0.0, 0.0
@@ -306,8 +308,8 @@
 	return most
 }
 
-// most is the most that was used in a window of a length.
-func (x *player) most(length time.Duration) float64 {
+// maxUsed returns the most units used in any window of a length.
+func (x *simulation) maxUsed(length time.Duration) float64 {
 	used, most, n := 0.0, 0.0, int(length/tick)
 	for i, u := range x.used {
 		if used += u; i >= n {
@@ -318,19 +320,19 @@
 	return most
 }
 
-// longPart compares the longest tenth of calls with all.
-func (x *player) longPart() float64 {
-	// The tenth of a log-normal distribution of this width begins at 2.03 times its mean.
-	bar := 2.03 * x.p.mean
+// longCallRatio returns the admitted fraction of the longest tenth of calls over that of all calls.
+func (x *simulation) longCallRatio() float64 {
+	// The longest tenth of a log-normal distribution of this width begins at 2.03 times its mean.
+	threshold := 2.03 * x.scenario.meanCost
 	var all, in, long, longIn float64
 	for _, s := range x.sizes {
 		all++
-		if s.in {
+		if s.admitted {
 			in++
 		}
-		if s.cost > bar {
+		if s.cost > threshold {
 			long++
-			if s.in {
+			if s.admitted {
 				longIn++
 			}
 		}
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// silentAfter is after how long without a word a VM may be serving behind a cut. Of 100
-	// VMs each tells every 0.5 s and, with nothing to tell, every second: two words lost in a
-	// row are none. Until then both sides of a cut may use the whole limit.
-	silentAfter = 2 * time.Second
-	// SweepEvery is how often Sweep is to be called.
+	// unresponsiveAfter is the time since the last message after which a VM may be serving on the
+	// other side of a network partition. In a fleet of 100, each VM reports every 0.5 s and, with
+	// nothing to report, every second, so that two reports lost in a row do not make a VM
+	// unresponsive. Until then both sides of a partition may use the whole limit.
+	unresponsiveAfter = 2 * time.Second
+	// SweepEvery is the interval at which Sweep must be called.
 	SweepEvery = 250 * time.Millisecond
-	// usualGap is taken for the time between two words until some were heard: that of a fleet
-	// of 100 VMs.
-	usualGap = 500 * time.Millisecond
-	// gapWeight is over how many words the time between them is averaged.
-	gapWeight = 32
-	// startFor is for how long a VM keeps to an equal part after its start, unless it finds
-	// that others have been serving: two rounds of news of 100 VMs. Of VMs that were all
-	// killed and start again none knows what is asked of the others, and each would give out
-	// a whole burst.
-	startFor = time.Second
+	// defaultInterval is the assumed time between two reports of a peer before it is measured:
+	// that of a fleet of 100 VMs.
+	defaultInterval = 500 * time.Millisecond
+	// intervalSamples is the number of reports over which the time between them is averaged.
+	intervalSamples = 32
+	// startPeriod is how long a VM keeps to an equal share after its start, unless its peers
+	// report that they have been serving: two rounds of reports of 100 VMs. When all VMs were
+	// killed and restarted, none knows the others' demand, and each would admit a whole burst.
+	startPeriod = time.Second
 )
 
-// HashOf names a workspace in messages between VMs.
+// HashOf returns the hash that identifies a workspace in messages between VMs.
 func HashOf(ws ids.Workspace) uint32 { return uint32(xxh3.HashString(string(ws))) }
 
-// Limiter keeps the workspaces' accounts on one VM. Safe for concurrent use. What peers say
-// to a nil one is left out, and it has nothing to tell.
+// Limiter keeps the workspaces' accounts on one VM. It is safe for concurrent use. A nil Limiter
+// ignores messages of peers, and its OwnUse is empty.
 type Limiter struct {
 	now     func() time.Time
 	self    ids.VM
@@ -42,36 +42,37 @@
 
 	mu       sync.Mutex
 	accounts map[uint32]*account
-	vms      map[ids.VM]*peer // listed VMs but this one
-	listed   bool             // the list has been read
-	fleet    *peer            // stands for all others where only their sum is told; nil: it is not
-	// starting is set until this VM knows what others do; first and served count the VMs
-	// whose first word it heard, and those that had been serving by then.
-	starting      bool
-	first, served int
-	// gap is the mean time between two words of a peer, as measured.
-	gap time.Duration
+	peers    map[ids.VM]*peer // listed VMs without this one
+	listed   bool             // the list of VMs has been read
+	fleet    *peer            // all other VMs, where only their total is reported; nil otherwise
+	// starting is set until this VM knows the load of the others. firstReports counts the VMs
+	// whose first report it received, and activeReports those of them that had been serving.
+	starting                    bool
+	firstReports, activeReports int
+	// interval is the measured mean time between two reports of a peer.
+	interval time.Duration
 }
 
-// New returns a limiter for one VM that has not read yet which others there are. now is nil
-// for that of package clock.
+// New returns a limiter for VM self that has not yet read the list of VMs: until SetVMs it
+// admits no call of a limited workspace. If now is nil, clock.Now is used.
 func New(self ids.VM, now func() time.Time) *Limiter {
 	if now == nil {
 		now = clock.Now
 	}
 	return &Limiter{
-		now: now, self: self, started: now(), decide: State.Decide, starting: true, gap: usualGap,
-		accounts: map[uint32]*account{}, vms: map[ids.VM]*peer{},
+		now: now, self: self, started: now(), decide: State.Decide, starting: true, interval: defaultInterval,
+		accounts: map[uint32]*account{}, peers: map[ids.VM]*peer{},
 	}
 }
 
-// Call is a call that asks to be let in.
+// Call is a call to be admitted.
 type Call struct {
 	Workspace ids.Workspace
 	Cost      float64 // units
 }
 
-// SetLimits puts the limits of all workspaces in force; those that are left out have none.
+// SetLimits puts the limits of all workspaces into force; a workspace that limits omits is
+// unlimited.
 func (l *Limiter) SetLimits(limits map[ids.Workspace]Limit) {
 	now := l.now()
 	l.mu.Lock()
@@ -89,27 +90,27 @@
 	}
 }
 
-// setLimit is SetLimit. The lock is held.
+// setLimit implements SetLimit. The caller holds the lock.
 func (l *Limiter) setLimit(ws ids.Workspace, limit Limit, now time.Time) {
 	a := l.account(HashOf(ws), now)
 	a.name = ws
 	a.setLimit(limit, now)
-	if !l.listed || now.Sub(l.started) < startFor && len(l.vms) > 0 {
-		a.level = min(a.level, 0) // a VM that starts beside others has no burst of its own
+	if !l.listed || now.Sub(l.started) < startPeriod && len(l.peers) > 0 {
+		a.level = min(a.level, 0) // a VM that starts among others has no burst of its own
 	}
 }
 
-// Decision is a verdict and what it rests on.
+// Decision is a verdict and the state that it is based on.
 type Decision struct {
 	Verdict
 	State
-	// Age is how old the oldest word of a peer is that was counted.
+	// Age is the age of the oldest report that was counted.
 	Age time.Duration
 }
 
-// Take lets a call in, and counts it, or not. Until this VM has read which others there are
-// it lets in nothing that is limited: of four that were all killed each took itself for the
-// only one for some ms after their start, and had the whole burst.
+// Take admits and counts a call, or refuses it. Until this VM has read the list of VMs it
+// refuses every call of a limited workspace: of four VMs that were all killed, each assumed for
+// some ms after its start that it was the only one, and used the whole burst.
 func (l *Limiter) Take(c Call) Decision {
 	now := l.now()
 	l.mu.Lock()
@@ -118,16 +119,16 @@
 	if a == nil || a.limit.Unlimited() {
 		return Decision{Verdict: Verdict{Admitted: true}}
 	}
-	a.last = now
+	a.lastActive = now
 	a.advance(now)
 	if !l.listed {
 		a.refusals++
 		a.refused += c.Cost
-		return Decision{Verdict: Verdict{RetryAfter: shortestReturn}, State: a.state(c.Cost, now)}
+		return Decision{Verdict: Verdict{RetryAfter: minRetryAfter}, State: a.state(c.Cost, now)}
 	}
-	out := Decision{State: a.state(c.Cost, now), Age: l.age(now)}
-	out.DrainTime = l.settle()
-	out.Verdict = l.decide(out.State, a.nextDraw())
+	out := Decision{State: a.state(c.Cost, now), Age: l.oldestReportAge(now)}
+	out.DrainTime = l.drainTime()
+	out.Verdict = l.decide(out.State, a.nextSample())
 	a.offered.add(c.Cost, now)
 	if !out.Admitted {
 		a.refused += c.Cost
@@ -137,11 +138,11 @@
 	a.admitted += c.Cost
 	a.used.add(c.Cost, now)
 	a.level -= c.Cost
-	a.bound()
+	a.clampLevel()
 	return out
 }
 
-// Return gives back what a call cost that was let in at a time and has not run.
+// Return gives back the cost of a call that was admitted at time taken and has not run.
 func (l *Limiter) Return(c Call, taken time.Time) {
 	now := l.now()
 	l.mu.Lock()
@@ -154,40 +155,42 @@
 	a.admitted -= c.Cost
 	a.used.add(-c.Cost*decay(now.Sub(taken)), now)
 	a.level += c.Cost
-	a.bound()
+	a.clampLevel()
 }
 
-// account returns the account of a workspace. The lock is held.
+// account returns the account of a workspace and creates it if there is none. The caller holds
+// the lock.
 func (l *Limiter) account(hash uint32, now time.Time) *account {
 	a := l.accounts[hash]
 	if a == nil {
-		a = &account{at: now, last: now, started: l.started, reserved: l.reservedOf(hash), draws: l.firstDraw(hash)}
+		a = &account{levelAt: now, lastActive: now, started: l.started, reserved: l.reservedOf(hash), sequence: l.initialSequence(hash)}
 		l.accounts[hash] = a
 	}
 	return a
 }
 
-// firstDraw is where an account's draws begin: elsewhere on each VM, and after each start.
-func (l *Limiter) firstDraw(hash uint32) uint64 {
+// initialSequence returns the start of an account's sample sequence, which differs between VMs and
+// between starts of a VM.
+func (l *Limiter) initialSequence(hash uint32) uint64 {
 	return xxh3.HashStringSeed(string(l.self), uint64(l.started.UnixNano())^uint64(hash))
 }
 
-// Share is the part of a workspace's limits that this VM may use: its part of what callers ask
-// of all VMs that are heard, and an equal part at least.
+// Share returns the fraction of a workspace's limits that this VM may use: its fraction of the
+// demand on all responsive VMs, and at least an equal share.
 func (l *Limiter) Share(ws ids.Workspace) float64 {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	equal := 1 / float64(len(l.vms)+1)
+	equal := 1 / float64(len(l.peers)+1)
 	a := l.accounts[HashOf(ws)]
 	if a == nil {
 		return equal
 	}
-	own := a.asked(now)
-	return max(equal, (1-a.reserved)*own/max(own+a.othersOffered, leastTold))
+	own := a.demand(now)
+	return max(equal, (1-a.reserved)*own/max(own+a.peersOffered, minReportedUse))
 }
 
-// SetLimit puts the limit of one workspace in force.
+// SetLimit puts the limit of one workspace into force.
 func (l *Limiter) SetLimit(ws ids.Workspace, limit Limit) {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/allowance/peers.go
+++ b/internal/allowance/peers.go
@@ -6,62 +6,62 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// What VMs tell each other of what they let in, and what is kept for those that are not heard.
+// This file holds the reports of use between VMs and the reservations for unresponsive VMs.
 
-// peer is another VM, or all others.
+// peer is another VM, or all others together.
 type peer struct {
-	life   int64
-	seq    uint64
-	heard  time.Time
-	silent bool
-	told   map[uint32]Use
-	parts  map[uint32]float64 // kept for it while it is silent, by workspace; others: an equal part
+	incarnation  int64
+	seq          uint64
+	lastSeen     time.Time
+	unresponsive bool
+	uses         map[uint32]Use
+	shares       map[uint32]float64 // reserved for it while it is unresponsive, by workspace; if absent, an equal share
 }
 
-// SetVMs tells which VMs the platform lists.
+// SetVMs sets the VMs that the platform lists. The list may include this VM.
 func (l *Limiter) SetVMs(all []ids.VM) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	listed := map[ids.VM]*peer{}
 	for _, vm := range all {
-		switch p := l.vms[vm]; {
+		switch p := l.peers[vm]; {
 		case vm == l.self:
 		case p != nil:
 			listed[vm] = p
 		default:
-			listed[vm] = &peer{silent: true}
+			listed[vm] = &peer{unresponsive: true}
 		}
 	}
-	for vm, p := range l.vms {
+	for vm, p := range l.peers {
 		if listed[vm] == nil {
-			l.drop(p, now)
+			l.forgetUses(p, now)
 		}
 	}
-	l.vms, l.listed = listed, true
-	l.reserveAnew(now)
+	l.peers, l.listed = listed, true
+	l.recomputeReserved(now)
 }
 
-// drop forgets what a VM said. The lock is held.
-func (l *Limiter) drop(p *peer, now time.Time) {
-	for hash, was := range p.told {
-		if a := l.accounts[hash]; a != nil && !p.silent {
-			a.forget(was, now)
+// forgetUses drops the last report of a VM. The caller holds the lock.
+func (l *Limiter) forgetUses(p *peer, now time.Time) {
+	for hash, was := range p.uses {
+		if a := l.accounts[hash]; a != nil && !p.unresponsive {
+			a.removeReport(was, now)
 		}
 	}
-	p.told = nil
+	p.uses = nil
 }
 
-// reserveAnew adds up what is kept for silent VMs. The lock is held.
-func (l *Limiter) reserveAnew(now time.Time) {
+// recomputeReserved sums up the reservations for unresponsive VMs. The caller holds the lock.
+func (l *Limiter) recomputeReserved(now time.Time) {
 	for hash, a := range l.accounts {
 		a.advance(now)
 		a.reserved = l.reservedOf(hash)
-		a.bound()
+		a.clampLevel()
 	}
 }
 
-// MarkSeen notes that a VM was heard, whatever it said.
+// MarkSeen records that any message has come from a VM.
 func (l *Limiter) MarkSeen(vm ids.VM) {
 	if l == nil {
 		return
@@ -69,92 +69,94 @@
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p := l.vms[vm]; p != nil {
-		l.present(p, now)
+	if p := l.peers[vm]; p != nil {
+		l.markSeen(p, now)
 	}
 }
 
-// present notes that a VM was heard, and tells whether it was silent. The lock is held.
-func (l *Limiter) present(p *peer, now time.Time) (was bool) {
-	p.heard = now
-	if !p.silent {
+// markSeen records a message of a VM and reports whether the VM was unresponsive. The caller
+// holds the lock.
+func (l *Limiter) markSeen(p *peer, now time.Time) (wasUnresponsive bool) {
+	p.lastSeen = now
+	if !p.unresponsive {
 		return false
 	}
-	p.silent, p.parts, p.told = false, nil, nil
-	l.reserveAnew(now)
+	p.unresponsive, p.shares, p.uses = false, nil, nil
+	l.recomputeReserved(now)
 	return true
 }
 
-// RecordUse takes in all that a VM says of its use. life and seq order what it says.
-func (l *Limiter) RecordUse(vm ids.VM, life int64, seq uint64, uses []Use) {
+// RecordUse replaces all uses that a VM reported. It ignores a report that is older than the
+// last one by incarnation and seq.
+func (l *Limiter) RecordUse(vm ids.VM, incarnation int64, seq uint64, uses []Use) {
 	if l == nil {
 		return
 	}
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.vms[vm]
-	if p == nil || life < p.life || life == p.life && seq <= p.seq {
+	p := l.peers[vm]
+	if p == nil || incarnation < p.incarnation || incarnation == p.incarnation && seq <= p.seq {
 		return
 	}
 	if l.fleet != nil {
-		l.drop(l.fleet, now)
+		l.forgetUses(l.fleet, now)
 		l.fleet = nil
 	}
-	p.life, p.seq = life, seq
-	since := now.Sub(p.heard)
-	known := p.told != nil
-	l.present(p, now)
-	if known = known && p.told != nil; known {
-		l.measure(since)
+	p.incarnation, p.seq = incarnation, seq
+	since := now.Sub(p.lastSeen)
+	known := p.uses != nil
+	l.markSeen(p, now)
+	if known = known && p.uses != nil; known {
+		l.observeInterval(since)
 	}
-	l.take(p, uses, known, since, now)
+	l.replaceUses(p, uses, known, since, now)
 }
 
-// RecordWorkspaceUse takes in what a VM says of its use of one workspace; the others are as it said
-// before.
+// RecordWorkspaceUse records a VM's use of one workspace; its uses of other workspaces stay as last
+// reported.
 func (l *Limiter) RecordWorkspaceUse(vm ids.VM, u Use) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := l.vms[vm]
-	if p == nil || !u.plausible() {
+	p := l.peers[vm]
+	if p == nil || !u.valid() {
 		return
 	}
-	since := now.Sub(p.heard)
-	l.present(p, now)
-	l.measure(since)
-	was, known := p.told[u.Workspace]
-	if p.told == nil {
-		p.told = map[uint32]Use{}
+	since := now.Sub(p.lastSeen)
+	l.markSeen(p, now)
+	l.observeInterval(since)
+	was, known := p.uses[u.Workspace]
+	if p.uses == nil {
+		p.uses = map[uint32]Use{}
 	}
-	p.told[u.Workspace] = u
+	p.uses[u.Workspace] = u
 	a := l.account(u.Workspace, now)
 	if known {
-		a.told(was, u, since, now)
+		a.updateReport(was, u, since, now)
 	} else {
-		a.trust(u, now)
+		a.addReport(u, now)
 	}
 }
 
-// met counts a VM's first word. The lock is held.
-func (l *Limiter) met(uses []Use, now time.Time) {
-	l.first++
+// countFirstReport counts the first report of a VM. The caller holds the lock.
+func (l *Limiter) countFirstReport(uses []Use, now time.Time) {
+	l.firstReports++
 	if len(uses) > 0 {
-		l.served++
+		l.activeReports++
 	}
-	if l.starting && l.served*2 > l.first {
-		l.begun(now)
+	if l.starting && l.activeReports*2 > l.firstReports {
+		l.endStart(now)
 	}
 }
 
-// begun ends the time for which this VM keeps to an equal part. The lock is held.
-func (l *Limiter) begun(now time.Time) {
+// endStart ends the period in which this VM keeps to an equal share. The caller holds the lock.
+func (l *Limiter) endStart(now time.Time) {
 	l.starting = false
-	l.reserveAnew(now)
+	l.recomputeReserved(now)
 }
 
-// RecordFleetUse takes in the sum of what all other VMs say.
+// RecordFleetUse records the total use of all other VMs, in place of the reports of single VMs.
 func (l *Limiter) RecordFleetUse(uses []Use) {
 	if l == nil {
 		return
@@ -165,98 +167,101 @@
 	known := l.fleet != nil
 	if !known {
 		l.fleet = &peer{}
-		for _, p := range l.vms {
-			l.drop(p, now)
+		for _, p := range l.peers {
+			l.forgetUses(p, now)
 		}
 	}
-	since := now.Sub(l.fleet.heard)
-	l.fleet.heard = now
+	since := now.Sub(l.fleet.lastSeen)
+	l.fleet.lastSeen = now
 	if known {
-		l.measure(since)
+		l.observeInterval(since)
 	}
-	l.take(l.fleet, uses, known, since, now)
+	l.replaceUses(l.fleet, uses, known, since, now)
 }
 
-// take replaces what a VM said. What one says that was not heard before is where it begins,
-// not what it has used since. The lock is held.
-func (l *Limiter) take(p *peer, uses []Use, known bool, since time.Duration, now time.Time) {
+// replaceUses replaces the last report of p by uses. If known is false there was no report
+// before, and uses is a starting point rather than new use. The caller holds the lock.
+func (l *Limiter) replaceUses(p *peer, uses []Use, known bool, since time.Duration, now time.Time) {
 	if !known {
-		l.met(uses, now)
+		l.countFirstReport(uses, now)
 	}
 	is := make(map[uint32]Use, len(uses))
 	for _, u := range uses {
-		if !u.plausible() {
+		if !u.valid() {
 			continue
 		}
 		is[u.Workspace] = u
 		a := l.account(u.Workspace, now)
 		if known {
-			a.told(p.told[u.Workspace], u, since, now)
+			a.updateReport(p.uses[u.Workspace], u, since, now)
 		} else {
-			a.trust(u, now)
+			a.addReport(u, now)
 		}
 	}
-	for hash, was := range p.told {
+	for hash, was := range p.uses {
 		if _, still := is[hash]; !still && l.accounts[hash] != nil {
-			l.accounts[hash].told(was, Use{}, since, now)
+			l.accounts[hash].updateReport(was, Use{}, since, now)
 		}
 	}
-	p.told = is
+	p.uses = is
 }
 
-// reservedOf is the part of a limit that is kept for silent VMs. The lock is held.
+// reservedOf returns the fraction of a workspace's limit that is reserved for unresponsive VMs.
+// The caller holds the lock.
 func (l *Limiter) reservedOf(hash uint32) float64 {
 	if l.starting {
-		return float64(len(l.vms)) / float64(len(l.vms)+1)
+		return float64(len(l.peers)) / float64(len(l.peers)+1)
 	}
 	sum := 0.0
-	for _, p := range l.vms {
-		if p.silent {
-			sum += l.partOf(p, hash)
+	for _, p := range l.peers {
+		if p.unresponsive {
+			sum += l.shareOf(p, hash)
 		}
 	}
 	return min(sum, 1)
 }
 
-// partOf is the part that is kept for a silent VM. The lock is held.
-func (l *Limiter) partOf(p *peer, hash uint32) float64 {
-	if part, ok := p.parts[hash]; ok {
-		return part
+// shareOf returns the fraction that is reserved for an unresponsive VM. The caller holds the lock.
+func (l *Limiter) shareOf(p *peer, hash uint32) float64 {
+	if share, ok := p.shares[hash]; ok {
+		return share
 	}
-	return 1 / float64(len(l.vms)+1)
+	return 1 / float64(len(l.peers)+1)
 }
 
-// age is how old the oldest word is of a VM that is not silent. The lock is held.
-func (l *Limiter) age(now time.Time) time.Duration {
+// oldestReportAge returns the longest time since the last message of a responsive VM. The caller
+// holds the lock.
+func (l *Limiter) oldestReportAge(now time.Time) time.Duration {
 	oldest := time.Duration(0)
-	for _, p := range l.vms {
-		if !p.silent {
-			oldest = max(oldest, now.Sub(p.heard))
+	for _, p := range l.peers {
+		if !p.unresponsive {
+			oldest = max(oldest, now.Sub(p.lastSeen))
 		}
 	}
 	return oldest
 }
 
-// settle is within how long VMs that all see the same give out what is left. The lock is held.
-func (l *Limiter) settle() time.Duration {
+// drainTime returns the value of State.DrainTime. The caller holds the lock.
+func (l *Limiter) drainTime() time.Duration {
 	switch {
-	case len(l.vms) == 0:
+	case len(l.peers) == 0:
 		return 0
 	case l.fleet != nil:
-		return settleRounds * treeRounds * l.gap
+		return drainRounds * treeRounds * l.interval
 	default:
-		return settleRounds * l.gap
+		return drainRounds * l.interval
 	}
 }
 
-// measure takes in the time between two words of a peer. The lock is held.
-func (l *Limiter) measure(gap time.Duration) {
-	if gap < silentAfter {
-		l.gap += (gap - l.gap) / gapWeight
+// observeInterval adds the time between two reports of a peer to the average. The caller holds
+// the lock.
+func (l *Limiter) observeInterval(gap time.Duration) {
+	if gap < unresponsiveAfter {
+		l.interval += (gap - l.interval) / intervalSamples
 	}
 }
 
-// OwnUse returns what this VM has let in and was asked for, for its peers.
+// OwnUse returns the uses to report to peers: what this VM has admitted and the demand on it.
 func (l *Limiter) OwnUse() []Use {
 	if l == nil {
 		return nil
@@ -266,55 +271,56 @@
 	defer l.mu.Unlock()
 	var out []Use
 	for hash, a := range l.accounts {
-		u := Use{Workspace: hash, Used: float32(a.used.now(now)), Offered: float32(a.asked(now))}
-		if u.Offered > leastTold {
+		u := Use{Workspace: hash, Used: float32(a.used.value(now)), Offered: float32(a.demand(now))}
+		if u.Offered > minReportedUse {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// leastTold is the sum, in units, below which a workspace counts as idle.
-const leastTold = 1e-3
+// minReportedUse is the sum, in units, up to which a workspace counts as idle.
+const minReportedUse = 1e-3
 
-// Sweep notices VMs that have fallen silent, and forgets idle workspaces.
+// Sweep detects unresponsive VMs, samples demand, and drops the accounts of idle workspaces. The
+// caller calls it every SweepEvery.
 func (l *Limiter) Sweep() {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.starting && now.Sub(l.started) > startFor {
-		l.begun(now)
+	if l.starting && now.Sub(l.started) > startPeriod {
+		l.endStart(now)
 	}
-	for _, p := range l.vms {
-		if !p.silent && now.Sub(p.heard) > silentAfter {
-			l.silence(p, now)
+	for _, p := range l.peers {
+		if !p.unresponsive && now.Sub(p.lastSeen) > unresponsiveAfter {
+			l.markUnresponsive(p, now)
 		}
 	}
-	if l.fleet != nil && now.Sub(l.fleet.heard) > silentAfter {
-		l.drop(l.fleet, now) // what is kept for silent VMs takes its place
-		l.fleet.told = map[uint32]Use{}
+	if l.fleet != nil && now.Sub(l.fleet.lastSeen) > unresponsiveAfter {
+		l.forgetUses(l.fleet, now) // the reservations for unresponsive VMs replace it
+		l.fleet.uses = map[uint32]Use{}
 	}
 	for hash, a := range l.accounts {
 		a.advance(now)
-		a.look(now)
-		if a.name == "" && now.Sub(a.last) > forgetAfter && a.othersUsed == 0 {
+		a.sampleDemand(now)
+		if a.name == "" && now.Sub(a.lastActive) > forgetAfter && a.peersUsed == 0 {
 			delete(l.accounts, hash)
 		}
 	}
 }
 
-// silence keeps for a VM its part as it was last heard. The lock is held.
-func (l *Limiter) silence(p *peer, now time.Time) {
-	p.silent, p.parts = true, map[uint32]float64{}
+// markUnresponsive reserves for a VM its share by its last report. The caller holds the lock.
+func (l *Limiter) markUnresponsive(p *peer, now time.Time) {
+	p.unresponsive, p.shares = true, map[uint32]float64{}
 	for hash, a := range l.accounts {
-		was := p.told[hash]
-		a.forget(was, now)
-		part := 1 / float64(len(l.vms)+1)
+		was := p.uses[hash]
+		a.removeReport(was, now)
+		share := 1 / float64(len(l.peers)+1)
 		if l.fleet == nil {
-			part = a.part(float64(was.Offered), len(l.vms)+1)
+			share = a.share(float64(was.Offered), len(l.peers)+1)
 		}
-		p.parts[hash] = part
-		a.reserve(part, now)
+		p.shares[hash] = share
+		a.reserve(share, now)
 	}
-	p.told = nil
+	p.uses = nil
 }
