--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// BenchmarkDecision is what a decision asks of the limiter while 90 targets name limits. It was
-// nothing before there were limits, and is 11 ns while no target names one.
+// BenchmarkDecision measures the calls of one routing decision to the limiter while up to 90
+// targets announce limits. Without any limit they take 11 ns.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{0, 2, 90} {
 		b.Run(fmt.Sprint(n, " limits"), func(b *testing.B) {
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,51 +1,51 @@
-// Package ratelimit keeps the requests that all VMs send to a target within the rate that
-// the target names in its answers, for as long as it names one.
+// Package ratelimit keeps the requests that all VMs send to a target within the rate that the
+// target announces in its responses, for as long as it announces one.
 //
-// # The load
+// # Load
 //
-// A target in need names one or two requests a second and goes on answering, so it looks
-// idle and all VMs would send to it: 90 of them, one request each, are several times what it
-// tolerates in a window. Which VM has how much left can't be asked for each request, and
-// some VMs may not hear each other.
+// An overloaded target announces one or two requests per second and continues to respond, so it
+// looks idle and all VMs would select it: 90 VMs with one request each send several times what
+// it tolerates in a window. A VM cannot ask the others for their remaining rate before each
+// request, and some VMs may not reach each other.
 //
-// # The mechanism
+// # Algorithm
 //
-// All VMs that hear each other agree by rendezvous on the few that send to the target, those
-// of its failure domain first, and each of these has an equal part of the rate and a bucket
-// of one request (Standing, Limiter). So no message goes before a request, and what is sent
-// stays in bounds whatever is lost on the way: VMs that hear only a part of the fleet have
-// only that part of the rate. VMs tell each other of limits, and of their end.
+// By rendezvous hashing, all VMs that receive each other's messages agree on the few that send
+// to the target, those in its failure domain first. Each sender has an equal share of the rate
+// and a bucket of one request (Position, Limiter). No message precedes a request, and the rate
+// stays in bounds whatever is lost: VMs that reach only a part of the fleet use only that part
+// of the rate. VMs report limits, and the end of limits, to each other.
 //
-// A VM that does not send to the target learns of the end from those that do. Where nobody
-// has confirmed a limit for long, each VM has an equal part of it, to find out by itself.
+// A VM that does not send to the target learns of the end of a limit from those that do. If no
+// VM has confirmed a limit for long, each VM has an equal share of it to probe the target.
 package ratelimit
 
 import "time"
 
-// Limit is what an answer says of the requests that its target takes from all VMs together.
-// The zero value names none.
+// Limit is the rate limit that a response announces for its target, for the requests of all VMs
+// together. The zero value is no limit.
 type Limit struct {
 	Announced bool
-	// Malformed tells that a limit was named that can't be read. It says that the target is in
-	// need, and not how much it takes.
+	// Malformed is set if a limit was announced that cannot be parsed: the target is overloaded,
+	// but the rate that it accepts is unknown.
 	Malformed bool
-	PerSecond float64 // requests a second
+	PerSecond float64 // requests/s
 }
 
-// maxPerSecond bounds what a target may name, in requests/s; what is above it is as good
-// as no limit.
+// maxPerSecond bounds the rate that a target may announce, in requests/s; a higher one is as
+// good as no limit.
 const maxPerSecond = 1e6
 
-// PerSecond returns a limit of so many requests a second. What is no rate is garbled.
+// PerSecond returns a limit of rate requests/s. A negative rate or NaN gives a malformed limit.
 func PerSecond(rate float64) Limit {
-	if !(rate >= 0) { // NaN is none, too
+	if !(rate >= 0) { // also true for NaN
 		return Limit{Announced: true, Malformed: true}
 	}
 	return Limit{Announced: true, PerSecond: min(rate, maxPerSecond)}
 }
 
-// Lower returns the limit that binds where a target names two: the lower of those that can be
-// read.
+// Lower returns the limit that applies if a target announces two: the lower of those that are
+// not malformed.
 func Lower(a, b Limit) Limit {
 	switch {
 	case !a.Announced, b.Announced && a.Malformed:
@@ -57,49 +57,50 @@
 	}
 }
 
-// leastPerSecond is taken for lower limits, in requests/s: only an answer tells that a target
-// takes work again.
-const leastPerSecond = 0.1
+// minPerSecond replaces lower limits, in requests/s: only a response shows that a target accepts
+// work again.
+const minPerSecond = 0.1
 
-// rate is what all VMs together may send, in requests/s.
-func (l Limit) rate() float64 { return max(l.PerSecond, leastPerSecond) }
+// rate returns the rate at which all VMs together may send, in requests/s.
+func (l Limit) rate() float64 { return max(l.PerSecond, minPerSecond) }
 
-// Position is a VM's place among those that may send to a target.
+// Position is the position of a VM among those that may send to a target.
 type Position struct {
-	Rank   int // living VMs that come before it
-	Live   int // VMs that it hears, itself included
+	Rank   int // live VMs that rank before it
+	Live   int // VMs that it receives messages from, itself included
 	Listed int // VMs that the platform lists, itself included
 }
 
 const (
-	// leastSenders is how many VMs of a whole fleet send to a target that names a low limit:
-	// one that is gone is not noticed for seconds.
-	leastSenders = 2
-	// sendersPerRate is how many more there are for each request a second. Full buckets of
-	// all of them stay within what targets tolerate beyond the rate.
+	// minSenders is the number of VMs of a whole fleet that send to a target with a low limit:
+	// it takes seconds to detect that one is gone.
+	minSenders = 2
+	// sendersPerRate is the number of additional senders for each request/s. The full buckets of
+	// all senders stay within what targets tolerate beyond the rate.
 	sendersPerRate = 1.5
-	// saved is the time for which a sender saves up its part beyond one request: calls come
-	// at random.
-	saved = 500 * time.Millisecond
+	// creditTime is the time for which a sender accumulates its share beyond one request, since
+	// calls arrive at random.
+	creditTime = 500 * time.Millisecond
 )
 
-// senders is how many of the VMs that hear each other send to a target.
-func (s Position) senders(rate float64) int {
-	n := int((leastSenders + sendersPerRate*rate) * s.part())
-	return min(max(n, 1), s.Live)
+// senders returns how many of the VMs that reach each other send to a target.
+func (p Position) senders(rate float64) int {
+	n := int((minSenders + sendersPerRate*rate) * p.fraction())
+	return min(max(n, 1), p.Live)
 }
 
-// part is the part of the rate that belongs to the VMs that hear each other.
-func (s Position) part() float64 { return min(float64(s.Live)/float64(max(s.Listed, 1)), 1) }
+// fraction returns the fraction of the rate that belongs to the VMs that reach each other.
+func (p Position) fraction() float64 { return min(float64(p.Live)/float64(max(p.Listed, 1)), 1) }
 
-// share is this VM's part of a rate, in requests/s; zero: others send.
-func (s Position) share(rate float64) float64 {
-	n := s.senders(rate)
-	if s.Rank >= n {
+// share returns this VM's share of a rate, in requests/s, or zero if only others send.
+func (p Position) share(rate float64) float64 {
+	n := p.senders(rate)
+	if p.Rank >= n {
 		return 0
 	}
-	return rate * s.part() / float64(n)
+	return rate * p.fraction() / float64(n)
 }
 
-// equalShare is what each of all VMs may send without knowing of the others, in requests/s.
-func (s Position) equalShare(rate float64) float64 { return rate / float64(max(s.Listed, 1)) }
+// equalShare returns the rate at which each listed VM may send without knowledge of the others,
+// in requests/s.
+func (p Position) equalShare(rate float64) float64 { return rate / float64(max(p.Listed, 1)) }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -10,75 +10,74 @@
 )
 
 const (
-	// window is the time in which targets count. What they got right before they named a
-	// limit counts, too.
-	window = 4 * time.Second
-	// standingFor is how long a look at the living VMs is used.
-	standingFor = 200 * time.Millisecond
-	// tellEnd is for how long peers are told that a target names no limit any more.
-	tellEnd = 5 * time.Second
-	// crossing is how much later than a limit its end must have been seen by a peer: ages
-	// don't count the way of the message.
-	crossing = 100 * time.Millisecond
-	// staleAfter is after how long without a word of anybody a limit may be over.
+	// countWindow is the time over which targets count requests, including those that they
+	// received just before they announced a limit.
+	countWindow = 4 * time.Second
+	// positionMaxAge is how long a Position is used before it is read again.
+	positionMaxAge = 200 * time.Millisecond
+	// reportEndFor is how long the end of a limit is reported to peers.
+	reportEndFor = 5 * time.Second
+	// maxTransit is how much later than the limit a peer must have seen its end: the ages in
+	// reports do not include the time that the message was in transit.
+	maxTransit = 100 * time.Millisecond
+	// staleAfter is the time without any report or response after which a limit may have ended.
 	staleAfter = 10 * time.Second
-	// staleRequests is the same in requests that all VMs may send meanwhile.
+	// staleRequests is the same as a number of requests that all VMs may send in that time.
 	staleRequests = 5
-	// forgetAfter is after how long without a word a limit is forgotten.
+	// forgetAfter is the time without any report or response after which a limit is dropped.
 	forgetAfter = 10 * time.Minute
 )
 
-// Report is what one VM knows of a target's limit, for its peers.
+// Report is what one VM reports to its peers on a target's limit.
 type Report struct {
 	Target      ids.Target
 	Incarnation ids.Incarnation
-	Limit       Limit         // none: it has ended
-	Age         time.Duration // since it was so
+	Limit       Limit         // not announced: it has ended
+	Age         time.Duration // since a response confirmed it
 }
 
-// Limiter keeps the limits that targets name on one VM. Safe for concurrent use. It is empty
-// at first.
+// Limiter keeps the limits that targets announce, on one VM. It is safe for concurrent use.
 type Limiter struct {
-	// Position returns this VM's place among those that send to a target. Nil: it is the only
-	// one. Both are set before the first use.
+	// Position returns this VM's position among those that send to a target. If it is nil, this
+	// VM is the only one. Position and RecentRate must be set before the first use.
 	Position func(id ids.Target) Position
-	// RecentRate returns what a target got lately from all VMs together, about, in requests/s. Nil:
-	// it is not known.
+	// RecentRate returns the approximate recent rate of requests of all VMs to a target, in
+	// requests/s. If it is nil, the rate is unknown.
 	RecentRate func(id ids.Target) float64
 
-	now     func() time.Time
-	count   atomic.Int32 // limits in force
-	mu      sync.Mutex
-	targets map[ids.Target]*limited
+	now       func() time.Time
+	announced atomic.Int32 // number of limits in force
+	mu        sync.Mutex
+	targets   map[ids.Target]*targetLimit
 }
 
-// New returns a limiter. now is nil for that of package clock.
+// New returns a limiter without limits. If now is nil, clock.Now is used.
 func New(now func() time.Time) *Limiter {
 	if now == nil {
 		now = clock.Now
 	}
-	return &Limiter{now: now, targets: map[ids.Target]*limited{}}
+	return &Limiter{now: now, targets: map[ids.Target]*targetLimit{}}
 }
 
-// limited is one target's limit, or that it has ended.
-type limited struct {
+// targetLimit is the limit of one target, or its end.
+type targetLimit struct {
 	incarnation ids.Incarnation
-	limit       Limit     // not garbled; none: it has ended
-	at          time.Time // it was so then, and nobody has said otherwise since
-	endedAt     time.Time // the first word of the end
-	own         bool      // this VM has it from the target
+	limit       Limit     // not malformed; not announced: it has ended
+	confirmedAt time.Time // last confirmation of limit
+	endedAt     time.Time // when this VM first observed the end
+	firsthand   bool      // the last confirmation came from the target rather than a peer
 
-	standing   Position
-	standingAt time.Time
+	position   Position
+	positionAt time.Time
 	share      float64 // requests/s
 	credit     float64 // requests that may be sent
 	creditAt   time.Time
 }
 
-// ObserveResponse takes in what an answer says, to a request that was sent at a time and is
-// answered now. It returns whether what is known of the limit has changed.
+// ObserveResponse records the limit that a response of incarnation inc announces, received now
+// for a request sent at sent. It reports whether the known limit has changed.
 func (l *Limiter) ObserveResponse(id ids.Target, inc ids.Incarnation, limit Limit, sent time.Time) (changed bool) {
-	if !limit.Announced && l.count.Load() == 0 {
+	if !limit.Announced && l.announced.Load() == 0 {
 		return false
 	}
 	now := l.now()
@@ -87,102 +86,102 @@
 	e := l.targets[id]
 	switch {
 	case e != nil && inc < e.incarnation, limit.Malformed:
-		return false // what was known is kept
+		return false // keep the known limit
 	case limit.Announced:
-		changed = l.name(id, inc, limit, now, now)
-		l.targets[id].own = true
-	case e == nil, inc == e.incarnation && !sent.After(e.at):
-		return false // the request may have crossed the answer that named the limit
+		changed = l.announce(id, inc, limit, now, now)
+		l.targets[id].firsthand = true
+	case e == nil, inc == e.incarnation && !sent.After(e.confirmedAt):
+		return false // the response that announced the limit may have been in transit when the request was sent
 	default:
 		changed = l.end(e, inc, sent, now)
-		e.own = true
+		e.firsthand = true
 	}
 	return changed
 }
 
-// ApplyReport takes in what a peer knows. It returns whether what is known has changed.
-func (l *Limiter) ApplyReport(w Report) (changed bool) {
-	if !w.Limit.Announced && l.count.Load() == 0 {
+// ApplyReport records the report of a peer. It reports whether the known limit has changed.
+func (l *Limiter) ApplyReport(r Report) (changed bool) {
+	if !r.Limit.Announced && l.announced.Load() == 0 {
 		return false
 	}
 	now := l.now()
-	at := now.Add(-max(w.Age, 0))
+	at := now.Add(-max(r.Age, 0))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.targets[w.Target]
-	same := e != nil && w.Incarnation == e.incarnation
+	e := l.targets[r.Target]
+	same := e != nil && r.Incarnation == e.incarnation
 	switch {
-	case w.Limit.Malformed, e != nil && w.Incarnation < e.incarnation, same && !at.After(e.at):
+	case r.Limit.Malformed, e != nil && r.Incarnation < e.incarnation, same && !at.After(e.confirmedAt):
 		return false
-	case w.Limit.Announced:
-		changed = l.name(w.Target, w.Incarnation, w.Limit, at, now)
-	case e == nil, same && e.limit.Announced && !at.After(e.at.Add(crossing)):
+	case r.Limit.Announced:
+		changed = l.announce(r.Target, r.Incarnation, r.Limit, at, now)
+	case e == nil, same && e.limit.Announced && !at.After(e.confirmedAt.Add(maxTransit)):
 		return false
 	default:
-		changed = l.end(e, w.Incarnation, at, now)
+		changed = l.end(e, r.Incarnation, at, now)
 	}
-	l.targets[w.Target].own = false // the peer's is the latest, so the peer tells it
+	l.targets[r.Target].firsthand = false // the peer's confirmation is the latest, so the peer reports it
 	return changed
 }
 
-// name puts a limit in force, as it was at a time. The lock is held.
-func (l *Limiter) name(id ids.Target, inc ids.Incarnation, limit Limit, at, now time.Time) (changed bool) {
+// announce puts a limit into force that was confirmed at time at. The caller holds the lock.
+func (l *Limiter) announce(id ids.Target, inc ids.Incarnation, limit Limit, at, now time.Time) (changed bool) {
 	e := l.targets[id]
 	if e == nil || !e.limit.Announced || inc != e.incarnation {
 		if e == nil || !e.limit.Announced {
-			l.count.Add(1)
+			l.announced.Add(1)
 		}
-		e = &limited{incarnation: inc, creditAt: now}
+		e = &targetLimit{incarnation: inc, creditAt: now}
 		l.targets[id] = e
-		e.limit, e.at = limit, at
-		l.stand(id, e, now)
-		e.credit = l.firstCredit(id, e)
+		e.limit, e.confirmedAt = limit, at
+		l.updatePosition(id, e, now)
+		e.credit = l.initialCredit(id, e)
 		return true
 	}
 	l.advance(id, e, now)
 	changed = e.limit != limit
-	e.limit, e.at = limit, at
+	e.limit, e.confirmedAt = limit, at
 	if changed {
-		l.stand(id, e, now)
+		l.updatePosition(id, e, now)
 	}
 	return changed
 }
 
-// firstCredit spreads the first requests of all senders evenly, as the rate will spread the
-// later ones. If the target got more than its limit, they begin when that lies so far back
-// that it does not count any more.
-func (l *Limiter) firstCredit(id ids.Target, e *limited) float64 {
+// initialCredit returns a credit that spreads the first requests of all senders evenly, as the
+// rate spreads the later ones. If the target received more than its limit, the first requests
+// wait until countWindow has passed.
+func (l *Limiter) initialCredit(id ids.Target, e *targetLimit) float64 {
 	if e.share == 0 {
 		return 0
 	}
-	credit := 1 - float64(e.standing.Rank)/float64(e.standing.senders(e.limit.rate()))
+	credit := 1 - float64(e.position.Rank)/float64(e.position.senders(e.limit.rate()))
 	if l.RecentRate == nil || l.RecentRate(id) > e.limit.rate() {
-		credit -= e.share * window.Seconds()
+		credit -= e.share * countWindow.Seconds()
 	}
 	return credit
 }
 
-// end notes that a target names no limit any more. The lock is held.
-func (l *Limiter) end(e *limited, inc ids.Incarnation, at, now time.Time) (changed bool) {
+// end records that a target no longer announces a limit. The caller holds the lock.
+func (l *Limiter) end(e *targetLimit, inc ids.Incarnation, at, now time.Time) (changed bool) {
 	changed = e.limit.Announced
 	if changed {
-		l.count.Add(-1)
+		l.announced.Add(-1)
 		e.endedAt = now
 	}
-	e.incarnation, e.limit, e.at = inc, Limit{}, at
+	e.incarnation, e.limit, e.confirmedAt = inc, Limit{}, at
 	return changed
 }
 
-// stand looks at this VM's place anew. A VM that comes to be a sender has no credit yet, since
-// the one in whose place it comes may have used its own. The lock is held.
-func (l *Limiter) stand(id ids.Target, e *limited, now time.Time) {
+// updatePosition reads this VM's position again. A VM that becomes a sender starts without
+// credit, since the sender that it replaces may have used its own. The caller holds the lock.
+func (l *Limiter) updatePosition(id ids.Target, e *targetLimit, now time.Time) {
 	s := Position{Live: 1, Listed: 1}
 	if l.Position != nil {
 		s = l.Position(id)
 	}
-	e.standing, e.standingAt = s, now
+	e.position, e.positionAt = s, now
 	share := s.share(e.limit.rate())
-	if now.Sub(e.at) > staleTime(e.limit) {
+	if now.Sub(e.confirmedAt) > staleTime(e.limit) {
 		share = max(share, s.equalShare(e.limit.rate()))
 	}
 	if e.share == 0 || share == 0 {
@@ -191,31 +190,31 @@
 	e.share = share
 }
 
-// staleTime is after how long without a word a limit may be over.
+// staleTime returns the time without any report or response after which a limit may have ended.
 func staleTime(limit Limit) time.Duration {
 	return max(staleAfter, time.Duration(staleRequests/limit.rate()*float64(time.Second)))
 }
 
-// advance brings the credit up to now. The lock is held.
-func (l *Limiter) advance(id ids.Target, e *limited, now time.Time) {
+// advance updates the credit to now. The caller holds the lock.
+func (l *Limiter) advance(id ids.Target, e *targetLimit, now time.Time) {
 	if dt := now.Sub(e.creditAt).Seconds(); dt > 0 {
-		e.credit = min(e.credit+e.share*dt, 1+e.share*saved.Seconds())
+		e.credit = min(e.credit+e.share*dt, 1+e.share*creditTime.Seconds())
 		e.creditAt = now
 	}
-	if now.Sub(e.standingAt) >= standingFor {
-		l.stand(id, e, now)
+	if now.Sub(e.positionAt) >= positionMaxAge {
+		l.updatePosition(id, e, now)
 	}
 }
 
-// LimitedTarget tells whether this VM may send a request to a target that names a limit.
+// LimitedTarget is a target that announces a limit.
 type LimitedTarget struct {
 	Target  ids.Target
-	Allowed bool
+	Allowed bool // this VM may send a request now
 }
 
-// LimitedTargets returns the targets that name a limit.
+// LimitedTargets returns the targets that announce a limit, in no particular order.
 func (l *Limiter) LimitedTargets() []LimitedTarget {
-	if l.count.Load() == 0 {
+	if l.announced.Load() == 0 {
 		return nil
 	}
 	now := l.now()
@@ -232,9 +231,9 @@
 	return out
 }
 
-// Take counts a request to a target, if it may be sent.
+// Take counts a request to a target and reports whether it may be sent.
 func (l *Limiter) Take(id ids.Target) bool {
-	if l.count.Load() == 0 {
+	if l.announced.Load() == 0 {
 		return true
 	}
 	now := l.now()
@@ -251,9 +250,9 @@
 	return true
 }
 
-// Return gives back what Take counted for a request of which nothing was sent.
+// Return gives back the credit that Take used for a request of which nothing was sent.
 func (l *Limiter) Return(id ids.Target) {
-	if l.count.Load() == 0 {
+	if l.announced.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
@@ -263,8 +262,8 @@
 	}
 }
 
-// Wait returns how long it is until this VM may send a target its next request, and the time
-// from that to the one after it. known is false where others send to the target.
+// Wait returns the time until this VM may send its next request to a target, and the time from
+// that request to the one after it. known is false if only other VMs send to the target.
 func (l *Limiter) Wait(id ids.Target) (wait, between time.Duration, known bool) {
 	now := l.now()
 	l.mu.Lock()
@@ -281,7 +280,8 @@
 	return time.Duration(max(1-e.credit, 0) / e.share * second), time.Duration(second / e.share), true
 }
 
-// Reports returns what this VM knows later than its peers, for them.
+// Reports returns the limits, and ends of limits, to report to peers: those that this VM has from
+// the target itself. It also drops entries that are too old.
 func (l *Limiter) Reports() []Report {
 	now := l.now()
 	l.mu.Lock()
@@ -289,35 +289,35 @@
 	var out []Report
 	for id, e := range l.targets {
 		switch ended := !e.limit.Announced; {
-		case ended && now.Sub(e.endedAt) > tellEnd, now.Sub(e.at) > forgetAfter:
+		case ended && now.Sub(e.endedAt) > reportEndFor, now.Sub(e.confirmedAt) > forgetAfter:
 			l.forget(id, e)
-		case e.own:
-			out = append(out, Report{Target: id, Incarnation: e.incarnation, Limit: e.limit, Age: now.Sub(e.at)})
+		case e.firsthand:
+			out = append(out, Report{Target: id, Incarnation: e.incarnation, Limit: e.limit, Age: now.Sub(e.confirmedAt)})
 		}
 	}
 	return out
 }
 
-// forget drops what is known of a target. The lock is held.
-func (l *Limiter) forget(id ids.Target, e *limited) {
+// forget drops the entry of a target. The caller holds the lock.
+func (l *Limiter) forget(id ids.Target, e *targetLimit) {
 	if e.limit.Announced {
-		l.count.Add(-1)
+		l.announced.Add(-1)
 	}
 	delete(l.targets, id)
 }
 
-// Status is one limit as this VM knows it.
+// Status is a limit as this VM knows it.
 type Status struct {
 	Target      ids.Target      `json:"target"`
 	Incarnation ids.Incarnation `json:"incarnation"`
-	PerSecond   float64         `json:"per_second"` // that all VMs may send
-	Share       float64         `json:"share"`      // of that, this VM's
-	Credit      float64         `json:"credit"`     // requests; it sends one from 1 on
-	AgeMs       int64           `json:"age_ms"`     // since the target last named it, as far as known
-	Own         bool            `json:"own"`        // this VM was told by the target
+	PerSecond   float64         `json:"per_second"` // for all VMs together
+	Share       float64         `json:"share"`      // this VM's share of it
+	Credit      float64         `json:"credit"`     // requests; from 1 on this VM may send
+	AgeMs       int64           `json:"age_ms"`     // since the last known confirmation by the target
+	Own         bool            `json:"own"`        // confirmed to this VM by the target itself
 }
 
-// Status returns the limits in force.
+// Status returns the limits in force, in no particular order.
 func (l *Limiter) Status() []Status {
 	now := l.now()
 	l.mu.Lock()
@@ -330,7 +330,7 @@
 		l.advance(id, e, now)
 		out = append(out, Status{
 			Target: id, Incarnation: e.incarnation, PerSecond: e.limit.PerSecond, Share: e.share, Credit: e.credit,
-			AgeMs: now.Sub(e.at).Milliseconds(), Own: e.own,
+			AgeMs: now.Sub(e.confirmedAt).Milliseconds(), Own: e.firsthand,
 		})
 	}
 	return out
--- a/internal/ratelimit/play_test.go
+++ b/internal/ratelimit/play_test.go
@@ -10,32 +10,32 @@
 	"github.com/threadwall/threadwall/internal/lab/draw"
 )
 
-// way is one VM's part of a way to keep to a target's limit.
-type way interface {
+// algorithm is one VM's instance of an algorithm that keeps to a target's limit.
+type algorithm interface {
 	take() bool
-	// knows tells whether the VM knows of a limit.
-	knows() bool
-	// answered takes in what an answer says, to a request sent at a time.
-	answered(l Limit, sent time.Time)
-	tell() any
-	hear(from ids.VM, said any)
+	// knowsLimit reports whether the VM knows of a limit.
+	knowsLimit() bool
+	// observeResponse records the limit of a response to a request sent at sent.
+	observeResponse(l Limit, sent time.Time)
+	report() any
+	receive(from ids.VM, msg any)
 }
 
-// fleetView is what a VM knows of the others, as the daemon gives it.
+// fleetView is a VM's view of the fleet, as the daemon provides it.
 type fleetView struct {
-	self   int
-	listed int
-	heard  []time.Time // by VM
-	now    func() time.Time
+	self     int
+	listed   int
+	lastSeen []time.Time // by VM
+	now      func() time.Time
 }
 
-// silent is after how long without a word a VM counts as gone.
-const silent = 3 * time.Second
+// unresponsiveAfter is the time since the last message after which a VM counts as gone.
+const unresponsiveAfter = 3 * time.Second
 
-func (f *fleetView) standing() Position {
+func (f *fleetView) position() Position {
 	s := Position{Listed: f.listed, Live: 1}
-	for vm, at := range f.heard {
-		if vm == f.self || at.IsZero() || f.now().Sub(at) >= silent {
+	for vm, at := range f.lastSeen {
+		if vm == f.self || at.IsZero() || f.now().Sub(at) >= unresponsiveAfter {
 			continue
 		}
 		s.Live++
@@ -46,44 +46,45 @@
 	return s
 }
 
-// pattern is a load on one target, what it names, and what happens to the VMs meanwhile.
-type pattern struct {
-	vms    int
-	before float64 // requests/s that it gets before it names a limit, of VMs that don't know
-	wants  float64 // that would go to it from VMs that know, since it looks idle
-	limit  func(t time.Duration) Limit
-	// side is where a VM is while the fleet is cut; nil: it is not.
-	side func(vm int, t time.Duration) int
-	// down tells whether a VM is killed; nil: none is.
-	down func(vm int, t time.Duration) bool
-	loss float64       // of words
-	gap  time.Duration // between two words of a VM
-	way  time.Duration // of a word, at most
-	// slow is the longest time to an answer's head.
-	slow time.Duration
+// scenario is a load on one target together with its limit and with faults of the VMs.
+type scenario struct {
+	vms          int
+	demandBefore float64 // requests/s from VMs that do not know of the limit
+	demandAfter  float64 // requests/s that VMs that know of it would send, since the target looks idle
+	limit        func(t time.Duration) Limit
+	// partition returns the side of the network partition that a VM is on; nil: no partition.
+	partition func(vm int, t time.Duration) int
+	// down reports whether a VM is down; nil: none is.
+	down           func(vm int, t time.Duration) bool
+	loss           float64       // fraction of messages lost
+	reportInterval time.Duration // between two reports of a VM
+	maxDelay       time.Duration // longest transit time of a message
+	// maxLatency is the longest time to the head of a response.
+	maxLatency time.Duration
 }
 
 const (
-	tick    = 10 * time.Millisecond
-	playFor = 34 * time.Second
-	// namedAt is when the target first names its limit.
-	namedAt = 10 * time.Second
-	// contact is after how long from then on the limit binds.
-	contact = 3 * time.Second
-	// What targets tolerate in a window.
-	tolerated  = 1.5
-	toleratedN = 5
-	// toldFor is how long before the end of a window a VM must have been told to count.
-	toldFor = 500 * time.Millisecond
-	// settled is when what the target gets is compared with its limit.
-	settled = namedAt + 8*time.Second
+	tick           = 10 * time.Millisecond
+	scenarioLength = 34 * time.Second
+	// announcedAt is when the target first announces its limit.
+	announcedAt = 10 * time.Second
+	// bindsAfter is the time after announcedAt from which the limit must hold.
+	bindsAfter = 3 * time.Second
+	// A target tolerates in a window this multiple of its rate plus this number of requests.
+	tolerated         = 1.5
+	toleratedRequests = 5
+	// informedFor is how long before the end of a window a VM must have received a response with
+	// the limit for its requests to count.
+	informedFor = 500 * time.Millisecond
+	// steadyFrom is the time from which the use of the limit is measured.
+	steadyFrom = announcedAt + 8*time.Second
 )
 
-// figures are what came of one play.
-type figures struct {
-	worst float64 // most in a window, as a part of what is tolerated
-	used  float64 // of the limit, in the second half
-	words int
+// result is the result of one simulation.
+type result struct {
+	worst    float64 // most requests in a window, as a fraction of what is tolerated
+	used     float64 // fraction of the limit that was used from steadyFrom on
+	messages int
 }
 
 type send struct {
@@ -91,150 +92,150 @@
 	at time.Duration
 }
 
-type player struct {
-	p     pattern
-	rng   *rand.Rand
-	start time.Time
-	at    time.Duration
-	build func(v *fleetView) way
-	vms   []way
-	views []*fleetView
-	life  []int
-	next  []time.Duration
-	mail  map[time.Duration][]func()
-	sends []send
-	told  map[int]time.Duration
-	words int
+type simulation struct {
+	scenario    scenario
+	rng         *rand.Rand
+	start       time.Time
+	at          time.Duration
+	build       func(v *fleetView) algorithm
+	vms         []algorithm
+	views       []*fleetView
+	incarnation []int
+	nextReport  []time.Duration
+	inTransit   map[time.Duration][]func()
+	sends       []send
+	informedAt  map[int]time.Duration
+	messages    int
 }
 
 func nameOf(vm int) ids.VM { return ids.VM(fmt.Sprint("vm", vm)) }
 
-func (x *player) now() time.Time { return x.start.Add(x.at) }
+func (x *simulation) now() time.Time { return x.start.Add(x.at) }
 
-func play(p pattern, seed uint64, build func(v *fleetView) way) figures {
-	x := &player{
-		p: p, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_000_000, 0), build: build, vms: make([]way, p.vms),
-		views: make([]*fleetView, p.vms), life: make([]int, p.vms), next: make([]time.Duration, p.vms),
-		mail: map[time.Duration][]func(){}, told: map[int]time.Duration{},
+func simulate(p scenario, seed uint64, build func(v *fleetView) algorithm) result {
+	x := &simulation{
+		scenario: p, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_000_000, 0), build: build, vms: make([]algorithm, p.vms),
+		views: make([]*fleetView, p.vms), incarnation: make([]int, p.vms), nextReport: make([]time.Duration, p.vms),
+		inTransit: map[time.Duration][]func(){}, informedAt: map[int]time.Duration{},
 	}
-	for ; x.at < playFor; x.at += tick {
-		for _, f := range x.mail[x.at] {
+	for ; x.at < scenarioLength; x.at += tick {
+		for _, f := range x.inTransit[x.at] {
 			f()
 		}
-		delete(x.mail, x.at)
-		x.lives()
-		x.tell()
-		x.calls()
+		delete(x.inTransit, x.at)
+		x.updateVMs()
+		x.exchangeReports()
+		x.issueCalls()
 	}
-	return figures{worst: x.worst(), used: x.used(), words: x.words}
+	return result{worst: x.worstWindow(), used: x.usedFraction(), messages: x.messages}
 }
 
-func (x *player) later(after time.Duration, f func()) {
+func (x *simulation) schedule(after time.Duration, f func()) {
 	at := (x.at + max(after, tick)).Round(tick)
-	x.mail[at] = append(x.mail[at], f)
+	x.inTransit[at] = append(x.inTransit[at], f)
 }
 
-func (x *player) lives() {
+func (x *simulation) updateVMs() {
 	for i := range x.vms {
-		switch down := x.p.down != nil && x.p.down(i, x.at); {
+		switch down := x.scenario.down != nil && x.scenario.down(i, x.at); {
 		case down && x.vms[i] != nil:
 			x.vms[i] = nil
-			x.life[i]++
-			delete(x.told, i) // a restart excuses a VM
+			x.incarnation[i]++
+			delete(x.informedAt, i) // a restarted VM does not know the limit
 		case !down && x.vms[i] == nil:
-			x.views[i] = &fleetView{self: i, listed: x.p.vms, heard: make([]time.Time, x.p.vms), now: x.now}
+			x.views[i] = &fleetView{self: i, listed: x.scenario.vms, lastSeen: make([]time.Time, x.scenario.vms), now: x.now}
 			x.vms[i] = x.build(x.views[i])
-			x.next[i] = x.at + x.after(x.p.gap)
+			x.nextReport[i] = x.at + x.randomDelay(x.scenario.reportInterval)
 		}
 	}
 }
 
-// after is a time up to a longest one.
-func (x *player) after(longest time.Duration) time.Duration {
+// randomDelay returns a random time below longest.
+func (x *simulation) randomDelay(longest time.Duration) time.Duration {
 	return time.Duration(x.rng.Int64N(int64(longest)))
 }
 
-func (x *player) side(vm int) int {
-	if x.p.side == nil {
+func (x *simulation) partitionOf(vm int) int {
+	if x.scenario.partition == nil {
 		return 0
 	}
-	return x.p.side(vm, x.at)
+	return x.scenario.partition(vm, x.at)
 }
 
-func (x *player) tell() {
+func (x *simulation) exchangeReports() {
 	for i, w := range x.vms {
-		if w == nil || x.at < x.next[i] {
+		if w == nil || x.at < x.nextReport[i] {
 			continue
 		}
-		x.next[i] = x.at + x.p.gap
-		said := w.tell()
+		x.nextReport[i] = x.at + x.scenario.reportInterval
+		msg := w.report()
 		for j := range x.vms {
-			if i == j || x.side(i) != x.side(j) || x.rng.Float64() < x.p.loss {
+			if i == j || x.partitionOf(i) != x.partitionOf(j) || x.rng.Float64() < x.scenario.loss {
 				continue
 			}
-			x.words++
-			if said == nil {
-				x.views[j].heard[i] = x.now()
+			x.messages++
+			if msg == nil {
+				x.views[j].lastSeen[i] = x.now()
 				continue
 			}
-			x.later(x.after(x.p.way), func() {
+			x.schedule(x.randomDelay(x.scenario.maxDelay), func() {
 				if x.vms[j] != nil {
-					x.views[j].heard[i] = x.now()
-					x.vms[j].hear(nameOf(i), said)
+					x.views[j].lastSeen[i] = x.now()
+					x.vms[j].receive(nameOf(i), msg)
 				}
 			})
 		}
 	}
 }
 
-func (x *player) calls() {
-	for range draw.Poisson(x.rng, max(x.p.wants, x.p.before)*tick.Seconds()) {
-		i, by := x.rng.IntN(x.p.vms), x.rng.Float64()*max(x.p.wants, x.p.before)
+func (x *simulation) issueCalls() {
+	for range draw.Poisson(x.rng, max(x.scenario.demandAfter, x.scenario.demandBefore)*tick.Seconds()) {
+		i, by := x.rng.IntN(x.scenario.vms), x.rng.Float64()*max(x.scenario.demandAfter, x.scenario.demandBefore)
 		w := x.vms[i]
-		if w == nil || !w.knows() && by > x.p.before || w.knows() && by > x.p.wants {
+		if w == nil || !w.knowsLimit() && by > x.scenario.demandBefore || w.knowsLimit() && by > x.scenario.demandAfter {
 			continue
 		}
 		if w.take() {
 			x.sends = append(x.sends, send{i, x.at})
-			x.answer(i, w)
+			x.respond(i, w)
 		}
 	}
 }
 
-// answer lets the target answer a request of a VM.
-func (x *player) answer(i int, w way) {
-	sent, life := x.now(), x.life[i]
-	head := x.after(x.p.slow)
-	x.later(head/2, func() {
-		says := x.p.limit(x.at)
-		x.later(head/2, func() {
-			if x.life[i] != life {
+// respond schedules the target's response to a request of VM i.
+func (x *simulation) respond(i int, w algorithm) {
+	sent, incarnation := x.now(), x.incarnation[i]
+	head := x.randomDelay(x.scenario.maxLatency)
+	x.schedule(head/2, func() {
+		limit := x.scenario.limit(x.at)
+		x.schedule(head/2, func() {
+			if x.incarnation[i] != incarnation {
 				return
 			}
-			if _, known := x.told[i]; !known && says.Announced {
-				x.told[i] = x.at
+			if _, known := x.informedAt[i]; !known && limit.Announced {
+				x.informedAt[i] = x.at
 			}
-			w.answered(says, sent)
+			w.observeResponse(limit, sent)
 		})
 	})
 }
 
-// worst looks at all windows that count. What was sent before the target named a limit is left
-// out: a target that got 8 a second is over a low limit by that alone.
-func (x *player) worst() float64 {
+// worstWindow returns the most requests in any window, as a fraction of what is tolerated. It
+// omits requests sent before the target announced a limit: 8 requests/s alone exceed a low one.
+func (x *simulation) worstWindow() float64 {
 	most := 0.0
-	for end := namedAt + contact; end < playFor; end += tick {
-		allowed, n := float64(toleratedN), 0.0
-		for t := end - window; t < end; t += tick {
-			l := x.p.limit(max(t, namedAt))
+	for end := announcedAt + bindsAfter; end < scenarioLength; end += tick {
+		allowed, n := float64(toleratedRequests), 0.0
+		for t := end - countWindow; t < end; t += tick {
+			l := x.scenario.limit(max(t, announcedAt))
 			if !l.Announced {
 				allowed = math.Inf(1)
 			}
 			allowed += tolerated * l.PerSecond * tick.Seconds()
 		}
 		for _, s := range x.sends {
-			told, known := x.told[s.vm]
-			if known && told <= end-toldFor && s.at <= end && s.at > end-window && s.at >= namedAt {
+			informed, known := x.informedAt[s.vm]
+			if known && informed <= end-informedFor && s.at <= end && s.at > end-countWindow && s.at >= announcedAt {
 				n++
 			}
 		}
@@ -243,15 +244,15 @@
 	return most
 }
 
-func (x *player) used() float64 {
+func (x *simulation) usedFraction() float64 {
 	got, limit := 0.0, 0.0
 	for _, s := range x.sends {
-		if s.at >= settled {
+		if s.at >= steadyFrom {
 			got++
 		}
 	}
-	for t := settled; t < playFor; t += tick {
-		limit += min(x.p.limit(t).PerSecond, x.p.wants) * tick.Seconds()
+	for t := steadyFrom; t < scenarioLength; t += tick {
+		limit += min(x.scenario.limit(t).PerSecond, x.scenario.demandAfter) * tick.Seconds()
 	}
 	return got / max(limit, 1e-9)
 }
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -9,48 +9,50 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// target is the one target of the plays.
+// target is the only target of the simulations.
 const target ids.Target = "t"
 
-// fewWay is the limiter that is used: few VMs send, each an equal part.
-type fewWay struct{ l *Limiter }
+// fewSenders is the limiter of this package: few VMs send, each an equal share.
+type fewSenders struct{ l *Limiter }
 
-func newFewWay(before float64) func(v *fleetView) way {
-	return func(v *fleetView) way {
+func newFewSenders(before float64) func(v *fleetView) algorithm {
+	return func(v *fleetView) algorithm {
 		l := New(v.now)
-		l.Position = func(ids.Target) Position { return v.standing() }
+		l.Position = func(ids.Target) Position { return v.position() }
 		l.RecentRate = func(ids.Target) float64 { return before }
-		return &fewWay{l}
+		return &fewSenders{l}
 	}
 }
 
-func (w *fewWay) take() bool                       { return w.l.Take(target) }
-func (w *fewWay) answered(l Limit, sent time.Time) { w.l.ObserveResponse(target, 1, l, sent) }
-func (w *fewWay) knows() bool                      { return len(w.l.Status()) > 0 }
-func (w *fewWay) tell() any {
-	if words := w.l.Reports(); len(words) > 0 {
-		return words
+func (w *fewSenders) take() bool { return w.l.Take(target) }
+func (w *fewSenders) observeResponse(l Limit, sent time.Time) {
+	w.l.ObserveResponse(target, 1, l, sent)
+}
+func (w *fewSenders) knowsLimit() bool { return len(w.l.Status()) > 0 }
+func (w *fewSenders) report() any {
+	if reports := w.l.Reports(); len(reports) > 0 {
+		return reports
 	}
 	return nil
 }
 
-func (w *fewWay) hear(_ ids.VM, said any) {
-	for _, word := range said.([]Report) {
-		w.l.ApplyReport(word)
+func (w *fewSenders) receive(_ ids.VM, msg any) {
+	for _, report := range msg.([]Report) {
+		w.l.ApplyReport(report)
 	}
 }
 
-// partsWay gives all VMs an equal part: each has a bucket of one request of its own.
-type partsWay struct {
+// equalShares gives all VMs an equal share, each with its own bucket of one request.
+type equalShares struct {
 	v      *fleetView
 	limit  Limit
 	credit float64
 	at     time.Time
 }
 
-func newPartsWay(v *fleetView) way { return &partsWay{v: v, credit: 1, at: v.now()} }
+func newEqualShares(v *fleetView) algorithm { return &equalShares{v: v, credit: 1, at: v.now()} }
 
-func (w *partsWay) take() bool {
+func (w *equalShares) take() bool {
 	if !w.limit.Announced {
 		return true
 	}
@@ -64,36 +66,36 @@
 	return true
 }
 
-func (w *partsWay) knows() bool                   { return w.limit.Announced }
-func (w *partsWay) answered(l Limit, _ time.Time) { w.limit = l }
-func (w *partsWay) tell() any                     { return nil }
-func (w *partsWay) hear(ids.VM, any)              {}
+func (w *equalShares) knowsLimit() bool                     { return w.limit.Announced }
+func (w *equalShares) observeResponse(l Limit, _ time.Time) { w.limit = l }
+func (w *equalShares) report() any                          { return nil }
+func (w *equalShares) receive(ids.VM, any)                  {}
 
-// aloneWay has each VM keep to the whole limit by itself.
-type aloneWay struct{ partsWay }
+// uncoordinated lets each VM use the whole limit.
+type uncoordinated struct{ equalShares }
 
-func newAloneWay(v *fleetView) way {
+func newUncoordinated(v *fleetView) algorithm {
 	alone := *v
 	alone.listed = 1
-	return &aloneWay{partsWay{v: &alone, credit: 1, at: v.now()}}
+	return &uncoordinated{equalShares{v: &alone, credit: 1, at: v.now()}}
 }
 
-// bucketWay is the bucket that bounds workspaces, over all VMs, thinned out by chance.
-type bucketWay struct {
-	fewWay // knows the limit
-	bucket *allowance.Limiter
-	rng    *rand.Rand
-	life   int64
-	seq    uint64
-	limit  Limit
+// sharedBucket is the probabilistic bucket that package allowance uses to limit workspaces.
+type sharedBucket struct {
+	fewSenders  // tracks the limit
+	bucket      *allowance.Limiter
+	rng         *rand.Rand
+	incarnation int64
+	seq         uint64
+	limit       Limit
 }
 
 const account ids.Workspace = "w"
 
-func newBucketWay(v *fleetView) way {
-	w := &bucketWay{
-		fewWay: *newFewWay(0)(v).(*fewWay), bucket: allowance.New(nameOf(v.self), v.now),
-		rng: rand.New(rand.NewPCG(uint64(v.self), 3)), life: v.now().UnixNano(),
+func newSharedBucket(v *fleetView) algorithm {
+	w := &sharedBucket{
+		fewSenders: *newFewSenders(0)(v).(*fewSenders), bucket: allowance.New(nameOf(v.self), v.now),
+		rng: rand.New(rand.NewPCG(uint64(v.self), 3)), incarnation: v.now().UnixNano(),
 	}
 	var all []ids.VM
 	for i := range v.listed {
@@ -103,15 +105,15 @@
 	return w
 }
 
-// bucketWord is what a VM of bucketWay tells.
-type bucketWord struct {
-	limits []Report
-	uses   []allowance.Use
-	life   int64
-	seq    uint64
+// bucketReport is the message of a VM of sharedBucket.
+type bucketReport struct {
+	limits      []Report
+	uses        []allowance.Use
+	incarnation int64
+	seq         uint64
 }
 
-func (w *bucketWay) learn() {
+func (w *sharedBucket) updateLimit() {
 	limit := Limit{}
 	for _, s := range w.l.Status() {
 		limit = PerSecond(s.PerSecond)
@@ -122,44 +124,44 @@
 	}
 }
 
-func (w *bucketWay) take() bool {
+func (w *sharedBucket) take() bool {
 	if !w.limit.Announced {
 		return true
 	}
 	return w.bucket.Take(allowance.Call{Workspace: account, Cost: 1}).Admitted
 }
 
-func (w *bucketWay) answered(l Limit, sent time.Time) {
-	w.fewWay.answered(l, sent)
-	w.learn()
+func (w *sharedBucket) observeResponse(l Limit, sent time.Time) {
+	w.fewSenders.observeResponse(l, sent)
+	w.updateLimit()
 }
 
-func (w *bucketWay) tell() any {
+func (w *sharedBucket) report() any {
 	w.bucket.Sweep()
 	w.seq++
-	return bucketWord{w.l.Reports(), w.bucket.OwnUse(), w.life, w.seq}
+	return bucketReport{w.l.Reports(), w.bucket.OwnUse(), w.incarnation, w.seq}
 }
 
-func (w *bucketWay) hear(from ids.VM, said any) {
-	word := said.(bucketWord)
-	w.fewWay.hear(from, word.limits)
-	w.bucket.RecordUse(from, word.life, word.seq, word.uses)
-	w.learn()
+func (w *sharedBucket) receive(from ids.VM, msg any) {
+	report := msg.(bucketReport)
+	w.fewSenders.receive(from, report.limits)
+	w.bucket.RecordUse(from, report.incarnation, report.seq, report.uses)
+	w.updateLimit()
 }
 
-func always(rate float64) func(time.Duration) Limit {
+func constantFrom(rate float64) func(time.Duration) Limit {
 	return func(t time.Duration) Limit {
-		if t < namedAt {
+		if t < announcedAt {
 			return Limit{}
 		}
 		return PerSecond(rate)
 	}
 }
 
-// basic is 90 VMs before a target that names 1.5 requests a second and looks idle.
-func basic() pattern {
-	return pattern{
-		vms: 90, before: 8, wants: 360, limit: always(1.5), loss: 0.03, gap: 450 * time.Millisecond, way: 40 * time.Millisecond, slow: 300 * time.Millisecond,
+// baseScenario is 90 VMs and a target that announces 1.5 requests/s and looks idle.
+func baseScenario() scenario {
+	return scenario{
+		vms: 90, demandBefore: 8, demandAfter: 360, limit: constantFrom(1.5), loss: 0.03, reportInterval: 450 * time.Millisecond, maxDelay: 40 * time.Millisecond, maxLatency: 300 * time.Millisecond,
 	}
 }
 
@@ -167,8 +169,8 @@
 	return func(t time.Duration) bool { return t >= from && t < till }
 }
 
-// cutIn cuts the fleet into parts from a moment on.
-func cutIn(parts int, from, till time.Duration) func(int, time.Duration) int {
+// partitionInto partitions the fleet into parts.
+func partitionInto(parts int, from, till time.Duration) func(int, time.Duration) int {
 	cut := between(from, till)
 	return func(vm int, t time.Duration) int {
 		if cut(t) {
@@ -178,52 +180,54 @@
 	}
 }
 
-// restless is the load on a target that names another limit with each answer.
-const restless = "90 VMs, another limit with each answer"
+// varyingLimit is the scenario of a target that announces another limit in each response.
+const varyingLimit = "90 VMs, another limit in each response"
 
-// patterns are the loads that the limiter answers.
-func patterns() map[string]pattern {
-	out := map[string]pattern{}
-	add := func(name string, change func(p *pattern)) {
-		p := basic()
+// scenarios returns the scenarios of the limiter by name.
+func scenarios() map[string]scenario {
+	out := map[string]scenario{}
+	add := func(name string, change func(p *scenario)) {
+		p := baseScenario()
 		change(&p)
 		out[name] = p
 	}
-	small := func(p *pattern) { p.vms, p.gap, p.before, p.wants = 6, 150*time.Millisecond, 6, 30 }
-	add("90 VMs", func(*pattern) {})
-	add("90 VMs, 0.2 a second", func(p *pattern) { p.limit = always(0.2) })
-	add("90 VMs, 12 a second", func(p *pattern) { p.limit = always(12) })
-	add("90 VMs, above what it gets", func(p *pattern) { p.limit, p.wants = always(60), 8 })
-	add("90 VMs, none at all", func(p *pattern) { p.limit = always(0) })
+	small := func(p *scenario) {
+		p.vms, p.reportInterval, p.demandBefore, p.demandAfter = 6, 150*time.Millisecond, 6, 30
+	}
+	add("90 VMs", func(*scenario) {})
+	add("90 VMs, 0.2 requests per second", func(p *scenario) { p.limit = constantFrom(0.2) })
+	add("90 VMs, 12 requests per second", func(p *scenario) { p.limit = constantFrom(12) })
+	add("90 VMs, limit above the demand", func(p *scenario) { p.limit, p.demandAfter = constantFrom(60), 8 })
+	add("90 VMs, limit of zero", func(p *scenario) { p.limit = constantFrom(0) })
 	add("6 VMs", small)
-	add("6 VMs, slow answers", func(p *pattern) { small(p); p.slow = 2 * time.Second })
-	add("380 VMs over the tree", func(p *pattern) { p.vms, p.way, p.wants = 380, 450*time.Millisecond, 1500 })
-	add("90 VMs, words lost", func(p *pattern) { p.loss = 0.3 })
-	add("90 VMs cut in four", func(p *pattern) { p.side = cutIn(4, 15*time.Second, 25*time.Second) })
-	add("90 VMs cut in four as it names its limit", func(p *pattern) { p.side = cutIn(4, 8*time.Second, 25*time.Second) })
-	add("6 VMs, each alone", func(p *pattern) { small(p); p.side = cutIn(6, 8*time.Second, 30*time.Second) })
-	add("90 VMs, all killed", func(p *pattern) {
+	add("6 VMs, slow responses", func(p *scenario) { small(p); p.maxLatency = 2 * time.Second })
+	add("380 VMs over the tree", func(p *scenario) { p.vms, p.maxDelay, p.demandAfter = 380, 450*time.Millisecond, 1500 })
+	add("90 VMs, messages lost", func(p *scenario) { p.loss = 0.3 })
+	add("90 VMs in four partitions", func(p *scenario) { p.partition = partitionInto(4, 15*time.Second, 25*time.Second) })
+	add("90 VMs in four partitions as the limit is announced", func(p *scenario) { p.partition = partitionInto(4, 8*time.Second, 25*time.Second) })
+	add("6 VMs, all partitioned", func(p *scenario) { small(p); p.partition = partitionInto(6, 8*time.Second, 30*time.Second) })
+	add("90 VMs, all killed", func(p *scenario) {
 		down := between(18*time.Second, 19*time.Second)
 		p.down = func(_ int, t time.Duration) bool { return down(t) }
 	})
-	add("90 VMs restarted in turn", func(p *pattern) {
+	add("90 VMs restarted in turn", func(p *scenario) {
 		p.down = func(vm int, t time.Duration) bool {
 			from := 14*time.Second + time.Duration(vm)*150*time.Millisecond
 			return between(from, from+800*time.Millisecond)(t)
 		}
 	})
-	add(restless, func(p *pattern) {
+	add(varyingLimit, func(p *scenario) {
 		p.limit = func(t time.Duration) Limit {
-			if t < namedAt {
+			if t < announcedAt {
 				return Limit{}
 			}
 			return PerSecond(1 + float64(t/tick%7)/4)
 		}
 	})
-	add("90 VMs, limit falls", func(p *pattern) {
+	add("90 VMs, limit falls", func(p *scenario) {
 		p.limit = func(t time.Duration) Limit {
 			switch {
-			case t < namedAt:
+			case t < announcedAt:
 				return Limit{}
 			case t < 20*time.Second:
 				return PerSecond(6)
@@ -235,54 +239,54 @@
 	return out
 }
 
-// TestPatterns plays each load with the limiter: in no window does the target get more than it
-// tolerates. Where the fleet is whole, four fifths of what it takes are used, and three fifths
-// where who sends changes with each answer.
-func TestPatterns(t *testing.T) {
-	for name, p := range patterns() {
+// TestScenarios simulates each scenario with the limiter. In no window may the target get more
+// than it tolerates. If no VM is down or partitioned, at least four fifths of the limit must be
+// used, or three fifths if the set of senders changes with each response.
+func TestScenarios(t *testing.T) {
+	for name, p := range scenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				f := play(p, seed, newFewWay(p.before))
-				t.Logf("seed %d: worst window %.2f of what is tolerated, %.2f used", seed, f.worst, f.used)
+				f := simulate(p, seed, newFewSenders(p.demandBefore))
+				t.Logf("seed %d: worst window %.2f of what is tolerated, %.2f of the limit used", seed, f.worst, f.used)
 				if f.worst > 1 {
-					t.Errorf("seed %d: the target got %.2f of what it tolerates", seed, f.worst)
+					t.Errorf("seed %d: the target got %.2f times what it tolerates", seed, f.worst)
 				}
-				least := 0.8
-				if name == restless {
-					least = 0.6
+				minUsed := 0.8
+				if name == varyingLimit {
+					minUsed = 0.6
 				}
-				if whole := p.side == nil && p.down == nil && p.limit(settled).PerSecond > 0; whole && f.used < least {
-					t.Errorf("seed %d: %.2f of the limit were used", seed, f.used)
+				if whole := p.partition == nil && p.down == nil && p.limit(steadyFrom).PerSecond > 0; whole && f.used < minUsed {
+					t.Errorf("seed %d: only %.2f of the limit was used", seed, f.used)
 				}
 			}
 		})
 	}
 }
 
-// ways are those that were weighed.
-var ways = []struct {
+// algorithms are the algorithms that were compared.
+var algorithms = []struct {
 	name  string
-	build func(before float64) func(v *fleetView) way
+	build func(before float64) func(v *fleetView) algorithm
 }{
-	{"few VMs, equal parts", newFewWay},
-	{"all VMs, equal parts", func(float64) func(v *fleetView) way { return newPartsWay }},
-	{"each VM by itself", func(float64) func(v *fleetView) way { return newAloneWay }},
-	{"one bucket, thinned out", func(float64) func(v *fleetView) way { return newBucketWay }},
+	{"few VMs, equal shares", newFewSenders},
+	{"all VMs, equal shares", func(float64) func(v *fleetView) algorithm { return newEqualShares }},
+	{"uncoordinated VMs", func(float64) func(v *fleetView) algorithm { return newUncoordinated }},
+	{"shared bucket, probabilistic", func(float64) func(v *fleetView) algorithm { return newSharedBucket }},
 }
 
-// TestWays compares the ways on loads that tell them apart, the same for all. Only the first
-// one, which is used, has to keep to the bound; TestPatterns plays it on all loads.
-func TestWays(t *testing.T) {
+// TestAlgorithms compares the algorithms in scenarios in which they differ. Only the first one,
+// which is in use, has to keep to the bound; TestScenarios runs it in all scenarios.
+func TestAlgorithms(t *testing.T) {
 	for _, name := range []string{"6 VMs", "90 VMs"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := patterns()[name]
-			for _, w := range ways {
-				f := play(p, 0, w.build(p.before))
-				t.Logf("%-26s worst window %5.2f of what is tolerated, used %.2f", w.name, f.worst, f.used)
-				if w.name == ways[0].name && f.worst > 1 {
-					t.Errorf("%s went %.2f beyond", w.name, f.worst)
+			p := scenarios()[name]
+			for _, w := range algorithms {
+				f := simulate(p, 0, w.build(p.demandBefore))
+				t.Logf("%-28s worst window %5.2f of what is tolerated, used %.2f", w.name, f.worst, f.used)
+				if w.name == algorithms[0].name && f.worst > 1 {
+					t.Errorf("%s: worst window %.2f of what is tolerated", w.name, f.worst)
 				}
 			}
 		})
