--- a/internal/allowance/fleet_test.go
+++ b/internal/allowance/fleet_test.go
@@ -57,12 +57,12 @@
 
 // result is the result of one simulation.
 type result struct {
-	overuse    float64 // largest use beyond the limit in a window, as a fraction of the tolerance; over 1: the bound is violated
-	shortfall  float64 // fraction of ideal that was not admitted
-	longRatio  float64 // fraction admitted of the longest tenth of calls, over that of all calls
-	messages   int
-	admitted   float64 // units
-	idealLevel float64 // units that one bucket for all VMs would have admitted
+	overuse   float64 // largest use beyond the limit in a window, as a fraction of the tolerance; over 1: the bound is violated
+	shortfall float64 // fraction of ideal that was not admitted
+	longRatio float64 // fraction admitted of the longest tenth of calls, over that of all calls
+	messages  int
+	admitted  float64 // units
+	ideal     float64 // units that one bucket for all VMs would have admitted
 }
 
 // simulation runs a scenario in virtual time.
@@ -80,12 +80,12 @@
 	listedCount int // number of listed VMs
 	limit       Limit
 
-	used    []float64 // units admitted, by tick
-	allowed []float64 // units at the limit's rate, by tick
-	bursts  []float64
-	ideal   float64 // level of one bucket for all VMs
-	out     result
-	sizes   []callResult
+	used       []float64 // units admitted, by tick
+	allowed    []float64 // units at the limit's rate, by tick
+	bursts     []float64
+	idealLevel float64 // level of one bucket for all VMs
+	out        result
+	calls      []callResult
 }
 
 type callResult struct {
@@ -111,7 +111,7 @@
 func simulate(p scenario, seed uint64, build func(vm int, now func() time.Time) algorithm) result {
 	x := run(p, seed, build)
 	x.out.overuse = x.maxOveruse()
-	x.out.shortfall = max(x.out.idealLevel-x.out.admitted, 0) / max(x.out.idealLevel, 1)
+	x.out.shortfall = max(x.out.ideal-x.out.admitted, 0) / max(x.out.ideal, 1)
 	x.out.longRatio = x.longCallRatio()
 	return x.out
 }
@@ -128,7 +128,7 @@
 			f()
 		}
 		delete(x.inTransit, x.at)
-		x.calls()
+		x.issueCalls()
 		if x.scenario.tree {
 			x.exchangeTotals()
 		} else {
@@ -176,8 +176,8 @@
 	x.listedCount = n
 }
 
-// calls lets callers ask.
-func (x *simulation) calls() {
+// issueCalls issues the calls of one tick.
+func (x *simulation) issueCalls() {
 	limit, dt := x.scenario.limit(x.at), tick.Seconds()
 	if limit != x.limit {
 		x.limit = limit
@@ -187,7 +187,7 @@
 			}
 		}
 	}
-	x.ideal = min(x.ideal+limit.Rate*dt, limit.Burst)
+	x.idealLevel = min(x.idealLevel+limit.Rate*dt, limit.Burst)
 	x.allowed, x.bursts, x.used = append(x.allowed, limit.Rate*dt), append(x.bursts, limit.Burst), append(x.used, 0)
 	for i, w := range x.vms {
 		for range draw.Poisson(x.rng, x.scenario.demand(i, x.at)*dt/x.scenario.meanCost) {
@@ -197,10 +197,10 @@
 			cost := x.scenario.meanCost * math.Exp(x.rng.NormFloat64()*0.8-0.32)
 			in := w.take(Call{Workspace: "w", Cost: cost})
 			counts := x.at >= startupTime
-			if x.ideal > 0 {
-				x.ideal -= cost
+			if x.idealLevel > 0 {
+				x.idealLevel -= cost
 				if counts {
-					x.out.idealLevel += cost
+					x.out.ideal += cost
 				}
 			}
 			if in {
@@ -209,7 +209,7 @@
 				}
 				x.used[len(x.used)-1] += cost
 			}
-			x.sizes = append(x.sizes, callResult{cost, in})
+			x.calls = append(x.calls, callResult{cost, in})
 		}
 	}
 }
@@ -325,7 +325,7 @@
 	// The longest tenth of a log-normal distribution of this width begins at 2.03 times its mean.
 	threshold := 2.03 * x.scenario.meanCost
 	var all, in, long, longIn float64
-	for _, s := range x.sizes {
+	for _, s := range x.calls {
 		all++
 		if s.admitted {
 			in++
