--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -9,22 +9,22 @@
 	"github.com/threadwall/threadwall/internal/storetest"
 )
 
-// next lets the one waiting call go on, after the pauses before it.
+// next decides the only waiting store call, after the pauses before it.
 func next(t *testing.T, s *storetest.Store, f storetest.Fate) {
 	t.Helper()
 	time.Sleep(time.Second)
 	synctest.Wait()
 	w := s.Waiting()
 	if len(w) != 1 {
-		t.Fatalf("%d calls wait", len(w))
+		t.Fatalf("%d store calls wait, want 1", len(w))
 	}
 	s.Decide(w[0], f)
 	synctest.Wait()
 }
 
-// A claim whose create was lost thrice on the way is refused with "not run". The
-// creates that land after that, and after the abandoned attempt was released,
-// must not keep the key from being used.
+// TestLateCreateOfAbandonedClaim delays all three creates of a claim, which is then
+// refused with "not run". Creates that arrive after the abandoned attempt was
+// released must not block the key.
 func TestLateCreateOfAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
@@ -32,26 +32,26 @@
 		first := m.start(0, "a", outcome.Ran)
 		for range resolveCalls {
 			next(t, m.store, storetest.Delayed) // create
-			next(t, m.store, storetest.Normal)  // read-back finds nothing
+			next(t, m.store, storetest.Normal)  // the read-back finds nothing
 		}
-		next(t, m.store, storetest.Normal) // the settler looks, and finds nothing
+		next(t, m.store, storetest.Normal) // the settler reads and finds nothing
 		m.store.Drain()
-		if !first.heard || first.told != outcome.NotRun {
-			t.Fatalf("told %v", first.told)
+		if !first.responded || first.reported != outcome.NotRun {
+			t.Fatalf("got %v, want not-run", first.reported)
 		}
 		second := m.start(1, "a", outcome.Ran)
 		m.store.Drain()
 		if !second.ran || m.runs["a"] != 1 {
-			t.Fatalf("second try told %v, %d runs", second.told, m.runs["a"])
+			t.Fatalf("second try got %v, %d runs", second.reported, m.runs["a"])
 		}
 	})
 }
 
-// resolveCalls is how often a lost write is repeated.
+// resolveCalls is how often objectapi sends a write whose fate is unknown.
 const resolveCalls = 3
 
-// The same for a claim that was to take over from an attempt that had not run:
-// its update must not land on the released record later.
+// TestLateUpdateOfAbandonedClaim does the same for a claim on a key whose previous
+// attempt had not run: its late update must not replace the released record.
 func TestLateUpdateOfAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
@@ -59,20 +59,20 @@
 		m.start(0, "a", outcome.NotRun)
 		m.store.Drain()
 		second := m.start(1, "a", outcome.Ran)
-		next(t, m.store, storetest.Normal) // create finds the released claim
-		next(t, m.store, storetest.Normal) // reads it
+		next(t, m.store, storetest.Normal) // the create finds the released claim
+		next(t, m.store, storetest.Normal) // the claim is read
 		for range resolveCalls {
 			next(t, m.store, storetest.Delayed) // update
-			next(t, m.store, storetest.Normal)  // read-back finds it untouched
+			next(t, m.store, storetest.Normal)  // the read-back finds it unchanged
 		}
 		m.store.Drain()
-		if !second.heard || second.told != outcome.NotRun {
-			t.Fatalf("told %v", second.told)
+		if !second.responded || second.reported != outcome.NotRun {
+			t.Fatalf("got %v, want not-run", second.reported)
 		}
 		third := m.start(2, "a", outcome.Ran)
 		m.store.Drain()
 		if !third.ran || m.runs["a"] != 1 {
-			t.Fatalf("third try told %v, %d runs", third.told, m.runs["a"])
+			t.Fatalf("third try got %v, %d runs", third.reported, m.runs["a"])
 		}
 	})
 }
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,28 +1,28 @@
-// Package claims lets a call that may not be repeated run at most once, across
-// the caller's retries through any VM, crashes, pauses and lost store answers.
+// Package claims runs a non-idempotent call at most once, across the caller's
+// retries through any VM, crashes, pauses and lost store responses.
 //
 // # Protocol
 //
 // A claim is one object of the platform's object API, keyed by workspace and
-// idempotency key. It names a one-use attempt.
+// idempotency key. It names an attempt that may be dispatched once.
 //
-//  1. Before the first byte goes to a target, a VM writes the claim: a create
-//     when there is none, a conditional update when the last attempt is known
-//     not to have run (StateReleased).
+//  1. Before it sends the first byte to a target, a VM writes the claim: a create
+//     if there is none, a conditional update if the last attempt is known not to
+//     have run (StateReleased).
 //  2. Only the goroutine that holds the attempt may dispatch it, once.
-//  3. After the attempt the holder settles the claim: Ran (with the answer when
+//  3. After the attempt the holder settles the claim: Ran (with the response if
 //     the template keeps it), Released (it did not run) or Unknown.
 //
 // # Invariants
 //
-//   - Nobody takes over an attempt in StateClaimed. A VM that dies between claim
-//     and settlement leaves the key claimed for good: its duplicates are told
-//     "unknown", and never run.
-//   - A claim leaves StateClaimed only by the hand of the VM that wrote it.
-//   - A VM that could not find out whether its claim was written refuses with
-//     not-run, which is true since it never dispatches that attempt. It settles
-//     the abandoned attempt as released later, in a way that also beats a write
-//     still under way: see Ledger.abandon.
+//   - No VM takes over an attempt in StateClaimed. A VM that crashes between claim
+//     and settlement leaves the key claimed for good: duplicates of the call get
+//     the outcome "unknown" and never run.
+//   - Only the VM that wrote a claim moves it out of StateClaimed.
+//   - A VM that could not determine whether its claim was written refuses with
+//     not-run, which is correct since it never dispatches that attempt. It later
+//     settles the abandoned attempt as released, in a way that also defeats a write
+//     that is still in transit: see Settler.abandon.
 //
 // spec/claims.pml models this protocol; its comments name the functions here.
 package claims
@@ -42,49 +42,48 @@
 	"github.com/threadwall/threadwall/internal/outcome"
 )
 
-// Prefix is where claims live in the object API.
+// Prefix is the key prefix of claims in the object API.
 const Prefix = "claims/"
 
-// State is what is known of a claim's latest attempt.
+// State is the state of a claim's latest attempt.
 type State string
 
-// The states.
 const (
-	StateClaimed  State = "claimed"  // it may run, or have run
+	StateClaimed  State = "claimed"  // it may run or have run
 	StateReleased State = "released" // it did not run and never will
 	StateRan      State = "ran"
-	StateUnknown  State = "unknown" // it may have run; nobody works on it
+	StateUnknown  State = "unknown" // it may have run, and no VM is working on it
 )
 
-// Response is a recorded answer of a plain service.
+// Response is the recorded response of a service call.
 type Response struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	Kept        bool   `json:"kept"` // false: only the fact is recorded
+	Kept        bool   `json:"kept"` // false: the body was not kept
 }
 
 // Record is a claim as stored.
 type Record struct {
 	Attempt  ids.Attempt `json:"attempt"`
-	BodyHash string      `json:"body_hash"` // of method, path and body
+	BodyHash string      `json:"body_hash"` // of method, path and body, by HashCall
 	State    State       `json:"state"`
 	VM       ids.VM      `json:"vm"`
-	Deadline time.Time   `json:"deadline"` // of the attempt, by the VM's clock
-	KeyTime  time.Time   `json:"key_time"` // of a UUIDv7 key; zero: kept for good
+	Deadline time.Time   `json:"deadline"` // of the attempt, by the clock of VM
+	KeyTime  time.Time   `json:"key_time"` // of a UUIDv7 key; zero: the claim is kept for good
 	Response *Response   `json:"answer,omitempty"`
 }
 
-// Call identifies what a caller asked for.
+// Call identifies the call of a caller.
 type Call struct {
 	Workspace ids.Workspace
 	Key       string // idempotency key
-	BodyHash  string
+	BodyHash  string // by HashCall
 	Deadline  time.Time
 	KeyTime   time.Time
 }
 
-// Held is the right to dispatch one attempt once.
+// Held is a held claim: the right to dispatch one attempt once.
 type Held struct {
 	Attempt ids.Attempt
 	key     string
@@ -92,13 +91,13 @@
 	version objectapi.Revision
 }
 
-// AlreadyRan is returned by Ledger.Claim when the call ran before.
+// AlreadyRan is the error of Ledger.Claim for a call that ran before, with its recorded response.
 type AlreadyRan struct{ Response Response }
 
-// Error implements error.
+// Error implements the error interface.
 func (*AlreadyRan) Error() string { return "the call ran before" }
 
-// Ledger claims and settles for one VM. Safe for concurrent use.
+// Ledger claims and settles the calls of one VM. It is safe for concurrent use.
 type Ledger struct {
 	store   objectapi.Store
 	vm      ids.VM
@@ -106,8 +105,8 @@
 	now     func() time.Time
 }
 
-// NewLedger returns a ledger over the store. Claims that can't be settled at once
-// go to settler.
+// NewLedger returns a ledger on the store. Claims that cannot be settled at once
+// go to settler. If now is nil, time.Now is used.
 func NewLedger(store objectapi.Store, vm ids.VM, settler *Settler, now func() time.Time) *Ledger {
 	if now == nil {
 		now = time.Now
@@ -115,8 +114,8 @@
 	return &Ledger{store: store, vm: vm, settler: settler, now: now}
 }
 
-// ObjectKey is where a claim is stored. The caller's key is hashed, so it may
-// hold any characters.
+// ObjectKey returns the object key of a claim. It hashes the caller's key, which
+// may contain any characters.
 func ObjectKey(ws ids.Workspace, key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return Prefix + string(ws) + "/" + hex.EncodeToString(sum[:16])
@@ -130,16 +129,15 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// retryInProgress is when a duplicate of a running call should come back.
+// retryInProgress is the retry delay for a duplicate of a running call.
 const retryInProgress = time.Second
 
-// retryStoreDown is when a caller should come back after a store failure.
+// retryStoreDown is the retry delay after a store failure.
 const retryStoreDown = 2 * time.Second
 
-// Claim writes a claim for a fresh attempt. It returns *AlreadyRan when the call
-// ran before, and *outcome.Error otherwise: not-run when this call certainly did
-// not and does not run, unknown when an earlier attempt of the same call may
-// have.
+// Claim writes a claim for a new attempt. The error is *AlreadyRan if the call ran
+// before, and *outcome.Error otherwise: not-run if this call certainly did not and
+// will not run, unknown if an earlier attempt of the same call may have run.
 func (l *Ledger) Claim(ctx context.Context, c Call) (*Held, error) {
 	rec := Record{
 		Attempt: ids.NewAttempt(), BodyHash: c.BodyHash, State: StateClaimed,
@@ -153,7 +151,7 @@
 	return l.held(key, rec, obj, err)
 }
 
-// claimExisting decides by what an earlier attempt left behind.
+// claimExisting decides by the stored claim of an earlier attempt.
 func (l *Ledger) claimExisting(ctx context.Context, key string, rec Record, obj objectapi.Object) (*Held, error) {
 	var old Record
 	if err := json.Unmarshal(obj.Value, &old); err != nil {
@@ -184,7 +182,7 @@
 	return outcome.New(outcome.Unknown, outcome.CodeInProgress, "claim", "", "a call with this idempotency key is running").After(retryInProgress)
 }
 
-// held turns the end of a claiming write into a Held or a true refusal.
+// held turns the result of a claiming write into a Held or a correct refusal.
 func (l *Ledger) held(key string, rec Record, obj objectapi.Object, err error) (*Held, error) {
 	if err == nil {
 		return &Held{Attempt: rec.Attempt, key: key, record: rec, version: obj.Version}, nil
@@ -196,9 +194,8 @@
 		"the call can't be recorded, so it was not run").After(retryStoreDown)
 }
 
-// Settle records how the attempt ended. It never fails towards the caller: what
-// can't be written now is left to the settler, and until then the claim stays
-// claimed, which is safe.
+// Settle records how the attempt ended. It reports no failure: the settler retries
+// a write that fails now, and until then the claim stays claimed, which is safe.
 func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, a *Response) {
 	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), answer: a}
 	if err := l.settler.settle(ctx, s); err != nil {
@@ -220,12 +217,13 @@
 func (r Record) encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(eris.Wrap(err, "encode claim")) // plain data: can't fail
+		panic(eris.Wrap(err, "encode claim")) // plain data cannot fail to encode
 	}
 	return b
 }
 
-// isMine compares the attempt, which is unique to one call of Claim.
+// isMine reports whether stored holds the attempt of r, which is unique to one call
+// of Claim.
 func (r Record) isMine(stored []byte) bool {
 	var s Record
 	return json.Unmarshal(stored, &s) == nil && s.Attempt == r.Attempt
--- a/internal/claims/expiry.go
+++ b/internal/claims/expiry.go
@@ -10,19 +10,19 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// A claim may be deleted only when no duplicate of its call can be accepted any
-// more. Only a key that carries its own time allows that: a UUIDv7 older than
-// the template's retention is refused as expired, on every VM, before its claim
-// is looked up. Claims of other keys are kept for good.
+// A claim may be deleted only if no VM can accept a duplicate of its call any more.
+// Only a key that contains its own time allows that: every VM refuses a UUIDv7 older
+// than the template's retention as expired before it looks up the claim. Claims of
+// other keys are kept for good.
 const (
-	// expirySlack is how much longer than the retention a claim is kept. It must
-	// exceed the clock error between VMs plus the longest request.
+	// expirySlack is the time that a claim is kept beyond the retention. It must
+	// exceed the clock skew between VMs plus the longest request.
 	expirySlack = time.Hour
-	// maxAhead is how far in the future a key's time may lie.
+	// maxAhead is how far in the future the time of a key may be.
 	maxAhead = 5 * time.Minute
 )
 
-// KeyTime returns the time in a UUIDv7 key, or zero for any other key.
+// KeyTime returns the time in a UUIDv7 key, or the zero time for any other key.
 func KeyTime(key string) time.Time {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
@@ -32,7 +32,8 @@
 	return time.Unix(sec, nsec)
 }
 
-// Expired tells whether a key's time makes it unacceptable.
+// Expired reports whether a key must be refused because its time is older than
+// retention or more than maxAhead in the future. A zero keyTime never expires.
 func Expired(keyTime, now time.Time, retention time.Duration) bool {
 	if keyTime.IsZero() {
 		return false
@@ -40,9 +41,9 @@
 	return now.Sub(keyTime) > retention || keyTime.Sub(now) > maxAhead
 }
 
-// Sweep deletes claims under prefix that no call can refer to any more, at most
-// limit of them, and returns how many. Several VMs may sweep at once: each
-// delete is conditional on the version that was judged.
+// Sweep deletes at most limit claims under prefix that no call can refer to any
+// more, and returns how many it deleted. Several VMs may sweep at once: each delete
+// is conditional on the version that was read.
 func Sweep(ctx context.Context, s objectapi.Store, prefix string, now time.Time, retention time.Duration, limit int) (int, error) {
 	objects, _, err := s.List(ctx, prefix)
 	if err != nil {
--- a/internal/claims/fuzz_test.go
+++ b/internal/claims/fuzz_test.go
@@ -22,29 +22,29 @@
 	m.Run()
 }
 
-// try is one caller's try of one call through one VM, as the oracle sees it.
+// try is one caller's try of a call through one VM, as the oracle sees it.
 type try struct {
-	key   string
-	dead  atomic.Bool // the VM died: nothing it would do later happens
-	ran   bool        // this try dispatched, and the target ran the call
-	told  outcome.Outcome
-	heard bool // the caller got an answer
+	key       string
+	crashed   atomic.Bool // the VM crashed and does nothing more
+	ran       bool        // this try dispatched, and the target ran the call
+	reported  outcome.Outcome
+	responded bool // the caller got a response
 }
 
-// model runs tries against the real ledger with a store whose every call's order
-// and fate is drawn.
+// model runs tries against the real ledger, with a store for which the test chooses
+// the order and fate of every call.
 type model struct {
-	mu       sync.Mutex // of runs and of the fields of tries
+	mu       sync.Mutex // guards runs and the fields of tries
 	store    *storetest.Store
 	runs     map[string]int
 	tries    []*try
 	weather  storetest.Weather
-	deaths   bool
+	crashes  bool
 	maxTries int
 }
 
-// start begins a try in a goroutine, as a VM's request handler would. end draws
-// what becomes of the dispatch.
+// start begins a try in a goroutine, as a VM's request handler would. end is
+// the outcome of the dispatch.
 func (m *model) start(vm int, key string, end outcome.Outcome) *try {
 	x := &try{key: key}
 	store := m.store.As(len(m.tries))
@@ -55,19 +55,19 @@
 		ctx := context.Background()
 		defer drainSettler(ctx, settler, x)
 		held, err := l.Claim(ctx, Call{Workspace: "w", Key: key, BodyHash: "h", Deadline: time.Now().Add(time.Hour)})
-		if x.dead.Load() {
+		if x.crashed.Load() {
 			return
 		}
 		if err != nil {
 			m.refused(x, err)
 			return
 		}
-		if end != outcome.NotRun { // an unknown end may have run: the worst case
+		if end != outcome.NotRun { // an unknown outcome counts as run, which is the worst case
 			m.locked(func() { m.runs[key]++; x.ran = true })
 		}
 		l.Settle(ctx, held, end, &Response{})
-		if !x.dead.Load() {
-			m.locked(func() { x.told, x.heard = end, true })
+		if !x.crashed.Load() {
+			m.locked(func() { x.reported, x.responded = end, true })
 		}
 	}()
 	return x
@@ -81,33 +81,33 @@
 
 func (m *model) refused(x *try, err error) {
 	m.locked(func() {
-		x.told, x.heard = outcome.Of(err).Outcome, true
+		x.reported, x.responded = outcome.Of(err).Outcome, true
 		var ran *AlreadyRan
 		if errors.As(err, &ran) {
-			x.told = outcome.Ran
+			x.reported = outcome.Ran
 		}
 	})
 }
 
-// drainSettler settles what is left, as the VM's settler duty would.
+// drainSettler writes the pending settlements, as Settler.Run does on a VM.
 func drainSettler(ctx context.Context, s *Settler, x *try) {
-	for s.Pending() > 0 && !x.dead.Load() {
+	for s.Pending() > 0 && !x.crashed.Load() {
 		if item := <-s.ring.Out(); s.settle(ctx, item) != nil {
 			s.put(item)
 		}
 	}
 }
 
-// TestAtMostOnce draws tries of few keys through several VMs, and for every call
-// at the store its order and fate, with VMs that die between any two calls, and
-// late writes that land at any time.
+// TestAtMostOnce generates tries of few keys through several VMs, and the order and
+// fate of every store call, with VMs that crash between any two calls and late writes
+// that take effect at any time.
 func TestAtMostOnce(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
 		defer m.store.Drain()
 		m.weather = storetest.DrawWeather(rt)
 		m.maxTries = rapid.SampledFrom([]int{1, 2, 3, 20}).Draw(rt, "tries")
-		m.deaths = rapid.Bool().Draw(rt, "deaths")
+		m.crashes = rapid.Bool().Draw(rt, "crashes")
 		steps := rapid.IntRange(10, 120).Draw(rt, "steps")
 		for range steps {
 			m.step(rt)
@@ -130,8 +130,8 @@
 		end := rapid.SampledFrom([]outcome.Outcome{outcome.Ran, outcome.Ran, outcome.NotRun, outcome.Unknown}).Draw(rt, "end")
 		m.start(rapid.IntRange(0, 2).Draw(rt, "vm"), rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key"), end)
 	case 3:
-		if m.deaths && len(m.tries) > 0 {
-			m.tries[rapid.IntRange(0, len(m.tries)-1).Draw(rt, "dies")].dead.Store(true)
+		if m.crashes && len(m.tries) > 0 {
+			m.tries[rapid.IntRange(0, len(m.tries)-1).Draw(rt, "crash")].crashed.Store(true)
 		}
 	case 4, 5:
 		if n := m.store.Late(); n > 0 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// check holds what must be true at every moment.
+// check verifies the invariants that hold at every moment.
 func (m *model) check(rt *rapid.T) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,21 +157,21 @@
 		}
 	}
 	for i, x := range m.tries {
-		if x.heard && x.told == outcome.NotRun && x.ran {
-			rt.Fatalf("try %d of %s was told not-run and ran", i, x.key)
+		if x.responded && x.reported == outcome.NotRun && x.ran {
+			rt.Fatalf("try %d of %s reported not-run and ran", i, x.key)
 		}
-		if x.heard && x.told == outcome.Ran && m.runs[x.key] == 0 {
-			rt.Fatalf("try %d of %s was told that it ran, and it did not", i, x.key)
+		if x.responded && x.reported == outcome.Ran && m.runs[x.key] == 0 {
+			rt.Fatalf("try %d of %s reported ran and did not run", i, x.key)
 		}
 	}
 }
 
-// finish checks, with the store healthy again and all settled, that a key which
-// never ran can still be used unless a VM died with it: a refused call is not lost.
+// finish checks, with a healthy store and all claims settled, that a key whose call
+// never ran can still be used unless a VM crashed with it: a refused call is not lost.
 func (m *model) finish(rt *rapid.T) {
 	open := map[string]bool{}
 	for _, x := range m.tries {
-		if x.dead.Load() {
+		if x.crashed.Load() {
 			open[x.key] = true
 		}
 	}
@@ -181,7 +181,7 @@
 		m.store.Drain()
 		m.check(rt)
 		if before == 0 && !open[key] && !last.ran {
-			rt.Fatalf("key %s never ran and no try of it is open, and yet it was told %v", key, last.told)
+			rt.Fatalf("key %s never ran and no try of it is open, but a new try got %v", key, last.reported)
 		}
 	}
 }
--- a/internal/claims/settler.go
+++ b/internal/claims/settler.go
@@ -13,49 +13,49 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// settlement is one claim's end that is still to be written.
+// settlement is the final state of a claim that is still to be written.
 type settlement struct {
 	key       string
 	record    Record
-	version   objectapi.Revision // of the claim; unknown if abandoned
+	version   objectapi.Revision // of the stored claim; unknown if abandoned
 	state     State
 	answer    *Response
 	abandoned bool // the claim may or may not have been written
 }
 
-// Settler writes the ends of claims, again and again through an outage of the
-// store. What it holds when the VM dies is lost; the claims then stay claimed,
-// and their duplicates are answered "unknown".
+// Settler writes the final states of claims and retries during an outage of the
+// store. If the VM crashes, its pending settlements are lost: their claims stay
+// claimed, and duplicates of the calls get the outcome "unknown".
 type Settler struct {
-	store  objectapi.Store
-	ring   *ring.Ring[settlement]
-	inHand atomic.Int64 // taken off the ring, and not yet written or put back
+	store   objectapi.Store
+	ring    *ring.Ring[settlement]
+	writing atomic.Int64 // taken off the ring and not yet written or put back
 }
 
-// settlerQueue is how many settlements may wait for the store.
+// settlerQueue is the number of settlements that may wait for the store.
 const settlerQueue = 4096
 
-// Backoff between tries, jittered.
+// Bounds of the jittered exponential backoff between writes.
 const (
 	settleBackoffMin = 50 * time.Millisecond
 	settleBackoffMax = 5 * time.Second
 )
 
-// NewSettler returns a settler; Run must be called once.
+// NewSettler returns a settler. The caller must call Run once.
 func NewSettler(store objectapi.Store) *Settler {
 	return &Settler{store: store, ring: ring.New[settlement](settlerQueue)}
 }
 
-// Pending returns how many claims wait to be settled, the one that is being
-// written included: a shutdown that waits for none must not cut it off.
-func (s *Settler) Pending() int { return s.ring.Len() + int(s.inHand.Load()) }
+// Pending returns the number of claims to be settled, including the one that is
+// being written, which a graceful shutdown must not interrupt.
+func (s *Settler) Pending() int { return s.ring.Len() + int(s.writing.Load()) }
 
-// Dropped returns how many settlements overflow has cost.
+// Dropped returns the number of settlements lost because the queue was full.
 func (s *Settler) Dropped() uint64 { return s.ring.Dropped() }
 
 func (s *Settler) put(x settlement) { s.ring.TryPut(x) }
 
-// Run settles until ctx ends.
+// Run writes settlements until ctx ends.
 func (s *Settler) Run(ctx context.Context) {
 	backoff := settleBackoffMin
 	for {
@@ -63,12 +63,12 @@
 		case <-ctx.Done():
 			return
 		case x := <-s.ring.Out():
-			s.inHand.Add(1)
+			s.writing.Add(1)
 			err := s.settle(ctx, x)
 			if err != nil {
 				s.put(x)
 			}
-			s.inHand.Add(-1)
+			s.writing.Add(-1)
 			if err == nil {
 				backoff = settleBackoffMin
 				continue
@@ -81,8 +81,8 @@
 	}
 }
 
-// settle makes one try. A nil error means that the end is written, or that it
-// can't matter any more.
+// settle writes x once. A nil error means that the state is stored or no longer
+// matters.
 func (s *Settler) settle(ctx context.Context, x settlement) error {
 	if x.abandoned {
 		return s.abandon(ctx, x)
@@ -98,16 +98,16 @@
 	}
 	_, err := objectapi.ResolveUpdate(ctx, s.store, x.key, end.encode(), x.version, mine)
 	if errors.Is(err, objectapi.ErrConflict) {
-		return nil // somebody deleted the claim: it had expired
+		return nil // the claim had expired and was deleted
 	}
 	return err
 }
 
-// abandon releases an attempt whose claiming write was ambiguous and which was
-// never dispatched. The write may be stored, lost or still under way. If it is
-// not stored, a released record is created in its place: a create still under
-// way then finds the key taken and fails, and an update still under way finds
-// another version.
+// abandon releases an attempt that was never dispatched because its claiming write
+// was ambiguous. The write may be stored, lost or still in transit. If it is not
+// stored, abandon creates a released record in its place: a create in transit then
+// fails because the key exists, and an update in transit fails because the version
+// differs.
 func (s *Settler) abandon(ctx context.Context, x settlement) error {
 	released := x.record
 	released.State = StateReleased
@@ -118,7 +118,7 @@
 			return json.Unmarshal(b, &r) == nil && r.Attempt == released.Attempt && r.State == StateReleased
 		})
 		if errors.Is(err, objectapi.ErrExists) {
-			return errors.New("claim appeared, look again")
+			return errors.New("claim was created concurrently, retry")
 		}
 		return err
 	}
@@ -130,8 +130,9 @@
 		return nil
 	}
 	if current.Attempt != released.Attempt {
-		// Another attempt holds the key, or the one before ours is still on
-		// record. A version moved by our rewrite makes a late update fail.
+		// Another attempt holds the key, or the record of the previous attempt is
+		// still stored. Rewriting that one changes its version, so that a late
+		// update fails.
 		if current.State != StateReleased {
 			return nil
 		}
--- a/internal/claims/settler_test.go
+++ b/internal/claims/settler_test.go
@@ -8,9 +8,9 @@
 	"github.com/threadwall/threadwall/internal/storetest"
 )
 
-// A settlement that is being written counts as pending until its write has ended:
-// a graceful shutdown waits for it.
-func TestSettlementInHandIsPending(t *testing.T) {
+// TestSettlementInProgressIsPending checks that a settlement counts as pending until
+// its write has ended, since a graceful shutdown waits for it.
+func TestSettlementInProgressIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := storetest.New()
 		s := NewSettler(store.As(0))
@@ -19,9 +19,9 @@
 		s.put(settlement{key: "k", record: Record{Attempt: "a"}, version: 1, state: StateRan})
 		synctest.Wait()
 		if len(store.Waiting()) != 1 || s.Pending() != 1 {
-			t.Errorf("%d writes under way, %d pending", len(store.Waiting()), s.Pending())
+			t.Errorf("%d writes in progress, %d pending; want 1 and 1", len(store.Waiting()), s.Pending())
 		}
-		store.Drain() // nothing is stored at that key: the claim has gone, and so has its end
+		store.Drain() // nothing is stored at that key: the claim is gone, so its state no longer matters
 		if s.Pending() != 0 {
 			t.Errorf("%d pending after the write", s.Pending())
 		}
