--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -100,7 +100,7 @@
 
 // admitProbability returns the fraction of calls to admit.
 //
-// A VM with few responsive peers must not admit its first call regardless of cost: 90 VMs that
+// A VM with few responsive peers must not admit its first call whatever the call costs: 90 VMs that
 // were killed and restarted, each with a ninetieth of the limit, would admit 90 prompts, which
 // is the limit of four seconds. The call's own cost therefore counts as demand, in proportion
 // to the fraction of the limit that is reserved for other VMs.
