--- a/internal/allowance/ways_test.go
+++ b/internal/allowance/ways_test.go
@@ -14,7 +14,8 @@
 	return &limiterAlgorithm{New(nameOf(vm), now)}
 }
 
-// newThresholdAlgorithm returns the limiter with a verdict that admits every call while the level is positive.
+// newThresholdAlgorithm returns the limiter with a verdict that admits every call while the level
+// is positive.
 func newThresholdAlgorithm(vm int, now func() time.Time) algorithm {
 	l := New(nameOf(vm), now)
 	l.decide = func(s State, _ float64) Verdict { return Verdict{Admitted: s.Level > 0} }
