--- a/internal/allowance/bench_test.go
+++ b/internal/allowance/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// benchLimiter knows vms VMs that tell of the use of all workspaces.
+// benchLimiter returns a limiter with vms peers, each of which has reported use of all workspaces.
 func benchLimiter(vms, workspaces int) (*Limiter, []Use, []ids.Workspace) {
 	l := New("self", nil)
 	var names []ids.VM
@@ -26,12 +26,12 @@
 	}
 	l.SetLimits(limits)
 	for i := range vms {
-		l.Heard(names[i], 1, 1, uses)
+		l.RecordUse(names[i], 1, 1, uses)
 	}
 	return l, uses, spaces
 }
 
-// BenchmarkTake is one verdict on a VM of 90, with 16 workspaces.
+// BenchmarkTake measures one verdict on a VM of 90, with 16 workspaces.
 func BenchmarkTake(b *testing.B) {
 	l, _, spaces := benchLimiter(89, 16)
 	i := 0
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkHeard takes in one word of a peer about all workspaces, in fleets whose VMs tell each
-// other (90, 16 workspaces) and in one of 580 workspaces.
+// BenchmarkHeard measures one report of a peer on all workspaces, in a fleet of 90 VMs that report
+// to each other directly, with 16 and with 580 workspaces.
 func BenchmarkHeard(b *testing.B) {
 	for _, n := range []int{16, 580} {
 		b.Run(fmt.Sprint(n, " workspaces"), func(b *testing.B) {
@@ -50,16 +50,16 @@
 			seq := uint64(1)
 			for b.Loop() {
 				seq++
-				l.Heard("vm0", 1, seq, uses)
+				l.RecordUse("vm0", 1, seq, uses)
 			}
 		})
 	}
 }
 
-// BenchmarkHeardFleet takes in one total of a tree of 380 VMs.
+// BenchmarkHeardFleet measures one total of a tree of 380 VMs.
 func BenchmarkHeardFleet(b *testing.B) {
 	l, uses, _ := benchLimiter(379, 580)
 	for b.Loop() {
-		l.HeardFleet(uses)
+		l.RecordFleetUse(uses)
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -275,12 +275,12 @@
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.leaseLapse, OnLeaseLapse: d.onLeaseLapse, Crashes: d.crashes, Allowances: d.allowances,
-		Limits: d.Fleet.Members.Limits.Told, OnLimit: d.onLimit,
+		Limits: d.Fleet.Members.Limits.Reports, OnLimit: d.onLimit,
 		Resolve: d.resolve, CacheChanges: d.cacheChanges, OnCacheChange: d.Fleet.Cache.ApplyPeerChange,
 	}
 	d.vms.d = d
 	d.buildCanaries()
-	d.Fleet.Members.Limits.Standing = d.limitPosition
+	d.Fleet.Members.Limits.Position = d.limitPosition
 	d.buildReader()
 	d.ready.set(false, "starting")
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -7,7 +7,7 @@
 )
 
 // limitPosition returns this VM's rank among the VMs that send to a target with a rate limit.
-func (d *Daemon) limitPosition(id ids.Target) ratelimit.Standing {
+func (d *Daemon) limitPosition(id ids.Target) ratelimit.Position {
 	domain, _ := d.domainOfTarget(id)
 	return d.vms.limitPosition(id, domain)
 }
@@ -18,14 +18,14 @@
 
 // limitPosition implements Daemon.limitPosition. VMs of the target's failure domain rank first,
 // since their calls do not cross failure domains.
-func (c *vmList) limitPosition(id ids.Target, domain ids.FailureDomain) ratelimit.Standing {
+func (c *vmList) limitPosition(id ids.Target, domain ids.FailureDomain) ratelimit.Position {
 	listed := c.count()
 	if listed == 0 {
-		return ratelimit.Standing{Rank: assumedFleetSize, Living: 1, Listed: assumedFleetSize}
+		return ratelimit.Position{Rank: assumedFleetSize, Live: 1, Listed: assumedFleetSize}
 	}
 	alive := c.live()
-	return ratelimit.Standing{
-		Rank: alive.rankOf(id, domain, c.d.Settings.VM), Living: len(alive.domain), Listed: max(listed, len(alive.domain)),
+	return ratelimit.Position{
+		Rank: alive.rankOf(id, domain, c.d.Settings.VM), Live: len(alive.domain), Listed: max(listed, len(alive.domain)),
 	}
 }
 
@@ -52,10 +52,10 @@
 }
 
 // onLimit applies a peer's report of a target's rate limit.
-func (d *Daemon) onLimit(w ratelimit.Word) {
+func (d *Daemon) onLimit(w ratelimit.Report) {
 	if !d.Fleet.ApplyPeerLimit(w) {
 		return
 	}
 	d.Log.Belief("replica-limit").Str("target", string(w.Target)).Uint64("incarnation", uint64(w.Incarnation)).Str("from", "news").
-		Bool("limited", w.Limit.Named).Float64("limit_per_s", w.Limit.PerSecond).Int64("age_ms", w.Age.Milliseconds()).Send()
+		Bool("limited", w.Limit.Announced).Float64("limit_per_s", w.Limit.PerSecond).Int64("age_ms", w.Age.Milliseconds()).Send()
 }
--- a/internal/forward/allowance.go
+++ b/internal/forward/allowance.go
@@ -32,8 +32,8 @@
 	r.f.Log.Request("over-allowance", string(r.call.ID)).Str("workspace", string(call.Workspace)).Float64("cost", call.Cost).
 		Float64("rate", decision.Limit.Rate).Float64("burst", decision.Limit.Burst).Float64("left", decision.Level).
 		Float64("demand", decision.Demand).Float64("reserved", decision.Reserved).Int64("age_ms", decision.Age.Milliseconds()).
-		Int64("come_back_ms", decision.ComeBack.Milliseconds()).Send()
-	return outcome.New(outcome.NotRun, outcome.CodeRateLimited, stepAllowance, "", "the workspace is over its allowance").After(decision.ComeBack)
+		Int64("come_back_ms", decision.RetryAfter.Milliseconds()).Send()
+	return outcome.New(outcome.NotRun, outcome.CodeRateLimited, stepAllowance, "", "the workspace is over its allowance").After(decision.RetryAfter)
 }
 
 // refundUnused returns the charge of a call that ran on no target.
--- a/internal/news/limits.go
+++ b/internal/news/limits.go
@@ -19,11 +19,11 @@
 	AgeMs       int64
 }
 
-func wireLimits(vm ids.VM, limits []ratelimit.Word) []wireLimit {
+func wireLimits(vm ids.VM, limits []ratelimit.Report) []wireLimit {
 	var out []wireLimit
 	for _, w := range limits {
 		out = append(out, wireLimit{
-			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Limited: w.Limit.Named, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
+			VM: shortenVM(vm), Target: shorten(w.Target), Incarnation: w.Incarnation, Limited: w.Limit.Announced, PerSecond: w.Limit.PerSecond, AgeMs: w.Age.Milliseconds(),
 		})
 	}
 	return out
@@ -31,8 +31,8 @@
 
 // limit is the inverse of wireLimits for one target. ratelimit.PerSecond marks a rate that is not
 // valid as garbled.
-func (w *wireLimit) limit(t ids.Target) ratelimit.Word {
-	out := ratelimit.Word{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
+func (w *wireLimit) limit(t ids.Target) ratelimit.Report {
+	out := ratelimit.Report{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
 	if w.Limited {
 		out.Limit = ratelimit.PerSecond(w.PerSecond)
 	}
--- a/internal/news/limits_test.go
+++ b/internal/news/limits_test.go
@@ -14,13 +14,13 @@
 	x := newExchange()
 	x.SetPeers([]Peer{{VM: "vm1", Addr: "a:2"}})
 	x.Unresponsive, x.RecentWeights = func() []ids.Target { return nil }, func() []RecentWeights { return nil }
-	var got []ratelimit.Word
-	x.OnLimit = func(w ratelimit.Word) { got = append(got, w) }
-	want := []ratelimit.Word{
+	var got []ratelimit.Report
+	x.OnLimit = func(w ratelimit.Report) { got = append(got, w) }
+	want := []ratelimit.Report{
 		{Target: "e1", Incarnation: 3, Limit: ratelimit.PerSecond(1.3), Age: 250 * time.Millisecond},
 		{Target: "e2", Incarnation: 1, Age: time.Second},
 	}
-	x.handleMessage(t, Message{VM: "vm1", Incarnation: 1, Seq: 1, Limits: append(want, ratelimit.Word{Target: "unknown", Limit: ratelimit.PerSecond(1)})})
+	x.handleMessage(t, Message{VM: "vm1", Incarnation: 1, Seq: 1, Limits: append(want, ratelimit.Report{Target: "unknown", Limit: ratelimit.PerSecond(1)})})
 	if len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	x, received := newExchange(), 0
-	x.OnLimit = func(ratelimit.Word) { received++ }
+	x.OnLimit = func(ratelimit.Report) { received++ }
 	x.applyLimits([]wireLimit{report("vm0", 1, true, 0), report("vm1", 1, true, 0)})
 	if received != 1 {
 		t.Errorf("%d reports were applied, want 1: the other one is this VM's own", received)
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -69,7 +69,7 @@
 	// Uses are the amounts that this VM lets workspaces use, ordered by Seq.
 	Uses []allowance.Use
 	// Limits are rate limits that targets reported, and ends of such limits.
-	Limits []ratelimit.Word
+	Limits []ratelimit.Report
 	// Canaries are the counts of this VM for versions that are being brought into service.
 	Canaries []canary.Report
 	// Report and Total carry the state of several VMs in large fleets (tree.go).
@@ -176,8 +176,8 @@
 	Allowances *allowance.Limiter
 	// Limits returns the rate limits of targets to report to peers. OnLimit is called for each one
 	// that a peer reports.
-	Limits  func() []ratelimit.Word
-	OnLimit func(w ratelimit.Word)
+	Limits  func() []ratelimit.Report
+	OnLimit func(w ratelimit.Report)
 	// OnCanaryReports is called with the counts of a VM for canaries.
 	OnCanaryReports func(vm ids.VM, incarnation int64, r []canary.Report)
 	// Meter counts the bytes sent. Nil: nothing does.
@@ -343,7 +343,7 @@
 	}
 	x.Load.SetPeerLoads(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
 	if !x.usesTree() { // otherwise the tree's totals include them
-		x.Allowances.Heard(m.VM, m.Incarnation, m.Seq, m.Uses)
+		x.Allowances.RecordUse(m.VM, m.Incarnation, m.Seq, m.Uses)
 	}
 	x.OnUnresponsive(m.VM, m.Unresponsive)
 	for _, w := range m.RecentWeights {
@@ -404,7 +404,7 @@
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.NotResumable})
 	})
-	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.peerList())), Uses: x.Allowances.Told(), Limits: x.Limits()}
+	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.peerList())), Uses: x.Allowances.OwnUse(), Limits: x.Limits()}
 	if len(loads) == 0 && len(m.Uses) == 0 && x.lastLoads == 0 && len(m.Unresponsive) == 0 && len(m.RecentWeights) == 0 && m.LeaseLapse == nil && len(m.Crashes) == 0 && len(m.Limits) == 0 && x.skippedRounds < maxSkippedRounds {
 		x.skippedRounds++
 		return
--- a/internal/news/tree_exchange.go
+++ b/internal/news/tree_exchange.go
@@ -79,7 +79,7 @@
 		}
 		d.Unresponsive = append(d.Unresponsive, w)
 	}
-	d.RecentWeights, d.Uses, d.Limits = x.RecentWeights(), x.Allowances.Told(), wireLimits(x.VM, x.Limits())
+	d.RecentWeights, d.Uses, d.Limits = x.RecentWeights(), x.Allowances.OwnUse(), wireLimits(x.VM, x.Limits())
 	if l := x.LeaseLapse(); l != nil {
 		d.LeaseLapses = append(d.LeaseLapses, *l)
 	}
@@ -165,7 +165,7 @@
 	for _, m := range members {
 		if p, ok := x.tree.peerByShort(m.vm); ok {
 			x.recordContact(p.VM, 0, now)
-			x.Allowances.Present(p.VM)
+			x.Allowances.MarkSeen(p.VM)
 		}
 	}
 	total := make([]Load, 0, len(d.Loads))
@@ -176,7 +176,7 @@
 	}
 	loads := map[ids.Target]loadview.PeerLoad{}
 	total, uses := x.tree.subtractOwn(x.VM, total, d.Uses, members)
-	x.Allowances.HeardFleet(uses)
+	x.Allowances.RecordFleetUse(uses)
 	for _, l := range total {
 		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
 	}
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -7,19 +7,19 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// BenchmarkDecision is what a decision asks of the limiter while 90 targets name limits. It was
-// nothing before there were limits, and is 11 ns while no target names one.
+// BenchmarkDecision measures the calls of one routing decision to the limiter while up to 90
+// targets announce limits. Without any limit they take 11 ns.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{0, 2, 90} {
 		b.Run(fmt.Sprint(n, " limits"), func(b *testing.B) {
 			l := New(nil)
-			l.Standing = func(ids.Target) Standing { return Standing{Rank: 1, Living: 90, Listed: 90} }
-			l.Usual = func(ids.Target) float64 { return 0 }
+			l.Position = func(ids.Target) Position { return Position{Rank: 1, Live: 90, Listed: 90} }
+			l.RecentRate = func(ids.Target) float64 { return 0 }
 			for i := range n {
-				l.Answered(ids.Target(fmt.Sprint("t", i)), 1, PerSecond(20), l.now())
+				l.ObserveResponse(ids.Target(fmt.Sprint("t", i)), 1, PerSecond(20), l.now())
 			}
 			for b.Loop() {
-				l.Rooms()
+				l.LimitedTargets()
 				l.Take("t0")
 			}
 		})
