--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -143,7 +143,7 @@
 		}
 		o, err := r.Decode(e)
 		if err != nil {
-			r.Log.Belief("software-order-rejected").Str("key", e.Key).Str("error", err.Error()).Send()
+			r.Log.State("software-order-rejected").Str("key", e.Key).Str("error", err.Error()).Send()
 			continue
 		}
 		r.orders[e.Key] = o
@@ -197,7 +197,7 @@
 			order = &o
 		}
 		if err := c.step(ctx, service, order, targets); err != nil {
-			c.Log.Belief("canary-step-failed").Str("service", service).Str("error", err.Error()).Send()
+			c.Log.State("canary-step-failed").Str("service", service).Str("error", err.Error()).Send()
 		}
 	}
 }
@@ -322,7 +322,7 @@
 	if !changed {
 		return
 	}
-	c.Log.Belief("canary-verdict").Str("service", service).Str("canary", string(r.Canary)).Str("verdict", f.Finding.Verdict.String()).
+	c.Log.State("canary-verdict").Str("service", service).Str("canary", string(r.Canary)).Str("verdict", f.Finding.Verdict.String()).
 		Uint32("route_hash", f.Finding.Route).Float64("failed", f.Finding.Failed).Float64("slow", f.Finding.Slow).
 		Uint32("answers", f.Finding.Calls).Int64("elapsed_ms", f.Elapsed.Milliseconds()).Str("stage", string(r.Stage)).Send()
 }
@@ -374,7 +374,7 @@
 		c.reread(ctx, o.Key) // the order has changed, or the store's response was lost
 		return eris.Wrapf(err, "write status of order %s", o.Key)
 	}
-	c.Log.Belief("canary-status").Str("service", o.Service).Str("target", string(o.Target)).Str("end", cmp.Or(string(end), "running")).
+	c.Log.State("canary-status").Str("service", o.Service).Str("target", string(o.Target)).Str("end", cmp.Or(string(end), "running")).
 		Uint64("revision", uint64(version)).Send()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		if err := json.Unmarshal(o.Value, &r); err != nil || r.Service == "" || r.Service != strings.TrimPrefix(o.Key, Prefix) {
-			g.Log.Belief("canary-rejected").Str("key", o.Key).Send()
+			g.Log.State("canary-rejected").Str("key", o.Key).Send()
 			continue
 		}
 		g.Apply(r, o.Version)
@@ -77,7 +77,7 @@
 	if before.same(&r) {
 		return
 	}
-	g.Log.Belief("canary").Str("service", r.Service).Str("stable", string(r.Stable)).Str("canary", string(r.Canary)).Str("stage", string(r.Stage)).
+	g.Log.State("canary").Str("service", r.Service).Str("stable", string(r.Stable)).Str("canary", string(r.Canary)).Str("stage", string(r.Stage)).
 		Float64("share", r.Share).Float64("part", r.Part).Str("end", string(r.End)).Str("reason", r.Reason).
 		Str("by", string(r.By)).Uint64("revision", uint64(version)).Send()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -153,7 +153,7 @@
 		Dispatcher: &dispatch.Dispatcher{
 			Fleet: d.Fleet, Engine: d.Engine, Events: d.Events, Gate: d.Limiter,
 			Budget: retry.NewBudget(retry.DefaultRatio, retry.DefaultBurst, retry.DefaultWindow, nil),
-			Guard:  guard, VM: s.VM, Domain: s.FailureDomain, Idle: s.IdleTimeout.D(), Stats: &dispatch.Stats{},
+			Guard:  guard, VM: s.VM, Domain: s.FailureDomain, IdleTimeout: s.IdleTimeout.D(), Stats: &dispatch.Stats{},
 		},
 	}
 	d.Lease = lease.New(d.Store, "orders/"+string(s.FailureDomain), s.VM, lease.DefaultTuning, nil)
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -60,7 +60,7 @@
 	case routing.Dead:
 		return true
 	case routing.Suspect:
-		return waited > r.d.Idle
+		return waited > r.d.IdleTimeout
 	default:
 		return false
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,8 +38,8 @@
 	Event(data []byte) error
 	// Flush sends what Event has gathered.
 	Flush() error
-	// Whole passes on an answer that is not streamed.
-	Whole(t ids.Target, body []byte) error
+	// Response passes on an answer that is not streamed.
+	Response(t ids.Target, body []byte) error
 }
 
 // Limits bound a request's attempts.
@@ -56,11 +56,11 @@
 	Budget *retry.Budget
 	Gate   Gate
 	// Guard keeps prompts that crash targets from further ones. Nil: none are.
-	Guard  *quarantine.Guard
-	VM     ids.VM
-	Domain ids.FailureDomain
-	Idle   time.Duration // longest silence of a target within an answer
-	Stats  *Stats
+	Guard       *quarantine.Guard
+	VM          ids.VM
+	Domain      ids.FailureDomain
+	IdleTimeout time.Duration // longest silence of a target within an answer
+	Stats       *Stats
 }
 
 // Gate refuses a request that would wait too long. Implemented by package
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -61,7 +61,7 @@
 	}
 	r.started = true
 	body = bytes.ReplaceAll(body, []byte(call.Attempt), []byte(r.p.Request))
-	if err := r.sink.Whole(call.Target, body); err != nil {
+	if err := r.sink.Response(call.Target, body); err != nil {
 		return callerGone(err)
 	}
 	return nil
@@ -84,7 +84,7 @@
 			if err := s.flush(); err != nil {
 				return err
 			}
-			s.conn.startIdle(s.r.d.Idle)
+			s.conn.startIdle(s.r.d.IdleTimeout)
 		}
 		ev, err := in.Next()
 		if err != nil {
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -19,7 +19,7 @@
 func (*countingSink) Start(ids.Target)               {}
 func (s *countingSink) Event([]byte) error           { s.events++; return nil }
 func (s *countingSink) Flush() error                 { s.flushed = s.events; return nil }
-func (*countingSink) Whole(ids.Target, []byte) error { return nil }
+func (*countingSink) Response(ids.Target, []byte) error { return nil }
 
 // TestSilenceAfterADuplicate lets a target send an event, the same once more or a part of
 // the next, and nothing then: the caller has the event at once, and the target is given up
@@ -33,7 +33,7 @@
 				body, target := io.Pipe()
 				sink := &countingSink{}
 				s := &stream{
-					r:    &run{d: &Dispatcher{Idle: idle, Stats: &Stats{}}, p: &Prompt{}, sink: sink},
+					r:    &run{d: &Dispatcher{IdleTimeout: idle, Stats: &Stats{}}, p: &Prompt{}, sink: sink},
 					call: &engine.Call{Target: "e1", Attempt: "a1"},
 					conn: &conn{
 						answer: &engine.Response{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -66,7 +66,7 @@
 		"clock":         func(ctx context.Context) { clock.Watch(ctx, d.onSuspension) },
 		"allowances":    every(allowance.SweepEvery, d.allowances.Sweep),
 		"forget":        every(forgetEvery, d.crashes.Sweep),
-		"log":           every(logEvery, d.Log.Tell),
+		"log":           every(logEvery, d.Log.ReportDropped),
 		"usage":         every(usageEvery, d.logUsage),
 		"feeds":         d.feeds.Run,
 		"retell":        d.resendCaches,
@@ -85,7 +85,7 @@
 // and all ages use package clock, which counts suspensions, and have expired by themselves.
 func (d *Daemon) onSuspension(length time.Duration) {
 	ended := d.Forward.AfterSuspension()
-	d.Log.Belief("suspended").Int64("ms", length.Milliseconds()).Int("calls_over", ended).
+	d.Log.State("suspended").Int64("ms", length.Milliseconds()).Int("calls_over", ended).
 		Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
 }
 
@@ -104,12 +104,12 @@
 	timing.Sleep(ctx, rand.N(otherEvery))
 	for ctx.Err() == nil {
 		if err := d.Lease.Try(ctx); err != nil && held {
-			d.Log.Belief("lease-not-renewed").Str("error", err.Error()).Send()
+			d.Log.State("lease-not-renewed").Str("error", err.Error()).Send()
 		}
 		token, holds := d.Lease.Held()
 		if holds != held {
 			held = holds
-			d.Log.Belief("lease").Bool("held", holds).Uint64("fence", token.Fence).Send()
+			d.Log.State("lease").Bool("held", holds).Uint64("fence", token.Fence).Send()
 		}
 		d.leaseSleep(ctx, d.leasePause(holds))
 	}
@@ -166,7 +166,7 @@
 	if d.vms.rank(leaseName) >= candidates {
 		return // the candidates take over: when all 195 VMs read the lease, that made 195 calls
 	}
-	d.Log.Belief("lease-lapsed").Uint64("fence", l.Fence).Uint64("renewal", l.Renewal).Int64("quiet_ms", l.SinceLastOrderMs).Send()
+	d.Log.State("lease-lapsed").Uint64("fence", l.Fence).Uint64("renewal", l.Renewal).Int64("quiet_ms", l.SinceLastOrderMs).Send()
 	select {
 	case d.leaseWakeUp <- struct{}{}:
 	default: // a wake-up is already pending
@@ -193,7 +193,7 @@
 		}
 		began := clock.Now()
 		if err := d.Orders.Reconcile(ctx); err != nil {
-			d.Log.Belief("order-round-failed").Str("error", err.Error()).Send()
+			d.Log.State("order-round-failed").Str("error", err.Error()).Send()
 		}
 		pause = max(roundEvery, roundIdleFactor*clock.Since(began)) // a round visits all engines
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -324,7 +324,7 @@
 	d.Fleet.Members.Leaves(id, inc)
 	d.Forward.Upstream.Drop(id)
 	d.Fleet.MarkDirty()
-	d.Log.Belief("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
+	d.Log.State("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
 }
 
 // Start opens the listeners and starts all duties.
@@ -363,10 +363,10 @@
 		d.run(name, func() error { duty(ctx); return nil })
 	}
 	if err := clock.CheckSupport(); err != nil {
-		d.Log.Belief("no-suspension-clock").Str("error", err.Error()).
+		d.Log.State("no-suspension-clock").Str("error", err.Error()).
 			Str("consequence", "after a suspension of this VM, earlier proofs stay trusted for the duration of the suspension").Send()
 	}
-	d.Log.Belief("start").Str("listen", d.Settings.Listen).Str("failure_domain", string(d.Settings.FailureDomain)).
+	d.Log.State("start").Str("listen", d.Settings.Listen).Str("failure_domain", string(d.Settings.FailureDomain)).
 		Str("policy", d.Fleet.PolicyName()).Send()
 	return nil
 }
@@ -379,7 +379,7 @@
 		if err == nil || errors.Is(err, http.ErrServerClosed) {
 			return
 		}
-		d.Log.Belief("duty-failed").Str("duty", name).Str("error", err.Error()).Send()
+		d.Log.State("duty-failed").Str("duty", name).Str("error", err.Error()).Send()
 		if d.failed != nil {
 			d.failed()
 		}
@@ -404,11 +404,11 @@
 	began := clock.Now()
 	d.Forward.Draining.Store(true)
 	d.ready.set(false, "shutting down")
-	d.Log.Belief("stop").Int64("in_flight", d.Forward.InFlight()).Send()
+	d.Log.State("stop").Int64("in_flight", d.Forward.InFlight()).Send()
 	d.Rollout.Quiesce()
 	release, cancel := context.WithTimeout(ctx, releaseTimeout)
 	if err := d.Lease.Release(release); err != nil {
-		d.Log.Belief("lease-not-released").Str("error", err.Error()).Send()
+		d.Log.State("lease-not-released").Str("error", err.Error()).Send()
 	}
 	cancel()
 	timer := time.NewTimer(min(readyNotice, d.Settings.Edge.Grace.D()/2))
@@ -417,14 +417,14 @@
 	defer cancel()
 	err := d.servers[0].Shutdown(drain)
 	if err != nil {
-		d.Log.Belief("drain-ended").Int64("in_flight", d.Forward.InFlight()).Str("error", err.Error()).Send()
+		d.Log.State("drain-ended").Int64("in_flight", d.Forward.InFlight()).Str("error", err.Error()).Send()
 	}
 	d.cancel()
 	d.peerServer.Stop()
 	for _, s := range d.servers {
 		_ = s.Close() // the process exits
 	}
-	d.Log.Belief("stopped").Int64("after_ms", clock.Since(began).Milliseconds()).Send()
+	d.Log.State("stopped").Int64("after_ms", clock.Since(began).Milliseconds()).Send()
 	d.Log.Close()
 	return nil
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -56,6 +56,6 @@
 	if !d.Fleet.ApplyPeerLimit(w) {
 		return
 	}
-	d.Log.Belief("replica-limit").Str("target", string(w.Target)).Uint64("incarnation", uint64(w.Incarnation)).Str("from", "news").
+	d.Log.State("replica-limit").Str("target", string(w.Target)).Uint64("incarnation", uint64(w.Incarnation)).Str("from", "news").
 		Bool("limited", w.Limit.Named).Float64("limit_per_s", w.Limit.PerSecond).Int64("age_ms", w.Age.Milliseconds()).Send()
 }
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -35,7 +35,7 @@
 		err = errNoEdge
 	}
 	if err != nil {
-		d.Log.Belief("reload-rejected").Str("error", err.Error()).Send()
+		d.Log.State("reload-rejected").Str("error", err.Error()).Send()
 		return
 	}
 	var live, later []string
@@ -48,7 +48,7 @@
 	}
 	d.apply(s.Edge)
 	d.current = s
-	d.Log.Belief("reload").Strs("in_force", live).Strs("at_next_start", later).Send()
+	d.Log.State("reload").Strs("in_force", live).Strs("at_next_start", later).Send()
 }
 
 // apply applies the live settings.
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -92,7 +92,7 @@
 		}
 		reason := d.notReadyReason()
 		if d.ready.set(reason == "", reason) {
-			d.Log.Belief("ready").Bool("ready", reason == "").Str("reason", reason).
+			d.Log.State("ready").Bool("ready", reason == "").Str("reason", reason).
 				Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
 		}
 	}
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -37,7 +37,7 @@
 // logUsage logs the bytes exchanged with other failure domains since the start, the messages
 // exchanged with peers, and the counts of late and refused calls.
 func (d *Daemon) logUsage() {
-	line := d.Log.Belief("usage")
+	line := d.Log.State("usage")
 	if d.adapter.Meter != nil {
 		line = line.Object("bytes_beyond", d.adapter.Meter)
 	}
--- a/internal/edge/vms.go
+++ b/internal/edge/vms.go
@@ -48,7 +48,7 @@
 		if err == nil {
 			return
 		}
-		d.Log.Belief("not-registered").Str("error", err.Error()).Send()
+		d.Log.State("not-registered").Str("error", err.Error()).Send()
 		if !timing.Sleep(ctx, registerRetry/2+rand.N(registerRetry)) {
 			return
 		}
@@ -104,7 +104,7 @@
 		}
 		var r vmRecord
 		if err := json.Unmarshal(o.Value, &r); err != nil {
-			c.d.Log.Belief("vm-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
+			c.d.Log.State("vm-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
 			continue
 		}
 		c.records[o.Key] = r
@@ -119,7 +119,7 @@
 	}
 	c.d.news.SetPeers(peers)
 	c.d.allowances.SetVMs(names)
-	c.d.Log.Belief("vms").Int("count", len(c.records)).Send()
+	c.d.Log.State("vms").Int("count", len(c.records)).Send()
 }
 
 // listedPoll is the interval at which a starting VM checks whether the list has been read.
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -77,8 +77,8 @@
 	return l.z.Info().Str("event", event).Str("request", id)
 }
 
-// Belief begins a line about what the process believes, or about its life.
-func (l *Log) Belief(event string) *zerolog.Event {
+// State begins a line about what the process believes, or about its life.
+func (l *Log) State(event string) *zerolog.Event {
 	if l == nil {
 		return nil
 	}
@@ -89,8 +89,8 @@
 	return l.z.Info().Str("event", event)
 }
 
-// Tell writes how many lines were left out since the last call, if any were.
-func (l *Log) Tell() {
+// ReportDropped writes how many lines were left out since the last call, if any were.
+func (l *Log) ReportDropped() {
 	over, missed := l.over.Swap(0), l.missed.Swap(0)
 	if over > 0 || missed > 0 {
 		l.z.Warn().Str("event", "log").Uint64("over_budget", over).Uint64("output_stalled", missed).Msg("lines were left out")
@@ -99,7 +99,7 @@
 
 // Close writes what is in the ring, for a short time.
 func (l *Log) Close() {
-	l.Tell()
+	l.ReportDropped()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -36,7 +36,7 @@
 	}
 	close(out.release)
 	time.Sleep(100 * time.Millisecond)
-	l.Tell()
+	l.ReportDropped()
 	l.Close()
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -53,8 +53,8 @@
 	for range requestBurst + 200 {
 		l.Request("decide", "q").Send()
 	}
-	l.Belief("ready").Send()
-	l.Tell()
+	l.State("ready").Send()
+	l.ReportDropped()
 	l.Close()
 	if n := strings.Count(out.String(), `"decide"`); n > requestBurst+10 {
 		t.Fatalf("%d lines about requests, want about %d", n, requestBurst)
--- a/internal/follow/catalogs.go
+++ b/internal/follow/catalogs.go
@@ -46,12 +46,12 @@
 func (c *Catalogs) take(o objectapi.Object) {
 	d, err := c.Decode(o.Value)
 	if err != nil {
-		c.Log.Belief("catalog-rejected").Uint64("revision", uint64(o.Version)).Str("error", err.Error()).Send()
+		c.Log.State("catalog-rejected").Uint64("revision", uint64(o.Version)).Str("error", err.Error()).Send()
 		return
 	}
 	n := catalog.New(d)
 	if c.Current.Adopt(n) {
-		c.Log.Belief("catalog").Uint64("version", n.Version).Uint64("revision", uint64(o.Version)).
+		c.Log.State("catalog").Uint64("version", n.Version).Uint64("revision", uint64(o.Version)).
 			Int("routes", len(n.Routes)).Int("workspaces", len(n.Workspaces)).Send()
 		if c.Adopted != nil {
 			c.Adopted()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -96,7 +96,7 @@
 		compacted := errors.Is(err, objectapi.ErrCompacted)
 		f.Doubt.raise(f, !compacted)
 		if compacted {
-			f.Log.Belief("history-gone").Str("dependency", "store "+f.Prefix).Send()
+			f.Log.State("history-gone").Str("dependency", "store "+f.Prefix).Send()
 			continue // the store is well, only its history is gone
 		}
 		f.failed(err)
@@ -147,7 +147,7 @@
 		return
 	}
 	f.lost, f.since = true, clock.Now()
-	f.Log.Belief("dependency-lost").Str("dependency", "store "+f.Prefix).Str("error", err.Error()).Send()
+	f.Log.State("dependency-lost").Str("dependency", "store "+f.Prefix).Str("error", err.Error()).Send()
 }
 
 func (f *Follower) regained() {
@@ -155,5 +155,5 @@
 		return
 	}
 	f.lost = false
-	f.Log.Belief("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.since).Milliseconds()).Send()
+	f.Log.State("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.since).Milliseconds()).Send()
 }
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -126,7 +126,7 @@
 func (r *Replicas) put(o objectapi.Object) (ids.Target, bool) {
 	n, err := r.Decode(o)
 	if err != nil {
-		r.Log.Belief("replica-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
+		r.Log.State("replica-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
 		return r.putForeign(o.Key)
 	}
 	id := ids.Target(n.ID)
@@ -145,7 +145,7 @@
 		rec.carryOver(old)
 	}
 	if r.tells(old) && (old == nil || old.State != rec.State || old.Weights != rec.Weights || old.Incarnation != rec.Incarnation) {
-		r.Log.Belief("replica").Str("target", n.ID).Str("service", n.Service).Str("addr", n.Addr).Uint64("incarnation", uint64(n.Incarnation)).
+		r.Log.State("replica").Str("target", n.ID).Str("service", n.Service).Str("addr", n.Addr).Uint64("incarnation", uint64(n.Incarnation)).
 			Str("state", string(rec.State)).Str("weights", string(rec.Weights)).Uint64("revision", uint64(o.Version)).Send()
 	}
 	r.directory.replace(id, old, rec)
@@ -205,7 +205,7 @@
 
 // restarted forgets the incarnation before. The lock is held.
 func (r *Replicas) restarted(id ids.Target, inc ids.Incarnation, from string) {
-	r.Log.Belief("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
+	r.Log.State("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
 	r.Gone(id)
 }
 
@@ -244,7 +244,7 @@
 	delete(r.records, id)
 	r.Fleet.Members.Remove(id)
 	r.Gone(id)
-	r.Log.Belief("replica-gone").Str("target", string(id)).Str("reason", reason).Send()
+	r.Log.State("replica-gone").Str("target", string(id)).Str("reason", reason).Send()
 }
 
 // SetWeights records that a replica has other weights than its entry says yet.
@@ -255,7 +255,7 @@
 	if rec == nil || rec.Weights == w {
 		return
 	}
-	r.Log.Belief("weights").Str("target", string(id)).Str("before", string(rec.Weights)).Str("now", string(w)).Str("from", from).Send()
+	r.Log.State("weights").Str("target", string(id)).Str("before", string(rec.Weights)).Str("now", string(w)).Str("from", from).Send()
 	before := rec.Weights
 	rec.Weights, rec.weightsAt = w, clock.Now()
 	r.directory.counted(rec.Model, before, -1)
--- a/internal/follow/weights.go
+++ b/internal/follow/weights.go
@@ -107,12 +107,12 @@
 		}
 		n, err := w.Decode(o.Value)
 		if err != nil {
-			w.Log.Belief("weights-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
+			w.Log.State("weights-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
 			continue
 		}
 		at := named(o.Version)
 		if w.add(n.Model, version{number: n.Version, at: at, guessed: guessed}) {
-			w.Log.Belief("weights-named").Str("model", string(n.Model)).Uint64("version", n.Version).
+			w.Log.State("weights-named").Str("model", string(n.Model)).Uint64("version", n.Version).
 				Int64("age_ms", clock.Since(at).Milliseconds()).Bool("guessed", guessed).Uint64("revision", uint64(o.Version)).Send()
 		}
 	}
@@ -225,7 +225,7 @@
 	}
 	w.models[a.Model] = slices.DeleteFunc(w.models[a.Model], func(v version) bool { return !v.counts(now) })
 	if w.add(a.Model, version{number: a.Version, at: at, heard: now}) {
-		w.Log.Belief("weights-named").Str("model", string(a.Model)).Uint64("version", a.Version).Int64("age_ms", a.Age.Milliseconds()).Str("from", "peer").Send()
+		w.Log.State("weights-named").Str("model", string(a.Model)).Uint64("version", a.Version).Int64("age_ms", a.Age.Milliseconds()).Str("from", "peer").Send()
 		return
 	}
 	all := w.models[a.Model]
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -10,7 +10,7 @@
 		return
 	}
 	s := &reply.Signals
-	t.r.f.Log.Belief("replica-signals").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("request", string(t.r.call.ID)).
+	t.r.f.Log.State("replica-signals").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("request", string(t.r.call.ID)).
 		Bool("leaving", s.Leaving).Int64("rest_ms", s.Rest.Milliseconds()).
 		Bool("limited", s.Limit.Named).Bool("limit_garbled", s.Limit.Garbled).Float64("limit_per_s", s.Limit.PerSecond).Send()
 }
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -185,8 +185,8 @@
 	return s.ctl.Flush()
 }
 
-// Whole implements dispatch.Sink.
-func (s *sink) Whole(t ids.Target, body []byte) error {
+// Response implements dispatch.Sink.
+func (s *sink) Response(t ids.Target, body []byte) error {
 	s.started = true
 	s.g.mark(s.c, s.request, outcome.Ran)
 	s.c.Header(HeaderTarget, string(t))
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -147,14 +147,14 @@
 		if err != nil {
 			if !lost {
 				lost = true
-				f.Log.Belief("dependency-lost").Str("dependency", "cache feed").Str("target", string(s.ID)).Str("error", err.Error()).Send()
+				f.Log.State("dependency-lost").Str("dependency", "cache feed").Str("target", string(s.ID)).Str("error", err.Error()).Send()
 			}
 			timing.Sleep(ctx, failPause)
 			continue
 		}
 		if lost {
 			lost = false
-			f.Log.Belief("dependency-regained").Str("dependency", "cache feed").Str("target", string(s.ID)).Send()
+			f.Log.State("dependency-regained").Str("dependency", "cache feed").Str("target", string(s.ID)).Send()
 		}
 		if !s.Store && b.Incarnation > s.Incarnation {
 			s.Incarnation = b.Incarnation
@@ -213,7 +213,7 @@
 
 // clear drops the cache view's entries of an engine or store that has restarted.
 func (f *Feeds) clear(s Source) {
-	f.Log.Belief("cache-emptied").Str("target", string(s.ID)).Send()
+	f.Log.State("cache-emptied").Str("target", string(s.ID)).Send()
 	if f.ReportsToPeers(s.ID) {
 		f.Cache.ClearAndReport(s.ID)
 		return
--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -118,7 +118,7 @@
 		return
 	}
 	r.source = source
-	r.Log.Belief("store-source").Str("source", source).Str("reason", reason).Send()
+	r.Log.State("store-source").Str("source", source).Str("reason", reason).Send()
 }
 
 // direct reads the store until a peer has been found.
@@ -174,7 +174,7 @@
 	default:
 		r.avoid.failed(p.VM, now)
 	}
-	r.Log.Belief("peer-left").Str("peer", string(p.VM)).Str("error", err.Error()).Send()
+	r.Log.State("peer-left").Str("peer", string(p.VM)).Str("error", err.Error()).Send()
 }
 
 // follow reads from a peer until it fails, or a VM before it may be asked again.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,9 +23,9 @@
 	RoleService Role = "service" // a plain service: a target
 )
 
-// SoleIncarnation is that of a target which does not say when it started, and so the
+// DefaultIncarnation is that of a target which does not say when it started, and so the
 // least of all.
-const SoleIncarnation ids.Incarnation = 1
+const DefaultIncarnation ids.Incarnation = 1
 
 // State is the platform's word on a VM.
 type State string
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -76,7 +76,7 @@
 	runs := w.runs[name]
 	delete(w.runs, name)
 	w.mu.Unlock()
-	w.Ledger.Log.Belief("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
+	w.Ledger.Log.State("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
 		Str("state", state.String()).Int("broken_runs", len(runs)).Send()
 	if state == Ended {
 		w.recordCrash(runs)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -349,7 +349,7 @@
 }
 
 func (l *Ledger) logCase(event string, f Fingerprint, from ids.VM) {
-	line := l.Log.Belief(event).Str("fingerprint", f.String()).Str("told_by", string(from))
+	line := l.Log.State(event).Str("fingerprint", f.String()).Str("told_by", string(from))
 	if e := l.cases[f]; e != nil {
 		line = line.Int("crashes", len(e.crashes)).Uint32("answers", e.answers)
 	}
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -70,7 +70,7 @@
 		r.logged = map[ids.Model]loggedProgress{}
 	}
 	r.logged[m] = line
-	r.Log.Belief("rollout").Str("model", string(m)).Str("weights", string(r.Weights.Newest(m))).
+	r.Log.State("rollout").Str("model", string(m)).Str("weights", string(r.Weights.Newest(m))).
 		Int("behind", now.Behind).Int("down", now.Down).Int64("left_ms", now.Left.Milliseconds()).
 		Int("one_in", limit.OneIn).Int("at_least", limit.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
 		Int64("wait_ms", wait.Milliseconds()).Send()
--- a/internal/rollout/send.go
+++ b/internal/rollout/send.go
@@ -110,7 +110,7 @@
 	r.Stats.Orders.Add(1)
 	sent = true
 	err = r.Client.Order(call, *c)
-	line := r.Log.Belief("order").Str("target", string(c.Target)).Str("weights", string(c.Weights)).Uint64("fence", c.Fence).
+	line := r.Log.State("order").Str("target", string(c.Target)).Str("weights", string(c.Weights)).Uint64("fence", c.Fence).
 		Uint64("expected", c.Expected).Str("method", c.Method.String()).Str("before", string(s.Weights[c.Model]))
 	if err != nil {
 		line = line.Str("error", err.Error())
--- a/internal/rollout/update.go
+++ b/internal/rollout/update.go
@@ -44,7 +44,7 @@
 // logEnd counts and logs the result of an order.
 func (r *Rollout) logEnd(o orders.Order, took time.Duration, err error) {
 	r.Stats.TotalMs.Add(took.Milliseconds())
-	line := r.Log.Belief("order-end").Str("target", string(o.Target)).Str("weights", string(o.Desired.Weights)).Int64("took_ms", took.Milliseconds())
+	line := r.Log.State("order-end").Str("target", string(o.Target)).Str("weights", string(o.Desired.Weights)).Int64("took_ms", took.Milliseconds())
 	if err == nil {
 		r.Stats.Done.Add(1)
 	} else {
