--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -11,51 +11,55 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// conn is one connection to a target, watched for silence. Two rules end it:
+// conn is one connection to a target, with a time-out for a target that stops
+// responding. Two rules end it:
 //
-//   - before the first event, a target may be busy with a queue, so silence alone
-//     is no reason; it is given up when it is dead to membership, or silent to
-//     probes and to this request for longer than the idle time;
-//   - between events, silence for the idle time is reason enough. Time in which
-//     the caller is slow to take events does not count.
+//   - before the first event, a target may be busy with its queue, so the lack of
+//     data alone does not end the connection. It ends when membership has declared
+//     the target dead, or when the target is suspect (it does not answer probes)
+//     and has not answered this request within the idle time-out;
+//   - between events, the idle time-out ends it. Time that the caller takes to read
+//     events does not count.
 type conn struct {
-	answer *engine.Response
-	cancel context.CancelFunc
-	timer  *time.Timer // until the answer begins
-	idle   *time.Timer // between events
+	response *engine.Response
+	cancel   context.CancelFunc
+	timer    *time.Timer // membership checks, until startIdle is first called
+	idle     *time.Timer // between events
 }
 
-// checkEvery is how often a waiting connection looks at membership.
-const checkEvery = 500 * time.Millisecond
+// stateCheckInterval is how often a connection that awaits its response reads the
+// target's membership state.
+const stateCheckInterval = 500 * time.Millisecond
 
 type opener func(context.Context, *engine.Call) (*engine.Response, error)
 
-// open makes a connection and waits for the answer's start.
+// open sends the call and waits for the head of the response.
 func (r *run) open(ctx context.Context, call *engine.Call, start opener) (*conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	began := clock.Now()
 	c := &conn{cancel: cancel}
 	ready := make(chan struct{})
-	c.timer = time.AfterFunc(checkEvery, func() {
+	c.timer = time.AfterFunc(stateCheckInterval, func() {
 		<-ready
-		if r.givenUp(call.Target, clock.Since(began)) {
+		if r.unresponsive(call.Target, clock.Since(began)) {
 			cancel()
 			return
 		}
-		c.timer.Reset(checkEvery)
+		c.timer.Reset(stateCheckInterval)
 	})
 	close(ready)
-	answer, err := start(ctx, call)
+	response, err := start(ctx, call)
 	if err != nil {
 		c.close()
 		return nil, err
 	}
-	c.answer = answer
+	c.response = response
 	return c, nil
 }
 
-// givenUp tells whether a target that has not begun to answer won't.
-func (r *run) givenUp(t ids.Target, waited time.Duration) bool {
+// unresponsive reports whether open should stop waiting for a target that has not
+// answered yet.
+func (r *run) unresponsive(t ids.Target, waited time.Duration) bool {
 	switch r.d.Fleet.Members.State(t, clock.Now()) {
 	case routing.Dead:
 		return true
@@ -66,14 +70,14 @@
 	}
 }
 
-// pauseIdle stops the clock while the caller takes events.
+// pauseIdle stops the idle timer while events are written to the caller.
 func (c *conn) pauseIdle() {
 	if c.idle != nil {
 		c.idle.Stop()
 	}
 }
 
-// startIdle ends the connection unless an event comes in time.
+// startIdle ends the connection unless pauseIdle is called within d.
 func (c *conn) startIdle(d time.Duration) {
 	if c.idle != nil {
 		c.idle.Reset(d)
@@ -83,13 +87,14 @@
 	c.idle = time.AfterFunc(d, c.cancel)
 }
 
-// finishTime bounds waiting for the end of a connection whose answer is complete.
-const finishTime = 100 * time.Millisecond
+// finishTimeout bounds the wait for the end of a body whose stream is complete.
+const finishTimeout = 100 * time.Millisecond
 
-// finish reads the end of a complete answer, so that the connection can be used
-// again: one closed before its end is not, and the next request would dial.
+// finish reads to the end of a complete response, so that the connection can be
+// reused. A body closed before its end closes the connection, and the next request
+// would have to dial.
 func (c *conn) finish(in *relay.Reader) {
-	c.startIdle(finishTime)
+	c.startIdle(finishTimeout)
 	_, _ = in.Next()
 }
 
@@ -97,7 +102,7 @@
 	c.timer.Stop()
 	c.pauseIdle()
 	c.cancel()
-	if c.answer != nil {
-		_ = c.answer.Body.Close()
+	if c.response != nil {
+		_ = c.response.Body.Close()
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,14 +1,15 @@
-// Package dispatch runs a prompt on targets: decide, send, relay, and on a
-// failure retry, resume or continue, within budgets and the request's deadline.
+// Package dispatch runs prompts on targets. It chooses a target, sends the prompt,
+// relays the response, and after a failure retries, resumes or continues, within the
+// retry budget and the request's deadline.
 //
-// A prompt may run twice, since it changes nothing outside the engine; what the
-// caller gets may not. So after a failure:
+// A prompt may run twice, since it changes nothing outside the engine, but the
+// caller must not get any output twice. After a failure:
 //
-//   - before anything was delivered, another target is tried;
-//   - later, the same life of the same target is asked to resume behind the last
-//     event delivered;
-//   - if it can't, and the template allows it, another target continues from the
-//     delivered text;
+//   - if nothing was delivered, the dispatcher tries another target;
+//   - otherwise it asks the same incarnation of the same target to resume after the
+//     last delivered event;
+//   - if the target can't resume, and the template allows it, another target
+//     continues from the delivered text;
 //   - otherwise the stream ends with an error event, never as if complete.
 package dispatch
 
@@ -30,82 +31,83 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Sink takes the answer on the caller's side.
+// Sink writes the response to the caller. A Sink is used by one goroutine at a time.
 type Sink interface {
-	// Start is called once, before the first event, with the target that answers.
+	// Start is called once, before the first event, with the target that responds.
 	Start(t ids.Target)
-	// Event passes on one event's data. An error means that the caller is gone.
+	// Event adds the data of one event, which Flush may send later. An error means
+	// that the caller has disconnected.
 	Event(data []byte) error
-	// Flush sends what Event has gathered.
+	// Flush sends the events that are buffered.
 	Flush() error
-	// Response passes on an answer that is not streamed.
+	// Response sends a response that is not streamed.
 	Response(t ids.Target, body []byte) error
 }
 
-// Limits bound a request's attempts.
+// Limits of one request.
 const (
 	maxAttempts = 4
 	maxResumes  = 2
 )
 
-// Dispatcher runs prompts. Safe for concurrent use.
+// Dispatcher runs prompts. It is safe for concurrent use.
 type Dispatcher struct {
 	Fleet  *fleet.Fleet
 	Engine *engine.Client
 	Events *timeline.Log
 	Budget *retry.Budget
 	Gate   Gate
-	// Guard keeps prompts that crash targets from further ones. Nil: none are.
+	// Guard quarantines prompts that crash targets. If nil, no prompt is quarantined.
 	Guard       *quarantine.Guard
 	VM          ids.VM
 	Domain      ids.FailureDomain
-	IdleTimeout time.Duration // longest silence of a target within an answer
+	IdleTimeout time.Duration // longest time between two events of a target
 	Stats       *Stats
 }
 
-// Gate refuses a request that would wait too long. Implemented by package
-// admission.
+// Gate refuses a request that would wait too long. Package admission implements it.
 type Gate interface {
-	// Check returns a refusal, or nil when the request may go on with this
+	// Check returns a refusal, or nil if the request may proceed with this
 	// predicted wait.
 	Check(ws ids.Workspace, priority int, tokens int32, predicted time.Duration) *outcome.Error
 }
 
 // run is the state of one request.
 type run struct {
-	d        *Dispatcher
-	p        *Prompt
-	sink     Sink
-	tried    []ids.Target
-	attempts int
-	started  bool // something was delivered
-	mayRan   bool // an attempt ended in another way than not-run
-	guarded  quarantine.Call
-	hungUp   bool // the current attempt's target ended its connection
-	text     deliveredText
-	prior    cacheview.Prior // of the current attempt's target
+	d              *Dispatcher
+	p              *Prompt
+	sink           Sink
+	tried          []ids.Target
+	attempts       int
+	started        bool // a part of the response was delivered
+	mayRan         bool // an attempt had an outcome other than not-run
+	guard          quarantine.Call
+	closedByTarget bool // the target of the current attempt closed the connection
+	text           deliveredText
+	prior          cacheview.Prior // of the current attempt's target
 }
 
-// Run runs a prompt and delivers its answer to sink. A nil error means that the
-// whole answer was delivered. The error is an *outcome.Error otherwise.
+// Run runs a prompt and delivers the response to sink. It returns nil if the complete
+// response was delivered, and an *outcome.Error otherwise.
 func (d *Dispatcher) Run(ctx context.Context, p *Prompt, sink Sink) error {
 	ctx, cancel := context.WithTimeout(ctx, p.Template.Deadline.D())
 	defer cancel()
 	d.Budget.Deposit()
 	r := &run{d: d, p: p, sink: sink}
-	r.guarded = d.Guard.Call(p.Request, quarantine.Request{Workspace: p.Workspace, Method: http.MethodPost, URI: p.Path, Body: p.body})
+	r.guard = d.Guard.Call(p.Request, quarantine.Request{Workspace: p.Workspace, Method: http.MethodPost, URI: p.Path, Body: p.body})
 	for {
 		err := r.attempt(ctx)
 		if err == nil {
 			return nil
 		}
 		if !r.mayRetry(ctx, err) {
-			return r.final(ctx, err)
+			return r.finalError(ctx, err)
 		}
 	}
 }
 
-// mayRetry decides whether another target is tried after a failed attempt.
+// mayRetry reports whether another target may be tried after a failed attempt. It
+// takes the retry out of the retry budget.
 func (r *run) mayRetry(ctx context.Context, err error) bool {
 	e := outcome.Of(err)
 	var caller *engine.CallerError
@@ -114,8 +116,8 @@
 		return false
 	case e.Code == outcome.CodeNoTarget, e.Code == outcome.CodeOverloaded, e.Step == quarantine.Step:
 		return false
-	case r.guarded.Refusal(false) != nil:
-		return false // this attempt's crash may have been the last that it took
+	case r.guard.Refusal(false) != nil:
+		return false // the crash of this attempt may have quarantined the request
 	case errors.As(err, &caller) && e.Outcome == outcome.Ran:
 		return false
 	case r.started && !r.p.Template.Continue:
@@ -129,35 +131,35 @@
 	return true
 }
 
-// final types the end of a request that failed.
-func (r *run) final(ctx context.Context, err error) error {
+// finalError returns the error of a failed request, given that of its last attempt.
+func (r *run) finalError(ctx context.Context, err error) error {
 	e := outcome.Of(err)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the request's time is over")
+		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the request's deadline has passed")
 	}
 	if e.Outcome == outcome.NotRun && r.mayRan {
 		// The last attempt did not run; an earlier one may have.
 		e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 	}
 	if e.Outcome == outcome.NotRun && e.RetryAfter == 0 && e.Code != outcome.CodeQuarantined {
-		e.RetryAfter = retryNoTarget
+		e.RetryAfter = noTargetRetryAfter
 	}
 	if r.started {
-		e = outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, e.Step, e.Peer, "the answer broke off and is not whole")
+		e = outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, e.Step, e.Peer, "the response ended before it was complete")
 	}
 	return e
 }
 
-// attempt is one try: decide, send, relay.
+// attempt chooses a target, sends the prompt there and relays the response.
 func (r *run) attempt(ctx context.Context) error {
-	if refusal := r.guarded.Refusal(r.attempts == 0); refusal != nil {
+	if refusal := r.guard.Refusal(r.attempts == 0); refusal != nil {
 		return refusal
 	}
 	choice, err := r.decide()
 	if err != nil {
 		return err
 	}
-	if refusal := r.guarded.RefusalAtSend(r.attempts == 0); refusal != nil {
+	if refusal := r.guard.RefusalAtSend(r.attempts == 0); refusal != nil {
 		return refusal
 	}
 	r.attempts++
@@ -173,31 +175,31 @@
 	r.d.Events.Record(timeline.Event{Kind: timeline.KindAttempt, Request: r.p.Request, Attempt: call.Attempt, Peer: string(call.Target), Text: "begin"}, nil)
 	r.d.Stats.Attempts.Add(1)
 	sent := clock.Now()
-	r.hungUp = false
+	r.closedByTarget = false
 	err = r.send(ctx, call, choice, work)
-	r.guard(ctx, choice, sent, err)
+	r.reportToGuard(ctx, choice, sent, err)
 	r.mayRan = r.mayRan || err != nil && outcome.Of(err).Outcome != outcome.NotRun
-	r.learn(ctx, call, err)
+	r.recordResult(ctx, call, err)
 	return err
 }
 
-// guard tells what an attempt says of the request: that a target answered it and lives, or
-// that one hung up on it and may have ended.
-func (r *run) guard(ctx context.Context, c choice, sent time.Time, err error) {
+// reportToGuard reports the end of an attempt to the quarantine: the target answered and is live,
+// or it closed the connection and may have crashed on the request.
+func (r *run) reportToGuard(ctx context.Context, c choice, sent time.Time, err error) {
 	var caller *engine.CallerError
 	switch {
 	case err == nil:
-		r.guarded.Answered(http.StatusOK)
+		r.guard.Answered(http.StatusOK)
 	case errors.As(err, &caller):
-		r.guarded.Answered(caller.Status)
-	case r.hungUp && ctx.Err() == nil && !errors.Is(err, errCallerGone) && r.d.Fleet.Members.State(c.target.ID, clock.Now()) != routing.Leaving:
-		r.guarded.ReportBroken(quarantine.Send{
+		r.guard.Answered(caller.Status)
+	case r.closedByTarget && ctx.Err() == nil && !errors.Is(err, errCallerGone) && r.d.Fleet.Members.State(c.target.ID, clock.Now()) != routing.Leaving:
+		r.guard.ReportBroken(quarantine.Send{
 			Target: c.target.ID, Addr: c.target.Addr, Incarnation: c.target.Incarnation, Sent: sent, Broke: clock.Now(),
 		}, false)
 	}
 }
 
-// choice is a decided target.
+// choice is the target of an attempt, and the estimate of the prompt's tokens in its cache.
 type choice struct {
 	target routing.Target
 	cached int32
@@ -214,7 +216,7 @@
 	rec := routing.NewRecord(r.d.Fleet.PolicyName(), &req, &snap.View, sc.Inputs, &sc.Routing, dec)
 	r.d.Events.Record(timeline.Event{Kind: timeline.KindDecision, Request: r.p.Request, Peer: string(rec.Chosen)}, rec)
 	if dec.Index < 0 {
-		return choice{}, r.noTarget(&req, snap, sc)
+		return choice{}, r.noTargetError(&req, snap, sc)
 	}
 	if r.attempts == 0 && r.d.Gate != nil {
 		predicted := time.Duration(float64(dec.PredictedTTFT) * float64(time.Second))
@@ -225,18 +227,19 @@
 	return choice{target: snap.View.Targets[dec.Index], cached: dec.Cached}, nil
 }
 
-// retryNoTarget is when a caller should come back when no target serves.
-const retryNoTarget = 2 * time.Second
+// noTargetRetryAfter is the time after which a caller may retry if no target can take
+// the request.
+const noTargetRetryAfter = 2 * time.Second
 
-func (r *run) noTarget(req *routing.Request, snap *fleet.Snapshot, sc *fleet.Scratch) error {
+func (r *run) noTargetError(req *routing.Request, snap *fleet.Snapshot, sc *fleet.Scratch) error {
 	if sc.Routing.Filtered[routing.WrongModel] == len(sc.Inputs) {
 		return outcome.New(outcome.NotRun, outcome.CodeUnknownModel, "route", "", "no target serves model "+string(r.p.Model))
 	}
-	return outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no target can take the request now").After(r.d.Fleet.RetryAfter(req, snap, sc, retryNoTarget))
+	return outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no target can take the request now").After(r.d.Fleet.RetryAfter(req, snap, sc, noTargetRetryAfter))
 }
 
-// learn feeds the end of an attempt back into membership and the time line.
-func (r *run) learn(ctx context.Context, call *engine.Call, err error) {
+// recordResult records the end of an attempt in membership and the time line.
+func (r *run) recordResult(ctx context.Context, call *engine.Call, err error) {
 	ev := timeline.Event{Kind: timeline.KindAttemptEnd, Request: r.p.Request, Attempt: call.Attempt, Peer: string(call.Target), Text: "whole"}
 	defer func() { r.d.Events.Record(ev, nil) }()
 	if err == nil {
@@ -253,18 +256,19 @@
 	case errors.As(err, &caller) && e.Outcome == outcome.Ran:
 		r.d.Fleet.Members.Succeeded(call.Target)
 	case ctx.Err() == context.Canceled:
-		// The caller left; this says nothing about the target.
+		// The caller has disconnected, so this does not count against the target.
 	default:
 		r.d.Fleet.Members.Failed(call.Target, clock.Now())
 		r.d.Fleet.MarkDirty()
 	}
 }
 
-// answered corrects the cache picture by an answer's usage.
-func (r *run) answered(call *engine.Call, a *engine.Response, u engine.Usage) {
-	life := cacheview.GenerationOf(a.Incarnation, a.Weights)
+// observeUsage updates the cache view, the load view and the statistics with the usage
+// of a response.
+func (r *run) observeUsage(call *engine.Call, a *engine.Response, u engine.Usage) {
+	generation := cacheview.GenerationOf(a.Incarnation, a.Weights)
 	if r.text.Len() == 0 || r.attempts == 1 {
-		r.d.Fleet.Cache.ApplyResponse(call.Target, life, r.p.Levels, r.prior, u.Details.CachedTokens)
+		r.d.Fleet.Cache.ApplyResponse(call.Target, generation, r.p.Levels, r.prior, u.Details.CachedTokens)
 	}
 	r.d.Fleet.Load.ObserveResponse(u.PromptTokens, u.Details.CachedTokens)
 	r.d.Stats.PromptTokens.Add(int64(u.PromptTokens))
--- a/internal/dispatch/prompt.go
+++ b/internal/dispatch/prompt.go
@@ -11,38 +11,39 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Prompt is one request to a model, read and rendered.
+// Prompt is one request to a model, with its template rendered.
 type Prompt struct {
 	Request   ids.Request
 	Workspace ids.Workspace
 	Model     ids.Model
-	Path      string // of the callers' interface, the same at the target
+	Path      string // of the API, the same for callers and targets
 	Stream    bool
 	Template  config.Prompt
 	Levels    []prefix.Level
 	Tokens    int32
 
-	body      []byte                     // as the caller sent it
-	fields    map[string]json.RawMessage // of the body to the target
+	body      []byte                     // as received from the caller
+	fields    map[string]json.RawMessage // of the body that the target gets
 	wantUsage bool                       // the caller asked for usage in the stream
 }
 
-// Paths of the model interface.
+// Paths of the model API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
 )
 
-// maxLevels bounds how many boundaries of a prompt are looked up.
+// maxLevels bounds the prefixes of a prompt that are looked up in the cache view.
 const maxLevels = 64
 
-// message is one entry of a chat.
+// message is one message of a chat.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// text returns a message's text: a string, or the text parts of an array.
+// text returns the message's content if it is a string, or the joined text parts if
+// it is an array.
 func (m message) text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
@@ -61,8 +62,8 @@
 	return b.String()
 }
 
-// requestHead is what threadwall reads of a caller's body; everything else is
-// passed on as it came.
+// requestHead holds the fields that threadwall reads of a caller's body. Other fields
+// are passed on unchanged.
 type requestHead struct {
 	Model         string            `json:"model"`
 	Messages      []json.RawMessage `json:"messages"`
@@ -74,15 +75,15 @@
 	} `json:"stream_options"`
 }
 
-// UnknownTemplateError names a template that does not exist, or that the
-// workspace may not use.
+// UnknownTemplateError reports a template that does not exist or that the workspace
+// may not use.
 type UnknownTemplateError struct{ Name string }
 
 // Error implements error.
 func (e *UnknownTemplateError) Error() string { return "there is no template " + e.Name }
 
-// ReadPrompt reads a caller's body and renders its template. Errors are the
-// caller's fault.
+// ReadPrompt parses a caller's body and renders its template. An error means that the
+// request is invalid. It is an *UnknownTemplateError if the template is unknown.
 func ReadPrompt(req ids.Request, ws ids.Workspace, path string, body []byte, cfg *config.Config) (*Prompt, error) {
 	var head requestHead
 	if err := json.Unmarshal(body, &head); err != nil {
@@ -108,12 +109,12 @@
 	}
 	p.Levels, p.Tokens = prefix.Chain(prefix.Seed(ws, p.Model), texts)
 	if extra := len(p.Levels) - maxLevels; extra > 0 {
-		p.Levels = p.Levels[extra:] // the deepest say the most
+		p.Levels = p.Levels[extra:] // the longest prefixes save the most work
 	}
 	return p, nil
 }
 
-// applyTemplate resolves the model and returns the template's level texts.
+// applyTemplate resolves the model and returns the texts of the template's levels.
 func (p *Prompt) applyTemplate(head *requestHead, cfg *config.Config) ([]string, error) {
 	name, isTemplate := strings.CutPrefix(head.Model, config.TemplateModelPrefix)
 	if !isTemplate {
@@ -130,8 +131,8 @@
 	return cfg.Render(p.Workspace, p.Template, head.Metadata)
 }
 
-// compose puts the shared levels before the caller's own prompt and returns the
-// texts of all levels.
+// compose puts the template's shared levels before the caller's prompt and returns
+// the texts of all levels.
 func (p *Prompt) compose(head *requestHead, shared []string) ([]string, error) {
 	if p.Path == PathCompletions {
 		return p.composeText(head, shared)
@@ -157,12 +158,12 @@
 }
 
 func (p *Prompt) composeText(head *requestHead, shared []string) ([]string, error) {
-	var own string
-	if err := json.Unmarshal(head.Prompt, &own); err != nil || own == "" {
-		return nil, eris.New("\"prompt\" must be a text that is not empty")
+	var text string
+	if err := json.Unmarshal(head.Prompt, &text); err != nil || text == "" {
+		return nil, eris.New("\"prompt\" must be a string that is not empty")
 	}
-	p.set("prompt", strings.Join(shared, "")+own)
-	return append(append([]string(nil), shared...), prefix.Chunks(own)...), nil
+	p.set("prompt", strings.Join(shared, "")+text)
+	return append(append([]string(nil), shared...), prefix.Chunks(text)...), nil
 }
 
 func systemMessage(text string) json.RawMessage {
@@ -172,33 +173,34 @@
 }
 
 func (p *Prompt) set(field string, value any) {
-	raw, _ := json.Marshal(value) // plain data: can't fail
+	raw, _ := json.Marshal(value) // can't fail: all values are plain data
 	p.fields[field] = raw
 }
 
-// streamOptions asks the target for usage at the end of a stream.
+// streamOptions requests usage at the end of a stream.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// targetBody returns the body for the target. delivered is the text that an
-// earlier attempt brought and the caller has; the answer goes on behind it.
+// targetBody returns the body for the target. delivered is the text of earlier
+// attempts that the caller already has; the target continues after it.
 func (p *Prompt) targetBody(delivered string) []byte {
 	p.set("model", p.Model)
-	p.set("priority", -p.Template.Priority) // engines serve the lowest number first
+	p.set("priority", -p.Template.Priority) // engines serve the lowest value first
 	p.set("cache_salt", string(p.Workspace))
 	if p.Stream {
 		p.set("stream_options", streamOptions{IncludeUsage: true})
 	}
 	if delivered != "" {
-		return p.continuedBody(delivered)
+		return p.continuationBody(delivered)
 	}
 	body, _ := json.Marshal(p.fields)
 	return body
 }
 
-// continuedBody asks for the rest of an answer of which the start is delivered.
-func (p *Prompt) continuedBody(delivered string) []byte {
+// continuationBody returns a body that requests the rest of a response after the text
+// delivered.
+func (p *Prompt) continuationBody(delivered string) []byte {
 	f := make(map[string]json.RawMessage, len(p.fields)+2)
 	for k, v := range p.fields {
 		f[k] = v
--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -7,17 +7,17 @@
 	"sync/atomic"
 )
 
-// Stats counts what the dispatcher did; published as metrics.
+// Stats counts the work of a dispatcher, for the metrics.
 type Stats struct {
 	Attempts, Retries, Resumes, Continued, BudgetEmpty atomic.Int64
 	PromptTokens, CachedTokens, OutputTokens, Events   atomic.Int64
 }
 
-// deliveredText gathers the text that the caller has, for templates that allow
-// another target to continue it.
+// deliveredText collects the text that the caller has, for templates that let another
+// target continue it.
 type deliveredText struct{ b strings.Builder }
 
-// add appends the text of one chunk.
+// add appends the text of one stream event.
 func (t *deliveredText) add(data []byte) {
 	if !bytes.Contains(data, []byte(`"choices"`)) {
 		return
@@ -36,8 +36,7 @@
 	}
 }
 
-// Len returns the text's length in bytes.
+// Len returns the length in bytes.
 func (t *deliveredText) Len() int { return t.b.Len() }
 
-// String returns the text.
 func (t *deliveredText) String() string { return t.b.String() }
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -13,10 +13,10 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// errCallerGone means that the caller's connection took no more.
-var errCallerGone = errors.New("the caller is gone")
+// errCallerGone means that a write to the caller failed.
+var errCallerGone = errors.New("the caller has disconnected or stopped reading")
 
-// stream is one attempt's stream on its way to the caller.
+// stream relays the events of one attempt to the caller.
 type stream struct {
 	r        *run
 	call     *engine.Call
@@ -26,30 +26,30 @@
 	begun    bool // an event of this attempt was passed on
 }
 
-// send runs one attempt to its end.
+// send sends the call and relays the response, with up to maxResumes resumes.
 func (r *run) send(ctx context.Context, call *engine.Call, c choice, work *loadview.Work) error {
 	cn, err := r.open(ctx, call, r.d.Engine.Start)
 	if err != nil {
-		r.hungUp = upstream.ClosedByReplica(err)
+		r.closedByTarget = upstream.ClosedByReplica(err)
 		return err
 	}
 	if !r.p.Stream {
 		defer cn.close()
-		err = r.whole(call, cn.answer, work)
-		r.hungUp = upstream.ClosedByReplica(err)
+		err = r.relayBuffered(call, cn.response, work)
+		r.closedByTarget = upstream.ClosedByReplica(err)
 		return err
 	}
 	s := &stream{r: r, call: call, conn: cn, verifier: relay.NewVerifier(call.Attempt), work: work}
 	err = s.relay()
-	r.hungUp = upstream.ClosedByReplica(err) // a resume that fails says less of how it ended
+	r.closedByTarget = upstream.ClosedByReplica(err) // before the resumes, whose errors may hide how the connection ended
 	for resumes := 0; err != nil && resumes < maxResumes && s.mayResume(ctx, err, c); resumes++ {
 		err = s.resume(ctx)
 	}
 	return err
 }
 
-// whole delivers an answer that is not streamed.
-func (r *run) whole(call *engine.Call, a *engine.Response, work *loadview.Work) error {
+// relayBuffered delivers a response that is not streamed.
+func (r *run) relayBuffered(call *engine.Call, a *engine.Response, work *loadview.Work) error {
 	defer func() { _ = a.Body.Close() }()
 	body, err := engine.ReadFull(a, call)
 	if err != nil {
@@ -57,30 +57,30 @@
 	}
 	work.FirstToken()
 	if u, ok := engine.UsageOf(body); ok {
-		r.answered(call, a, u)
+		r.observeUsage(call, a, u)
 	}
 	r.started = true
 	body = bytes.ReplaceAll(body, []byte(call.Attempt), []byte(r.p.Request))
 	if err := r.sink.Response(call.Target, body); err != nil {
-		return callerGone(err)
+		return callerGoneError(err)
 	}
 	return nil
 }
 
-// callerGone types the caller's leaving.
-func callerGone(err error) error {
-	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller is gone")
+// callerGoneError returns the error of an attempt whose caller has disconnected.
+func callerGoneError(err error) error {
+	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller has disconnected or stopped reading")
 }
 
-// relay passes events on until the stream is complete or broken. Whenever it waits for
-// the next event it has flushed what came before, and the target's silence is timed.
+// relay passes events on until the stream is complete or broken. Before it waits for the
+// next event, it flushes the earlier ones and starts the idle timer.
 func (s *stream) relay() error {
 	defer s.conn.close()
-	in := relay.NewReader(s.conn.answer.Body)
-	heard := false // something has come since the last wait
+	in := relay.NewReader(s.conn.response.Body)
+	received := false // an event has arrived since the last wait
 	for {
-		if heard && !in.Buffered() {
-			heard = false
+		if received && !in.Buffered() {
+			received = false
 			if err := s.flush(); err != nil {
 				return err
 			}
@@ -88,18 +88,18 @@
 		}
 		ev, err := in.Next()
 		if err != nil {
-			return s.broken(err)
+			return s.brokenError(err)
 		}
-		heard = true
+		received = true
 		s.conn.pauseIdle()
 		verdict, err := s.verifier.Accept(ev)
 		if err != nil {
-			return s.broken(err)
+			return s.brokenError(err)
 		}
 		if verdict == relay.Duplicate {
 			continue
 		}
-		if err := s.pass(ev, verdict); err != nil {
+		if err := s.forward(ev, verdict); err != nil {
 			return err
 		}
 		if verdict == relay.Done {
@@ -110,9 +110,9 @@
 	}
 }
 
-// pass hands one good event to the caller. The attempt's id in it becomes the
-// request's: the caller sees one answer whichever attempt it came from.
-func (s *stream) pass(ev relay.Event, v relay.Verdict) error {
+// forward passes a verified event to the caller. It replaces the attempt's id by the
+// request's, so that the ids stay the same over all attempts.
+func (s *stream) forward(ev relay.Event, v relay.Verdict) error {
 	r := s.r
 	if !s.begun {
 		s.begun = true
@@ -124,7 +124,7 @@
 	}
 	if v == relay.Forward {
 		if u, ok := engine.UsageOf(ev.Data); ok {
-			r.answered(s.call, s.conn.answer, u)
+			r.observeUsage(s.call, s.conn.response, u)
 			if !r.p.wantUsage && bytes.Contains(ev.Data, []byte(`"choices":[]`)) {
 				return nil
 			}
@@ -136,39 +136,40 @@
 	r.d.Stats.Events.Add(1)
 	data := bytes.ReplaceAll(ev.Data, []byte(s.call.Attempt), []byte(r.p.Request))
 	if err := r.sink.Event(data); err != nil {
-		return callerGone(err)
+		return callerGoneError(err)
 	}
 	return nil
 }
 
 func (s *stream) flush() error {
 	if err := s.r.sink.Flush(); err != nil {
-		return callerGone(err)
+		return callerGoneError(err)
 	}
 	return nil
 }
 
-func (s *stream) broken(err error) error {
-	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "relay", string(s.call.Target), "the target's stream broke")
+func (s *stream) brokenError(err error) error {
+	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "relay", string(s.call.Target), "the target's response is incomplete or invalid")
 }
 
-// mayResume decides whether the same target is asked for the rest.
+// mayResume reports whether the same target may be asked for the rest of the stream. It
+// takes the resume out of the retry budget.
 func (s *stream) mayResume(ctx context.Context, err error, c choice) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerGone) {
 		return false
 	}
-	sameLife := s.conn.answer.Incarnation == c.target.Incarnation || c.target.Incarnation == 0
-	return s.verifier.Numbered() && sameLife && s.r.d.Budget.Withdraw()
+	sameIncarnation := s.conn.response.Incarnation == c.target.Incarnation || c.target.Incarnation == 0
+	return s.verifier.Numbered() && sameIncarnation && s.r.d.Budget.Withdraw()
 }
 
-// resume continues the attempt's stream behind the last event passed on.
+// resume continues the attempt's stream after the last verified event.
 func (s *stream) resume(ctx context.Context) error {
 	s.r.d.Stats.Resumes.Add(1)
 	s.r.d.Events.Record(timeline.Event{
 		Kind: timeline.KindAttempt, Request: s.r.p.Request, Attempt: s.call.Attempt,
 		Peer: string(s.call.Target), Text: "resume",
 	}, nil)
-	life := s.conn.answer.Incarnation
+	incarnation := s.conn.response.Incarnation
 	after := s.verifier.Last()
 	cn, err := s.r.open(ctx, s.call, func(ctx context.Context, call *engine.Call) (*engine.Response, error) {
 		return s.r.d.Engine.Resume(ctx, call, after)
@@ -176,20 +177,21 @@
 	if err != nil {
 		return resumeError(err, s.call)
 	}
-	if cn.answer.Incarnation != life {
+	if cn.response.Incarnation != incarnation {
 		cn.close()
-		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "resume", string(s.call.Target), "the target has restarted and lost the answer")
+		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "resume", string(s.call.Target), "the target has restarted and lost the response")
 	}
 	s.conn = cn
 	return s.relay()
 }
 
-// resumeError types a failed resume. That a target has forgotten the answer is no
-// word about the caller's request, which another target may still continue.
+// resumeError returns the error of a failed resume. A CallerError here means that the
+// target no longer holds the response, not that the caller's request is invalid, so
+// another target may still continue it.
 func resumeError(err error, call *engine.Call) error {
 	var refused *engine.CallerError
 	if errors.As(err, &refused) {
-		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "resume", string(call.Target), "the target does not know the answer any more")
+		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "resume", string(call.Target), "the target no longer holds the response")
 	}
 	return err
 }
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -13,21 +13,22 @@
 	"github.com/threadwall/threadwall/internal/relay"
 )
 
-// countingSink counts what callers get.
+// countingSink counts the events that it gets and those that were flushed.
 type countingSink struct{ events, flushed int }
 
-func (*countingSink) Start(ids.Target)               {}
-func (s *countingSink) Event([]byte) error           { s.events++; return nil }
-func (s *countingSink) Flush() error                 { s.flushed = s.events; return nil }
+func (*countingSink) Start(ids.Target)                  {}
+func (s *countingSink) Event([]byte) error              { s.events++; return nil }
+func (s *countingSink) Flush() error                    { s.flushed = s.events; return nil }
 func (*countingSink) Response(ids.Target, []byte) error { return nil }
 
-// TestSilenceAfterADuplicate lets a target send an event, the same once more or a part of
-// the next, and nothing then: the caller has the event at once, and the target is given up
-// after the idle time. Before, a duplicate stopped the clock for good.
-func TestSilenceAfterADuplicate(t *testing.T) {
+// TestIdleTimeoutAfterDuplicateEvent has a target send an event, then nothing, the same event
+// again or a part of the next one, and then stall. The caller must get the event at once, and
+// the stream must end after the idle time-out. It guards against a fault in which a duplicate
+// event stopped the idle timer for good.
+func TestIdleTimeoutAfterDuplicateEvent(t *testing.T) {
 	const idle = 2 * time.Second
 	const event = "id: 1\ndata: {\"id\":\"a1\"}\n\n"
-	for name, rest := range map[string]string{"nothing": "", "a duplicate": event, "a torn event": "id: 2\ndata: {"} {
+	for name, rest := range map[string]string{"nothing": "", "a duplicate": event, "an incomplete event": "id: 2\ndata: {"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				body, target := io.Pipe()
@@ -36,8 +37,8 @@
 					r:    &run{d: &Dispatcher{IdleTimeout: idle, Stats: &Stats{}}, p: &Prompt{}, sink: sink},
 					call: &engine.Call{Target: "e1", Attempt: "a1"},
 					conn: &conn{
-						answer: &engine.Response{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
-						cancel: func() { _ = body.CloseWithError(errors.New("given up")) },
+						response: &engine.Response{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
+						cancel: func() { _ = body.CloseWithError(errors.New("idle time-out")) },
 					},
 					verifier: relay.NewVerifier("a1"), work: loadview.New().Sent("e1", 0, time.Now()),
 				}
