--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -1,6 +1,6 @@
-// Package services runs calls of plain services. A call that may not be repeated
-// is claimed before its first byte goes out and is sent at most once; only an
-// attempt that certainly did not run is followed by another.
+// Package services runs calls of plain services. A call that is not repeatable is
+// claimed before its first byte is sent, and is sent again only after an attempt that
+// certainly did not run.
 package services
 
 import (
@@ -29,15 +29,15 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// HeaderIdempotencyKey is the caller's name for a call, passed on to targets.
+// HeaderIdempotencyKey carries the caller's idempotency key. It is passed on to targets.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
 const (
-	maxAttempts   = 3
-	maxAnswerBody = 512 << 10 // leaves room for a claim in one stored object
-	maxHeaders    = 32 << 10
-	settleTimeout = 3 * time.Second
-	retryNoTarget = time.Second
+	maxAttempts        = 3
+	maxResponseBody    = 512 << 10 // leaves room for the rest of a claim in one stored object
+	maxHeaders         = 32 << 10
+	settleTimeout      = 3 * time.Second
+	noTargetRetryAfter = time.Second
 )
 
 // Call is one call of a plain service.
@@ -46,29 +46,29 @@
 	Workspace   ids.Workspace
 	Template    config.Service
 	Method      string
-	Path        string // behind the service's name, with query
+	Path        string // the part after the service's name, with the query
 	ContentType string
 	Body        []byte
 	Key         string
 
-	guarded quarantine.Call
+	guard quarantine.Call
 }
 
-// Runner runs service calls. Safe for concurrent use.
+// Runner runs service calls. It is safe for concurrent use after Init.
 type Runner struct {
 	Fleet  *fleet.Fleet
 	Ledger *claims.Ledger
 	Events *timeline.Log
 	Budget *retry.Budget
-	// Guard keeps calls that crash targets from further ones. Nil: none are.
+	// Guard quarantines calls that crash targets. If nil, no call is quarantined.
 	Guard  *quarantine.Guard
 	Domain ids.FailureDomain
 	http   *http.Client
 }
 
-// Init makes the runner's client. Every call gets a connection of its own: a
-// pooled one may be closing just as a call is written to it, and net/http then
-// sends a request that carries an Idempotency-Key again by itself.
+// Init creates the HTTP client. Every call gets a new connection: the target may close a
+// pooled one while a call is written to it, and net/http then resends a request that
+// carries an Idempotency-Key without asking.
 func (r *Runner) Init(dialTimeout time.Duration) {
 	r.http = &http.Client{
 		Transport: &http.Transport{
@@ -81,15 +81,15 @@
 	}
 }
 
-// Run runs a call and returns its answer. The error is an *outcome.Error whose
-// outcome is that of the call, not of the last attempt alone.
+// Run runs a call and returns its response. The error is an *outcome.Error with the
+// outcome of the whole call, not of the last attempt alone.
 func (r *Runner) Run(ctx context.Context, c *Call) (*claims.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Template.Deadline.D())
 	defer cancel()
 	r.Budget.Deposit()
-	c.guarded = r.Guard.Call(c.Request, quarantine.Request{Workspace: c.Workspace, Method: c.Method, URI: c.Template.Service + c.Path, Body: c.Body})
-	if refusal := c.guarded.Refusal(true); refusal != nil {
-		return nil, refusal // before it is claimed: it will not run
+	c.guard = r.Guard.Call(c.Request, quarantine.Request{Workspace: c.Workspace, Method: c.Method, URI: c.Template.Service + c.Path, Body: c.Body})
+	if refusal := c.guard.Refusal(true); refusal != nil {
+		return nil, refusal // before the claim, since the call will not run
 	}
 	if c.Template.Repeatable {
 		return r.repeatable(ctx, c)
@@ -97,7 +97,7 @@
 	return r.once(ctx, c)
 }
 
-// repeatable tries targets until one answers.
+// repeatable tries up to maxAttempts targets until one responds.
 func (r *Runner) repeatable(ctx context.Context, c *Call) (*claims.Answer, error) {
 	var tried []ids.Target
 	mayRan := false
@@ -112,18 +112,18 @@
 			// The last attempt did not run; an earlier one may have.
 			e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 		}
-		if len(tried) >= maxAttempts || target == "" || ctx.Err() != nil || c.guarded.Refusal(false) != nil || !r.Budget.Withdraw() {
+		if len(tried) >= maxAttempts || target == "" || ctx.Err() != nil || c.guard.Refusal(false) != nil || !r.Budget.Withdraw() {
 			return nil, e
 		}
 	}
 }
 
-// once claims the call and sends it at most once per attempt that is not known
-// to have been refused.
+// once claims the call, sends it and settles the claim. If the call ran before, it
+// returns the recorded response.
 func (r *Runner) once(ctx context.Context, c *Call) (*claims.Answer, error) {
 	keyTime := claims.KeyTime(c.Key)
 	if claims.Expired(keyTime, time.Now(), c.Template.ClaimRetention.D()) {
-		return nil, outcome.New(outcome.NotRun, outcome.CodeKeyExpired, "claim", "", "this idempotency key is older than its template allows, or from the future")
+		return nil, outcome.New(outcome.NotRun, outcome.CodeKeyExpired, "claim", "", "the idempotency key's time is in the future or beyond the claim retention of its template")
 	}
 	deadline, _ := ctx.Deadline()
 	held, err := r.Ledger.Claim(ctx, claims.Call{
@@ -132,16 +132,16 @@
 	})
 	var ran *claims.AlreadyRan
 	if errors.As(err, &ran) {
-		r.record(c, "", "claim", "ran before; the recorded answer is given")
+		r.recordClaim(c, "", "claim", "ran before; returning the recorded response")
 		return &ran.Answer, nil
 	}
 	if err != nil {
-		r.record(c, "", "claim", err.Error())
+		r.recordClaim(c, "", "claim", err.Error())
 		return nil, err
 	}
-	r.record(c, held.Attempt, "claim", "held")
-	// From here on the call goes on without its caller, who may have lost the
-	// connection and will ask again: the answer must be there to be given.
+	r.recordClaim(c, held.Attempt, "claim", "held")
+	// From here on the call continues even if its caller disconnects: a caller that has
+	// lost the connection will retry, and the response must then be on record.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	a, err := r.sendHeld(ctx, c, held)
@@ -149,8 +149,8 @@
 	return a, err
 }
 
-// sendHeld sends a held attempt. Only a target that certainly did not run the
-// call is followed by another, under the same attempt: it is still unused.
+// sendHeld sends a claimed call. It tries another target only if the last one certainly
+// did not run the call, and under the same attempt id, which is then still unused.
 func (r *Runner) sendHeld(ctx context.Context, c *Call, held *claims.Held) (*claims.Answer, error) {
 	var tried []ids.Target
 	for {
@@ -160,7 +160,7 @@
 			return a, nil
 		}
 		e := outcome.Of(err)
-		if e.Outcome != outcome.NotRun || len(tried) >= maxAttempts || target == "" || ctx.Err() != nil || c.guarded.Refusal(false) != nil || !r.Budget.Withdraw() {
+		if e.Outcome != outcome.NotRun || len(tried) >= maxAttempts || target == "" || ctx.Err() != nil || c.guard.Refusal(false) != nil || !r.Budget.Withdraw() {
 			return nil, e
 		}
 	}
@@ -171,32 +171,32 @@
 	if err != nil {
 		o = outcome.Of(err).Outcome
 	}
-	var keep *claims.Answer
+	var recorded *claims.Answer
 	if o == outcome.Ran && a != nil {
-		keep = &claims.Answer{Status: a.Status, ContentType: a.ContentType}
+		recorded = &claims.Answer{Status: a.Status, ContentType: a.ContentType}
 		if c.Template.KeepAnswer {
-			keep.Kept, keep.Body = true, a.Body
+			recorded.Kept, recorded.Body = true, a.Body
 		}
 	}
-	// The caller may be gone; the record must be written all the same.
+	// The claim must be settled even if the caller has disconnected.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
-	r.Ledger.Settle(ctx, held, o, keep)
-	r.record(c, held.Attempt, "settle", o.String())
+	r.Ledger.Settle(ctx, held, o, recorded)
+	r.recordClaim(c, held.Attempt, "settle", o.String())
 }
 
-func (r *Runner) record(c *Call, a ids.Attempt, step, text string) {
+func (r *Runner) recordClaim(c *Call, a ids.Attempt, step, text string) {
 	r.Events.Record(timeline.Event{Kind: timeline.KindClaim, Request: c.Request, Attempt: a, Text: step + ": " + text}, nil)
 }
 
-// try makes one attempt on one target. The target is empty when none could take
-// the call.
+// try sends the call to one target. The returned target is empty if the call was not
+// sent.
 func (r *Runner) try(ctx context.Context, c *Call, attempt ids.Attempt, tried []ids.Target) (*claims.Answer, ids.Target, error) {
 	target, err := r.pick(c, tried)
 	if err != nil {
 		return nil, "", err
 	}
-	if refusal := c.guarded.RefusalAtSend(len(tried) == 0); refusal != nil {
+	if refusal := c.guard.RefusalAtSend(len(tried) == 0); refusal != nil {
 		return nil, "", refusal
 	}
 	r.Fleet.Members.Trying(target.ID, clock.Now())
@@ -205,19 +205,19 @@
 	r.Events.Record(timeline.Event{Kind: timeline.KindAttempt, Request: c.Request, Attempt: attempt, Peer: string(target.ID), Text: "begin"}, nil)
 	sent := clock.Now()
 	a, err := r.send(ctx, c, attempt, target)
-	r.guard(ctx, c, target, sent, a, err)
-	r.learn(ctx, c, attempt, target.ID, err)
+	r.reportToGuard(ctx, c, target, sent, a, err)
+	r.recordResult(ctx, c, attempt, target.ID, err)
 	return a, target.ID, err
 }
 
-// guard tells what an attempt says of the request: that a target answered it and lives, or
-// that one hung up on it and may have ended.
-func (r *Runner) guard(ctx context.Context, c *Call, t routing.Target, sent time.Time, a *claims.Answer, err error) {
+// reportToGuard reports the end of an attempt to the quarantine: the target answered and is live,
+// or it closed the connection and may have crashed on the call.
+func (r *Runner) reportToGuard(ctx context.Context, c *Call, t routing.Target, sent time.Time, a *claims.Answer, err error) {
 	switch {
 	case err == nil:
-		c.guarded.Answered(a.Status)
+		c.guard.Answered(a.Status)
 	case upstream.ClosedByReplica(err) && ctx.Err() == nil && r.Fleet.Members.State(t.ID, clock.Now()) != routing.Leaving:
-		c.guarded.ReportBroken(quarantine.Send{Target: t.ID, Addr: t.Addr, Incarnation: t.Incarnation, Sent: sent, Broke: clock.Now()}, false)
+		c.guard.ReportBroken(quarantine.Send{Target: t.ID, Addr: t.Addr, Incarnation: t.Incarnation, Sent: sent, Broke: clock.Now()}, false)
 	}
 }
 
@@ -227,7 +227,7 @@
 	req := routing.Request{Service: c.Template.Service, FailureDomain: r.Domain, Seed: r.Fleet.Seed()}
 	snap, d := r.Fleet.Decide(&req, tried, sc)
 	if d.Index < 0 {
-		return routing.Target{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no replica of the service can take the call now").After(r.Fleet.RetryAfter(&req, snap, sc, retryNoTarget))
+		return routing.Target{}, outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no replica of the service can take the call now").After(r.Fleet.RetryAfter(&req, snap, sc, noTargetRetryAfter))
 	}
 	return snap.View.Targets[d.Index], nil
 }
@@ -253,31 +253,31 @@
 		return nil, engine.SendError(err, t.ID)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return readAnswer(resp, attempt, t.ID)
+	return readResponse(resp, attempt, t.ID)
 }
 
-func readAnswer(resp *http.Response, attempt ids.Attempt, t ids.Target) (*claims.Answer, error) {
+func readResponse(resp *http.Response, attempt ids.Attempt, t ids.Target) (*claims.Answer, error) {
 	if resp.Header.Get(engine.HeaderOutcome) == outcome.NotRun.String() {
 		return nil, outcome.Wrap(engine.ReadRefusal(resp), outcome.NotRun, outcome.CodeUpstream, "answer", string(t), "the target refused the call")
 	}
 	if echo := resp.Header.Get(engine.HeaderAttempt); echo != "" && echo != string(attempt) {
-		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(t), "the target sent the answer of another call")
+		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(t), "the target sent the response to another request")
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBody+1))
-	if err == nil && len(body) > maxAnswerBody {
-		err = eris.New("the answer is too large")
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody+1))
+	if err == nil && len(body) > maxResponseBody {
+		err = eris.New("the response is larger than 512 KiB")
 	}
 	if err != nil {
-		return nil, outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(t), "the target's answer is not whole")
+		return nil, outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "read", string(t), "the target's response is incomplete or invalid")
 	}
-	// A 5xx without the target's word says nothing about whether the call ran.
+	// A 5xx status without an outcome header does not show whether the call ran.
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(t), "the target failed with status "+strconv.Itoa(resp.StatusCode))
 	}
 	return &claims.Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body, Kept: true}, nil
 }
 
-func (r *Runner) learn(ctx context.Context, c *Call, attempt ids.Attempt, t ids.Target, err error) {
+func (r *Runner) recordResult(ctx context.Context, c *Call, attempt ids.Attempt, t ids.Target, err error) {
 	ev := timeline.Event{Kind: timeline.KindAttemptEnd, Request: c.Request, Attempt: attempt, Peer: string(t), Text: "whole"}
 	var refusal *engine.Refusal
 	switch {
@@ -286,8 +286,8 @@
 	case errors.As(err, &refusal) && (refusal.Leaving || refusal.Rest > 0):
 		r.Fleet.ApplySignals(t, refusal.Incarnation, refusal.Signals(), clock.Now())
 	case errors.Is(ctx.Err(), context.Canceled):
-		// The caller left; this says nothing about the target.
-	default: // also when the call's time ran out on it
+		// The caller has disconnected, so this does not count against the target.
+	default: // also if the call's deadline passed during the attempt
 		r.Fleet.Members.Failed(t, clock.Now())
 		r.Fleet.MarkDirty()
 	}
