--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -16,8 +16,8 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// errorBody is the error shape of the OpenAI-compatible interface, with the
-// request's id and outcome added.
+// errorBody is an error of the OpenAI-compatible API, with the request's id and outcome
+// added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -31,8 +31,8 @@
 	RequestID ids.Request  `json:"request_id"`
 }
 
-// statuses maps codes to HTTP statuses. A status never implies an outcome; the
-// outcome is told beside it.
+// statuses maps codes to HTTP statuses. A status implies no outcome: HeaderOutcome and
+// the error body state it.
 var statuses = map[outcome.Code]int{
 	outcome.CodeInvalidKey:      http.StatusUnauthorized,
 	outcome.CodeBadRequest:      http.StatusBadRequest,
@@ -54,29 +54,30 @@
 	outcome.CodeInProgress:      http.StatusConflict,
 	outcome.CodeOutcomeUnknown:  http.StatusConflict,
 	outcome.CodeNotReady:        http.StatusServiceUnavailable,
-	outcome.CodeQuarantined:     http.StatusUnprocessableEntity, // no client tries that again
+	outcome.CodeQuarantined:     http.StatusUnprocessableEntity, // clients do not retry this status
 }
 
-func (g *Gateway) mark(c *gin.Context, req ids.Request, o outcome.Outcome) {
+func (g *Gateway) setHeaders(c *gin.Context, req ids.Request, o outcome.Outcome) {
 	h := c.Writer.Header()
 	h.Set(HeaderRequestID, string(req))
 	h.Set(HeaderOutcome, o.String())
 	h.Set(HeaderVM, string(g.VM))
 }
 
-// fail answers with an error and ends the request.
+// fail responds with an error and aborts the request. If the head of a response was
+// already written, it only records the error.
 func (g *Gateway) fail(c *gin.Context, req ids.Request, e *outcome.Error) {
-	g.refused(req, e)
+	g.recordRefusal(req, e)
 	c.Abort()
 	if c.Writer.Written() {
 		return
 	}
-	g.mark(c, req, e.Outcome)
+	g.setHeaders(c, req, e.Outcome)
 	if e.RetryAfter > 0 {
 		c.Header("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 		c.Header("Retry-After-Ms", strconv.FormatInt(e.RetryAfter.Milliseconds(), 10))
 	}
-	c.JSON(statusOf(e), bodyOf(req, e))
+	c.JSON(statusOf(e), errorBodyOf(req, e))
 }
 
 func statusOf(e *outcome.Error) int {
@@ -86,7 +87,7 @@
 	return http.StatusInternalServerError
 }
 
-func bodyOf(req ids.Request, e *outcome.Error) errorBody {
+func errorBodyOf(req ids.Request, e *outcome.Error) errorBody {
 	kind := "invalid_request_error"
 	if statusOf(e) >= http.StatusInternalServerError {
 		kind = "server_error"
@@ -96,7 +97,7 @@
 	}}
 }
 
-// callerDetail passes on what a target said of a request at fault.
+// callerDetail returns what a target reported about an invalid request.
 func callerDetail(e *outcome.Error) string {
 	var ce *engine.CallerError
 	if e.Outcome != outcome.Ran || !errors.As(e, &ce) {
@@ -109,7 +110,7 @@
 	return ": " + string(ce.Body)
 }
 
-func (g *Gateway) refused(req ids.Request, e *outcome.Error) {
+func (g *Gateway) recordRefusal(req ids.Request, e *outcome.Error) {
 	g.Refused.Add(1)
 	g.Log.Info().Str("request", string(req)).Str("step", e.Step).Str("peer", e.Peer).
 		Str("code", string(e.Code)).Str("outcome", e.Outcome.String()).Err(e.Unwrap()).Msg(e.Message)
@@ -119,7 +120,7 @@
 	}, nil)
 }
 
-// sink writes a model's answer to the caller.
+// sink writes a model's response to the caller.
 type sink struct {
 	g       *Gateway
 	c       *gin.Context
@@ -129,13 +130,14 @@
 	number  uint64
 	buf     []byte
 
-	deadlineSet time.Time // when the write deadline was last moved on
+	deadlineSet time.Time // when the write deadline was last extended
 }
 
-// callerTimeout bounds a write to a caller that takes nothing, less a quarter.
+// callerTimeout bounds a write to a caller that does not read. Flush extends the write
+// deadline only once a quarter of it has passed, so a write gets 45 to 60 s.
 const callerTimeout = 60 * time.Second
 
-// complete sets the trailer of a stream that came to its end.
+// complete sets the trailer of a complete stream.
 func (s *sink) complete() {
 	if s.number > 0 {
 		s.c.Writer.Header().Set(HeaderOutcome, outcome.Ran.String())
@@ -149,8 +151,8 @@
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	h.Set(HeaderTarget, string(t))
-	// The outcome is not known before the end; it comes as a trailer and as the
-	// stream's last event.
+	// The outcome is known only at the end, so it is sent as a trailer and, if the
+	// stream fails, in its last event.
 	h.Set("Trailer", HeaderOutcome)
 	h.Set(HeaderRequestID, string(s.request))
 	h.Set(HeaderVM, string(s.g.VM))
@@ -188,25 +190,25 @@
 // Response implements dispatch.Sink.
 func (s *sink) Response(t ids.Target, body []byte) error {
 	s.started = true
-	s.g.mark(s.c, s.request, outcome.Ran)
+	s.g.setHeaders(s.c, s.request, outcome.Ran)
 	s.c.Header(HeaderTarget, string(t))
 	s.c.Data(http.StatusOK, "application/json", body)
 	return nil
 }
 
-// fail ends the answer with an error: as a status if nothing was sent, as an
+// fail ends the response with an error: with a status if nothing was sent, with an
 // error event if the stream had begun. The stream then has no [DONE], and its
-// connection is cut, so that no reader can take it for complete.
+// connection is aborted, so that no reader takes it for complete.
 func (s *sink) fail(e *outcome.Error) {
 	if !s.started {
 		s.g.fail(s.c, s.request, e)
 		return
 	}
 	s.g.Broken.Add(1)
-	s.g.refused(s.request, e)
+	s.g.recordRefusal(s.request, e)
 	_ = s.Flush()
 	s.c.Writer.Header().Set(HeaderOutcome, e.Outcome.String())
-	body, _ := json.Marshal(bodyOf(s.request, e))
+	body, _ := json.Marshal(errorBodyOf(s.request, e))
 	s.buf = append(s.buf, "event: error\ndata: "...)
 	s.buf = append(s.buf, body...)
 	s.buf = append(s.buf, "\n\n"...)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the callers' interface: the OpenAI-compatible model paths,
-// plain services, and health for the platform's balancer.
+// Package gateway serves the HTTP API for callers: the OpenAI-compatible model paths,
+// plain services, and the health checks of the platform's load balancer.
 package gateway
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Headers of answers to callers.
+// Headers of responses to callers.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderOutcome   = "X-Threadwall-Outcome"
@@ -32,16 +32,17 @@
 	HeaderVM        = "X-Threadwall-Vm"
 )
 
-// Readiness tells whether this VM may take work, and why not.
+// Readiness reports whether this VM may take work.
 type Readiness interface {
+	// Ready reports whether the load balancer may send requests, and the reason if not.
 	Ready() (ok bool, reason string)
-	// Serves tells whether the VM has been ready once. Before that its
-	// configuration may be older than one that it served in its former life; while
-	// it shuts down it still serves what comes.
+	// Serves reports whether the VM has been ready once. Before that, its
+	// configuration may be older than one that its previous incarnation served.
+	// During a shutdown it still serves requests that arrive.
 	Serves() bool
 }
 
-// Gateway serves callers.
+// Gateway serves callers. It is safe for concurrent use.
 type Gateway struct {
 	VM         ids.VM
 	Config     *confsync.Current
@@ -65,9 +66,9 @@
 	e.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "ok\n") })
 	e.GET("/readyz", g.ready)
 	e.NoRoute(func(c *gin.Context) {
-		g.fail(c, ids.NewRequest(), outcome.New(outcome.NotRun, outcome.CodeBadRequest, "route", "", "there is nothing at this path"))
+		g.fail(c, ids.NewRequest(), outcome.New(outcome.NotRun, outcome.CodeBadRequest, "route", "", "there is no resource at this path"))
 	})
-	v1 := e.Group("/v1", g.enter)
+	v1 := e.Group("/v1", g.admit)
 	v1.GET("/models", g.models)
 	v1.POST("/chat/completions", g.prompt(dispatch.PathChat))
 	v1.POST("/completions", g.prompt(dispatch.PathCompletions))
@@ -83,14 +84,14 @@
 	c.String(http.StatusOK, "ready\n")
 }
 
-// recover turns a panic into an answer that claims nothing.
+// recover turns a panic into a response with an unknown outcome.
 func (g *Gateway) recover(c *gin.Context) {
 	defer func() {
 		p := recover()
 		if p == nil {
 			return
 		}
-		if p == http.ErrAbortHandler { //nolint:errorlint // net/http compares it so
+		if p == http.ErrAbortHandler { //nolint:errorlint // net/http compares it in the same way
 			panic(p)
 		}
 		g.Log.Error().Interface("panic", p).Str("step", "handle").Msg("request handler panicked")
@@ -112,9 +113,9 @@
 	return r
 }
 
-// enter gives the request its id, its workspace and one configuration for its
-// whole life, and admits it.
-func (g *Gateway) enter(c *gin.Context) {
+// admit assigns the request its id, its workspace and the configuration that it uses
+// until it ends, and applies the workspace's limits.
+func (g *Gateway) admit(c *gin.Context) {
 	req := ids.NewRequest()
 	g.Requests.Add(1)
 	c.Set(keyRequest, req)
@@ -152,12 +153,12 @@
 	return c.MustGet(keyWorkspace).(ids.Workspace), c.MustGet(keyConfig).(*config.Config)
 }
 
-// bodyTimeout bounds reading a body, so that a caller that trickles holds no place
-// for long.
+// bodyTimeout bounds the read of a body, so that a caller that sends slowly does not
+// hold a request slot for long.
 const bodyTimeout = 30 * time.Second
 
-// body reads a bounded body.
-func (g *Gateway) body(c *gin.Context, limit int64) ([]byte, *outcome.Error) {
+// readBody reads a body of up to limit bytes.
+func (g *Gateway) readBody(c *gin.Context, limit int64) ([]byte, *outcome.Error) {
 	ctl := http.NewResponseController(c.Writer)
 	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = ctl.SetReadDeadline(time.Time{}) }()
@@ -176,14 +177,14 @@
 	return func(c *gin.Context) {
 		ws, cfg := workspaceOf(c)
 		req := requestOf(c)
-		body, refusal := g.body(c, g.MaxBody)
+		body, refusal := g.readBody(c, g.MaxBody)
 		if refusal != nil {
 			g.fail(c, req, refusal)
 			return
 		}
 		p, err := dispatch.ReadPrompt(req, ws, path, body, cfg)
 		if err != nil {
-			g.fail(c, req, badPrompt(err))
+			g.fail(c, req, promptError(err))
 			return
 		}
 		s := &sink{g: g, c: c, request: req, ctl: http.NewResponseController(c.Writer)}
@@ -192,11 +193,11 @@
 			return
 		}
 		s.complete()
-		g.done(req, outcome.Ran)
+		g.recordDone(req, outcome.Ran)
 	}
 }
 
-func badPrompt(err error) *outcome.Error {
+func promptError(err error) *outcome.Error {
 	var unknown *dispatch.UnknownTemplateError
 	if errors.As(err, &unknown) {
 		return outcome.New(outcome.NotRun, outcome.CodeUnknownTemplate, "render", "", err.Error())
@@ -218,10 +219,10 @@
 	}
 	key := c.GetHeader(services.HeaderIdempotencyKey)
 	if key == "" && !t.Repeatable {
-		g.fail(c, req, outcome.New(outcome.NotRun, outcome.CodeKeyRequired, "read", "caller", "this call may not be repeated, so it needs the header Idempotency-Key"))
+		g.fail(c, req, outcome.New(outcome.NotRun, outcome.CodeKeyRequired, "read", "caller", "calls of this service are not repeatable and need the header Idempotency-Key"))
 		return
 	}
-	body, refusal := g.body(c, t.MaxBodyBytes)
+	body, refusal := g.readBody(c, t.MaxBodyBytes)
 	if refusal != nil {
 		g.fail(c, req, refusal)
 		return
@@ -230,7 +231,7 @@
 	if c.Request.URL.RawQuery != "" {
 		path += "?" + c.Request.URL.RawQuery
 	}
-	answer, err := g.Services.Run(c.Request.Context(), &services.Call{
+	response, err := g.Services.Run(c.Request.Context(), &services.Call{
 		Request: req, Workspace: ws, Template: t, Method: c.Request.Method, Path: path,
 		ContentType: c.ContentType(), Body: body, Key: key,
 	})
@@ -238,27 +239,27 @@
 		g.fail(c, req, outcome.Of(err))
 		return
 	}
-	g.mark(c, req, outcome.Ran)
-	if !answer.Kept {
-		c.JSON(http.StatusOK, ranBefore{Outcome: outcome.Ran.String(), Status: answer.Status, Message: "the call ran before; its answer is not kept"})
+	g.setHeaders(c, req, outcome.Ran)
+	if !response.Kept {
+		c.JSON(http.StatusOK, alreadyRan{Outcome: outcome.Ran.String(), Status: response.Status, Message: "the call ran before; its answer is not kept"})
 	} else {
-		c.Data(answer.Status, answer.ContentType, answer.Body)
+		c.Data(response.Status, response.ContentType, response.Body)
 	}
-	g.done(req, outcome.Ran)
+	g.recordDone(req, outcome.Ran)
 }
 
-// ranBefore answers a late duplicate whose answer is not kept.
-type ranBefore struct {
+// alreadyRan is the response to a duplicate call whose response was not kept.
+type alreadyRan struct {
 	Outcome string `json:"outcome"`
 	Status  int    `json:"status"`
 	Message string `json:"message"`
 }
 
-func (g *Gateway) done(req ids.Request, o outcome.Outcome) {
+func (g *Gateway) recordDone(req ids.Request, o outcome.Outcome) {
 	g.Events.Record(timeline.Event{Kind: timeline.KindDone, Request: req, Text: o.String()}, nil)
 }
 
-// modelList is the answer of /v1/models.
+// modelList is the response of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -277,6 +278,6 @@
 	for _, name := range cfg.ModelNames(ws) {
 		list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: "threadwall"})
 	}
-	g.mark(c, requestOf(c), outcome.Ran)
+	g.setHeaders(c, requestOf(c), outcome.Ran)
 	c.JSON(http.StatusOK, list)
 }
