--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -1,5 +1,5 @@
-// Package durations gives settings and templates a duration that is written
-// with its unit, e.g. "250ms" or "2s".
+// Package durations provides a duration for settings and templates that is written with
+// its unit, such as "250ms" or "2s".
 package durations
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Duration is a time.Duration that JSON holds as a string with a unit.
+// Duration is a time.Duration that is encoded in JSON as a string with a unit. Decoding
+// rejects negative values.
 type Duration time.Duration
 
 // D returns d as a time.Duration.
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,16 +1,17 @@
-// Package ids holds the typed names that the rest of threadwall passes around,
-// so that a VM's name can never stand where a target's is meant.
+// Package ids defines distinct types for names and ids, so that the compiler rejects a
+// VM's name where a target's is expected.
 package ids
 
 import "github.com/google/uuid"
 
-// VM names one entry VM. It stays the same over restarts of the daemon.
+// VM names one entry VM. It stays the same when the daemon restarts.
 type VM string
 
 // Target names one replica of a model engine or of a plain service.
 type Target string
 
-// FailureDomain names a group of entry VMs and targets that can be cut off as one.
+// FailureDomain names a group of entry VMs and targets that can fail or be partitioned
+// from the rest together.
 type FailureDomain string
 
 // Workspace names one tenant.
@@ -22,23 +23,25 @@
 // WeightsVersion names one set of weights of a model.
 type WeightsVersion string
 
-// SoftwareVersion names a version of the software that a target runs. Empty: it does not say.
+// SoftwareVersion names a version of the software that a target runs. Empty if
+// the target reports none.
 type SoftwareVersion string
 
-// Incarnation numbers the lives of a VM or target. A larger number is a later
-// life; everything believed about an earlier life is void.
+// Incarnation numbers the starts of a VM or target. A larger number is a later start;
+// state that was recorded about an earlier incarnation is no longer valid.
 type Incarnation uint64
 
-// Request identifies one caller's request in answers, logs and the time line.
+// Request identifies one caller's request in responses, logs and the time line.
 type Request string
 
-// Attempt identifies one try to run a request on one target. It is used once.
+// Attempt identifies one attempt to run a request on a target. An id that a target may
+// have run is not used again.
 type Attempt string
 
-// NewRequest returns a fresh, time-ordered request id.
+// NewRequest returns a new request id. Ids are ordered by time.
 func NewRequest() Request { return Request("req-" + newUUID()) }
 
-// NewAttempt returns a fresh, time-ordered attempt id.
+// NewAttempt returns a new attempt id. Ids are ordered by time.
 func NewAttempt() Attempt { return Attempt("att-" + newUUID()) }
 
 func newUUID() string {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform describes what the platform's own records in the object API
-// say of VMs. The list lags: a VM can be gone for a while before its record is.
+// Package platform decodes the platform's list of VMs in the object API. The list lags
+// behind: the record of a VM may remain for a while after the VM has ended.
 package platform
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Prefix is where the platform keeps its list of VMs.
+// Prefix is the key prefix of the platform's list of VMs.
 const Prefix = "platform/vms/"
 
-// Role is what a VM does.
+// Role is the role of a VM.
 type Role string
 
 // The roles.
@@ -23,11 +23,11 @@
 	RoleService Role = "service" // a plain service: a target
 )
 
-// DefaultIncarnation is that of a target which does not say when it started, and so the
-// least of all.
+// DefaultIncarnation is the incarnation of a target that does not report its start time.
+// It is the lowest incarnation.
 const DefaultIncarnation ids.Incarnation = 1
 
-// State is the platform's word on a VM.
+// State is a VM's state according to the platform.
 type State string
 
 // The states.
@@ -38,7 +38,7 @@
 
 // Record is one VM in the platform's list.
 type Record struct {
-	Key           string             `json:"-"` // of the object that holds it; not always set
+	Key           string             `json:"-"` // key of the object; not always set
 	ID            string             `json:"id"`
 	Role          Role               `json:"role"`
 	FailureDomain ids.FailureDomain  `json:"failure_domain"`
@@ -50,23 +50,23 @@
 	Model         ids.Model          `json:"model,omitempty"`   // engines
 	Weights       ids.WeightsVersion `json:"weights,omitempty"` // engines
 	Service       string             `json:"service,omitempty"` // plain services
-	Slots         int                `json:"slots,omitempty"`   // requests that a target works on at once; zero: not known
-	// Software is the version of the target's software; empty: it does not say.
+	Slots         int                `json:"slots,omitempty"`   // requests that a target runs at the same time; zero if unknown
+	// Software is the version of the target's software. Empty if it reports none.
 	Software ids.SoftwareVersion `json:"software,omitempty"`
-	// WarmAt is when the target is no longer slow after its start.
+	// WarmAt is the time from which the target is no longer slow after its start.
 	WarmAt time.Time `json:"warm_at,omitzero"`
 	// Orders counts the orders that an engine has accepted in this incarnation.
 	Orders uint64 `json:"orders,omitempty"`
 }
 
-// Deployed is a version of a model's weights that targets have.
+// Deployed is a version of a model's weights that is deployed on targets.
 type Deployed struct {
 	Model   ids.Model
 	Weights ids.WeightsVersion
 }
 
-// Decode reads the list from its objects. Records that can't be read are
-// skipped, and counted in bad.
+// Decode decodes the list from its objects. It skips records that are malformed or have
+// no id, and counts them in bad.
 func Decode(objects []objectapi.Object) (records []Record, bad int) {
 	for _, o := range objects {
 		var r Record
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -1,4 +1,4 @@
-// Package tally counts by name, for metrics and logs.
+// Package tally provides counters by name, for metrics and logs.
 package tally
 
 import (
@@ -8,14 +8,14 @@
 	"github.com/rs/zerolog"
 )
 
-// Counts counts by name. Names should be few: none is ever dropped. The zero value is
-// ready. Safe for concurrent use.
+// Counts is a set of counters by name. Names are never removed, so there should be few.
+// The zero value is ready to use. It is safe for concurrent use.
 type Counts struct {
 	mu     sync.Mutex
 	byName map[string]int64
 }
 
-// Add counts one.
+// Add adds one to the counter of name.
 func (c *Counts) Add(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing waits for time or the end of a context.
+// Package timing provides waits that end with a context.
 package timing
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, and returns false if ctx ends first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
