--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,11 +1,11 @@
-// Package eventlog writes what a process decides as JSON lines.
+// Package eventlog logs the decisions of a process as JSON lines.
 //
-// A line is written for each decision that touches a request or changes what the
-// process believes, with the inputs that decided it and their age or version.
-// Writing never blocks: lines pass through a bounded ring to one writer, and a
-// stalled output costs lines, not requests. Lines about requests have a budget a
-// second, so that a flood of requests can't push out the lines that explain it.
-// What was left out is counted and told.
+// The process logs each decision that concerns a request or changes its own state, with
+// the inputs of the decision and their age or version. Writing never blocks: lines pass
+// through a bounded buffer to one writer, so that a stalled output loses lines and does
+// not delay requests. Lines about requests have a rate limit of their own, so that a
+// flood of requests does not displace the lines that explain it. The log counts and
+// reports the lines that it drops.
 package eventlog
 
 import (
@@ -18,44 +18,44 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of the log. A line has about 300 bytes.
+// Limits of the log. A line has about 300 bytes.
 const (
-	// ringLines is how many lines wait for a slow output: about 300 KB.
-	ringLines = 1024
-	// requestLines bounds the lines about requests, a second. A VM serves some tens
-	// of requests a second, with two or three lines each.
-	requestLines = 300
-	// requestBurst is how many such lines may come at once.
+	// bufferLines is the size of the buffer for a slow output: about 300 KB.
+	bufferLines = 1024
+	// requestLinesPerSecond limits the lines about requests. A VM serves some tens of
+	// requests per second, with two or three lines each.
+	requestLinesPerSecond = 300
+	// requestBurst is the number of such lines that may be written at once.
 	requestBurst = 600
-	// beliefLines bounds the lines about the process itself, a second.
-	beliefLines = 100
-	beliefBurst = 400
+	// stateLinesPerSecond limits the lines about the process's own state.
+	stateLinesPerSecond = 100
+	stateBurst          = 400
 )
 
-// timeFormat shows milliseconds: a request lasts some tens of them.
+// timeFormat has milliseconds, since a request takes some tens of them.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// zerolog takes the format from a variable of its package, for all loggers.
+// zerolog has one time format for all loggers, in a variable of its package.
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// Log is a process's event log. Safe for concurrent use. The zero value of a
-// pointer is a log that writes nothing.
+// Log is the event log of a process. It is safe for concurrent use. Request and State of
+// a nil *Log write nothing.
 type Log struct {
-	z       zerolog.Logger
-	out     diode.Writer
-	request *rate.Limiter
-	belief  *rate.Limiter
-	over    atomic.Uint64 // lines beyond the budget
-	missed  atomic.Uint64 // lines that found the ring full
+	z             zerolog.Logger
+	out           diode.Writer
+	request       *rate.Limiter
+	state         *rate.Limiter
+	overBudget    atomic.Uint64 // lines dropped at the rate limits
+	outputDropped atomic.Uint64 // lines dropped because the buffer was full
 }
 
 // New returns a log that writes to w; fields are added to every line.
 func New(w io.Writer, fields map[string]string) *Log {
 	l := &Log{
-		request: rate.NewLimiter(requestLines, requestBurst),
-		belief:  rate.NewLimiter(beliefLines, beliefBurst),
+		request: rate.NewLimiter(requestLinesPerSecond, requestBurst),
+		state:   rate.NewLimiter(stateLinesPerSecond, stateBurst),
 	}
-	l.out = diode.NewWriter(w, ringLines, 0, func(n int) { l.missed.Add(uint64(n)) })
+	l.out = diode.NewWriter(w, bufferLines, 0, func(n int) { l.outputDropped.Add(uint64(n)) })
 	ctx := zerolog.New(l.out).With().Timestamp()
 	for k, v := range fields {
 		ctx = ctx.Str(k, v)
@@ -64,40 +64,41 @@
 	return l
 }
 
-// Request begins a line about a request. It returns nil, on which all methods do
-// nothing, when the budget is used up.
+// Request begins a line about a request. It returns nil, on which all methods of
+// zerolog.Event do nothing, if the rate limit is reached.
 func (l *Log) Request(event string, id string) *zerolog.Event {
 	if l == nil {
 		return nil
 	}
 	if !l.request.Allow() {
-		l.over.Add(1)
+		l.overBudget.Add(1)
 		return nil
 	}
 	return l.z.Info().Str("event", event).Str("request", id)
 }
 
-// State begins a line about what the process believes, or about its life.
+// State begins a line about the state of the process. It returns nil, like Request, if
+// the rate limit is reached.
 func (l *Log) State(event string) *zerolog.Event {
 	if l == nil {
 		return nil
 	}
-	if !l.belief.Allow() {
-		l.over.Add(1)
+	if !l.state.Allow() {
+		l.overBudget.Add(1)
 		return nil
 	}
 	return l.z.Info().Str("event", event)
 }
 
-// ReportDropped writes how many lines were left out since the last call, if any were.
+// ReportDropped logs the number of lines dropped since the last call, if there are any.
 func (l *Log) ReportDropped() {
-	over, missed := l.over.Swap(0), l.missed.Swap(0)
+	over, missed := l.overBudget.Swap(0), l.outputDropped.Swap(0)
 	if over > 0 || missed > 0 {
-		l.z.Warn().Str("event", "log").Uint64("over_budget", over).Uint64("output_stalled", missed).Msg("lines were left out")
+		l.z.Warn().Str("event", "log").Uint64("over_budget", over).Uint64("output_stalled", missed).Msg("log lines were dropped")
 	}
 }
 
-// Close writes what is in the ring, for a short time.
+// Close writes the buffered lines. It waits for a stalled output for up to closeTimeout.
 func (l *Log) Close() {
 	l.ReportDropped()
 	done := make(chan struct{})
@@ -107,9 +108,9 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// closeWait bounds the wait for a stalled output when the process ends.
-const closeWait = 300 * time.Millisecond
+// closeTimeout bounds the wait in Close.
+const closeTimeout = 300 * time.Millisecond
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stalled is an output that takes nothing until it is let go.
+// stalled is an output whose writes block until release is closed.
 type stalled struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -22,14 +22,14 @@
 	return s.got.Write(p)
 }
 
-// TestStalledOutputCostsLines writes far more than the ring holds while the output
-// takes nothing: no write waits, and what was left out is told afterwards.
-func TestStalledOutputCostsLines(t *testing.T) {
+// TestStalledOutputDropsLines logs far more lines than the buffer holds while the output
+// is stalled. No write may block, and the log must report the dropped lines afterwards.
+func TestStalledOutputDropsLines(t *testing.T) {
 	out := &stalled{release: make(chan struct{})}
 	l := New(out, map[string]string{"vm": "v"})
 	began := time.Now()
-	for range 20 * ringLines {
-		l.z.Info().Str("event", "x").Send() // not through the budget, which is another bound
+	for range 20 * bufferLines {
+		l.z.Info().Str("event", "x").Send() // bypasses the rate limits
 	}
 	if took := time.Since(began); took > time.Second {
 		t.Fatalf("writing took %v", took)
@@ -41,13 +41,13 @@
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if !strings.Contains(out.got.String(), `"output_stalled":`) {
-		t.Fatal("the log does not tell that lines were left out")
+		t.Fatal("the log does not report the dropped lines")
 	}
 }
 
-// TestBudget writes more lines about requests than a second may have: the rest is
-// left out and counted, and lines about beliefs still come.
-func TestBudget(t *testing.T) {
+// TestRequestLineBudget logs more lines about requests than the rate limit allows. The log
+// must drop and count the rest, and still write lines about the process's state.
+func TestRequestLineBudget(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, nil)
 	for range requestBurst + 200 {
