--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -120,7 +120,7 @@
 		return
 	}
 	r.source = source
-	r.Log.Belief("store-source").Str("source", source).Str("reason", reason).Send()
+	r.Log.State("store-source").Str("source", source).Str("reason", reason).Send()
 }
 
 // direct reads the store until a peer serves.
@@ -177,7 +177,7 @@
 	default:
 		r.avoid.failed(p.VM, now)
 	}
-	r.Log.Belief("peer-left").Str("peer", string(p.VM)).Str("error", err.Error()).Send()
+	r.Log.State("peer-left").Str("peer", string(p.VM)).Str("error", err.Error()).Send()
 }
 
 // follow reads from a peer until it fails or a preferred one may be called again.
