--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -30,7 +30,7 @@
 		})
 	}
 	members := membership.New("vm", membership.DefaultTuning)
-	members.Platform(records, time.Now())
+	members.ApplyPlatform(records, time.Now())
 	f := fleet.New(members, cacheview.New(beliefs, nil), loadview.New(), routing.NewCost(), nil)
 	life := cacheview.GenerationOf(1, "w")
 	for i := range beliefs {
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -80,7 +80,7 @@
 		}
 	}()
 	for _, n := range nodes {
-		n.Fleet.Members.Platform(records, time.Now())
+		n.Fleet.Members.ApplyPlatform(records, time.Now())
 		n.SetTargets(records)
 		n.Fleet.Refresh()
 	}
--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -33,7 +33,7 @@
 // started again since: the engine takes calls.
 func TestOrderToAFormerIncarnation(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
 	d.ordered(news.Order{Target: "e1", Weights: "2", Incarnation: 100})
 	if d.Fleet.Members.Targets(time.Now())[0].BreakerOpen {
 		t.Error("calls are kept away for an order to the incarnation before")
@@ -48,7 +48,7 @@
 // replica has started again elsewhere: it stays in service.
 func TestEndedIncarnation(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
 	d.ended("e1", 100)
 	if got := d.Fleet.StateOf("e1"); got == routing.Leaving {
 		t.Error("the replica counts as leaving for what its incarnation before was told")
@@ -63,7 +63,7 @@
 // calls while it lasts, and gets some as soon as it is done, whatever it refused meanwhile.
 func TestOrderedKeepsCallsAway(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 1}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 1}}, time.Now())
 	open := func(at time.Time) bool { return d.Fleet.Members.Targets(at)[0].BreakerOpen }
 	if open(time.Now()) {
 		t.Fatal("it gets no calls before an order")
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -269,7 +269,7 @@
 			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
 		OnUnresponsive: func(peer ids.VM, silent []ids.Target) {
-			d.Fleet.Members.PeerLost(peer, silent, clock.Now())
+			d.Fleet.Members.SetLostByPeer(peer, silent, clock.Now())
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.lapsed, OnLeaseLapse: d.heardLapsed, Crashes: d.crashes, Allowances: d.allowed,
@@ -304,7 +304,7 @@
 func (d *Daemon) contact(s kvfeed.Source, alive bool) {
 	now := clock.Now()
 	if !s.Store {
-		d.Fleet.Members.Contact(s.ID, alive, now)
+		d.Fleet.Members.SetReachable(s.ID, alive, now)
 		return
 	}
 	d.Forward.KV.StoreDown(s.Addr, !alive, now)
@@ -319,7 +319,7 @@
 	if inc < d.Fleet.Members.Incarnation(id) {
 		return
 	}
-	d.Fleet.Members.Leaves(id, inc)
+	d.Fleet.Members.MarkLeaving(id, inc)
 	d.Forward.Upstream.Drop(id)
 	d.Fleet.MarkDirty()
 	d.Log.Belief("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -187,9 +187,9 @@
 		}
 		switch {
 		case !vouched:
-			d.Fleet.Members.Doubt(ids.Target(r.ID), now.Add(doubtFor))
+			d.Fleet.Members.SuspectUntil(ids.Target(r.ID), now.Add(doubtFor))
 		case near: // its own domain is heard again
-			d.Fleet.Members.Doubt(ids.Target(r.ID), now)
+			d.Fleet.Members.SuspectUntil(ids.Target(r.ID), now)
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -189,7 +189,7 @@
 func (f *Fleet) StateOf(id ids.Target) routing.State { return f.Members.State(id, f.now()) }
 
 // Unresponsive reports whether a target answers no VM, as far as this VM knows.
-func (f *Fleet) Unresponsive(id ids.Target) bool { return f.Members.NoContact(id, f.now()) }
+func (f *Fleet) Unresponsive(id ids.Target) bool { return f.Members.Unresponsive(id, f.now()) }
 
 // Declines reports whether a target has asked this VM not to send it requests now.
 func (f *Fleet) Declines(id ids.Target) bool { return f.Members.Declines(id, f.now()) }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 		return time.Now()
 	}
 	f := New(membership.New("vm", membership.DefaultTuning), cacheview.New(1024, nil), loadview.New(), routing.NewFetching(), now)
-	f.Members.Platform([]platform.Record{{ID: "t", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
+	f.Members.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
 	f.MarkDirty()
 	hold.Store(true)
 	go f.Refresh()
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -16,7 +16,7 @@
 	if inc == 0 {
 		inc = f.Members.Incarnation(id)
 	}
-	change := f.Members.Signaled(id, inc, s, sent, f.now())
+	change := f.Members.ApplySignals(id, inc, s, sent, f.now())
 	if change.Any() {
 		f.MarkDirty()
 	}
--- a/internal/fleet/signals_test.go
+++ b/internal/fleet/signals_test.go
@@ -27,7 +27,7 @@
 		records = append(records, platform.Record{ID: id, Role: platform.RoleService, Service: "svc", Incarnation: 1})
 	}
 	records = append(records, platform.Record{ID: "other", Role: platform.RoleService, Service: "other", Incarnation: 1})
-	f.Members.Platform(records, now)
+	f.Members.ApplyPlatform(records, now)
 	f.Refresh()
 	retryAfter := func(tried ...ids.Target) time.Duration {
 		sc := f.Acquire()
@@ -58,7 +58,7 @@
 // ignore the target's own signals.
 func TestPeerLimitOfAnotherIncarnation(t *testing.T) {
 	f := New(membership.New("vm", membership.DefaultTuning), cacheview.New(1024, nil), loadview.New(), routing.NewFetching(), nil)
-	f.Members.Platform([]platform.Record{{ID: "a", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
+	f.Members.ApplyPlatform([]platform.Record{{ID: "a", Role: platform.RoleService, Service: "svc", Incarnation: 1}}, time.Now())
 	f.Refresh()
 	if f.ApplyPeerLimit(ratelimit.Word{Target: "a", Incarnation: 1 << 60, Limit: ratelimit.PerSecond(9)}) {
 		t.Error("a peer's limit for an unknown incarnation was applied")
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -289,7 +289,7 @@
 		}
 	}
 	r.directory.published = out
-	r.Fleet.Members.Platform(out, now)
+	r.Fleet.Members.ApplyPlatform(out, now)
 	r.Fleet.MarkDirty()
 }
 
--- a/internal/follow/replicas_test.go
+++ b/internal/follow/replicas_test.go
@@ -78,7 +78,7 @@
 			r.Fleet.Cache.Add("e1", cacheview.GenerationOf(100, "3"), []prefix.Level{{ID: 7}})
 			members.Failed("e1", now)
 			members.Busy("e1", now.Add(time.Hour))
-			members.Doubt("e1", now.Add(time.Hour))
+			members.SuspectUntil("e1", now.Add(time.Hour))
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{})
 			if got := members.State("e1", time.Now()); got != routing.Leaving {
 				t.Fatalf("the replica is %s while it drains", got)
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -186,7 +186,7 @@
 	for _, s := range replicas {
 		records = append(records, platform.Record{ID: string(s.id), Role: platform.RoleService, Service: "svc", Addr: s.addr, Incarnation: 1})
 	}
-	fl.Members.Platform(records, time.Now())
+	fl.Members.ApplyPlatform(records, time.Now())
 	fl.Refresh()
 	f := &Forwarder{
 		Catalog: &catalog.Current{}, Fleet: fl, Upstream: upstream.NewClient(2 * time.Second), Dialect: plainDialect{},
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -136,7 +136,7 @@
 		}, 1},
 		{"restarts under its id", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
-				tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", s.addr, 2)}, time.Now())
+				tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", s.addr, 2)}, time.Now())
 				return false
 			}
 		}, 1},
@@ -159,7 +159,7 @@
 		}, 0},
 		{"leaves and stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool {
-				tf.f.Fleet.Members.Leaves("a", 1)
+				tf.f.Fleet.Members.MarkLeaving("a", 1)
 				s.stop()
 				return false
 			}
@@ -220,13 +220,13 @@
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	ledger := tf.watchCrashes()
 	quarantineHello(ledger, 3)
-	tf.f.Fleet.Members.Platform(nil, clock.Now()) // with the next line the replica counts as dead
+	tf.f.Fleet.Members.ApplyPlatform(nil, clock.Now()) // with the next line the replica counts as dead
 	tf.f.Fleet.Members.Busy("a", clock.Now().Add(time.Hour))
 	tf.f.Fleet.Refresh()
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 		t.Fatalf("without a replica: got %v, %v", resp, err)
 	}
-	tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", s.addr, 1)}, clock.Now())
+	tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", s.addr, 1)}, clock.Now())
 	tf.f.Fleet.Members.Ready("a")
 	tf.f.Fleet.Refresh()
 	for i := range 3 {
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -19,7 +19,7 @@
 	var tf *testFleet
 	restarted := make(chan struct{})
 	s := newFakeReplica(t, "a", func(net.Conn, *http.Request) bool {
-		tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
+		tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
 		tf.f.Upstream.Drop("a")
 		close(restarted)
 		return false
@@ -48,7 +48,7 @@
 func TestLeavingAppliesToOldIncarnationOnly(t *testing.T) {
 	var tf *testFleet
 	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
-		tf.f.Fleet.Members.Platform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
+		tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", "127.0.0.1:1", 2)}, time.Now())
 		return status(http.StatusMisdirectedRequest, "By: x\r\n")(c, r)
 	})
 	tf = newFleet(t, route(catalog.Once, 1), s)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -233,7 +233,7 @@
 	if t.r.superseded(t.c) {
 		return
 	}
-	t.r.f.Fleet.Members.Heard(t.c.target.ID, now)
+	t.r.f.Fleet.Members.MarkSeen(t.c.target.ID, now)
 	if t.r.call.Prompt != nil && t.r.route.Prompts {
 		t.r.f.Fleet.Load.ObserveTTFT(t.c.target.ID, t.c.wait, now.Sub(t.sent), now)
 		t.r.f.Prediction.Observe(t.r.route.Name, t.c.age, t.c.wait, now.Sub(t.sent))
@@ -362,7 +362,7 @@
 	case t.brokeOffUnread(err):
 		// The caller did not read, so this does not count against the replica.
 	case isRefusal && refusal.Mismatch && refusal.Replica != "" && refusal.Replica != c.target.ID:
-		members.Leaves(c.target.ID, c.target.Incarnation)
+		members.MarkLeaving(c.target.ID, c.target.Incarnation)
 		r.f.Upstream.Drop(c.target.ID)
 	case isRefusal && err.Outcome == outcome.NotRun:
 		members.Busy(c.target.ID, now.Add(busyPause))
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -52,7 +52,7 @@
 // replica, but this call is cancelled there only if it may be sent to another one.
 func (t *try) onStall() {
 	if !t.r.superseded(t.c) {
-		t.r.f.Fleet.Members.Silent(t.c.target.ID, t.sent, clock.Now())
+		t.r.f.Fleet.Members.TimedOut(t.c.target.ID, t.sent, clock.Now())
 		t.r.f.Fleet.MarkDirty()
 	}
 	if t.r.repeatable() && t.r.f.Budgets.Of(t.r.service).Left() >= 1 {
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -38,7 +38,7 @@
 	for s, w := range weights {
 		records = append(records, platform.Record{ID: string(s.id), Role: platform.RoleService, Service: "svc", Addr: s.addr, Incarnation: 1, Weights: w})
 	}
-	tf.f.Fleet.Members.Platform(records, time.Now())
+	tf.f.Fleet.Members.ApplyPlatform(records, time.Now())
 	tf.f.Fleet.Refresh()
 }
 
--- a/internal/membership/contact.go
+++ b/internal/membership/contact.go
@@ -6,8 +6,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Heard records a sign of life from the target.
-func (t *Table) Heard(id ids.Target, now time.Time) {
+// MarkSeen records a sign of life from the target.
+func (t *Table) MarkSeen(id ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.targets[id]; m != nil {
@@ -15,9 +15,9 @@
 	}
 }
 
-// Contact records whether a standing call of this VM to the target, such as the one
+// SetReachable records whether a standing call of this VM to the target, such as the one
 // that reads its cache feed, is answered.
-func (t *Table) Contact(id ids.Target, alive bool, now time.Time) {
+func (t *Table) SetReachable(id ids.Target, alive bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.targets[id]
@@ -30,9 +30,9 @@
 	}
 }
 
-// Doubt records that until then nobody can say whether the target answers: those who
+// SuspectUntil records that until then nobody can say whether the target answers: those who
 // would know have fallen silent. A moment in the past ends the doubt.
-func (t *Table) Doubt(id ids.Target, until time.Time) {
+func (t *Table) SuspectUntil(id ids.Target, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.targets[id]; m != nil {
@@ -45,9 +45,9 @@
 	return now.Before(m.doubtUntil) && now.Sub(m.heardAt) >= ownWord
 }
 
-// PeerLost records all targets to which a peer's standing calls fail; those to the others
+// SetLostByPeer records all targets to which a peer's standing calls fail; those to the others
 // don't.
-func (t *Table) PeerLost(peer ids.VM, lost []ids.Target, now time.Time) {
+func (t *Table) SetLostByPeer(peer ids.VM, lost []ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.targets {
@@ -91,20 +91,20 @@
 	return peers >= peersToBelieve
 }
 
-// NoContact tells whether the target answers nothing, as far as this VM and its peers
+// Unresponsive tells whether the target answers nothing, as far as this VM and its peers
 // know. One that is full, slow, or carries out an order does answer.
-func (t *Table) NoContact(id ids.Target, now time.Time) bool {
+func (t *Table) Unresponsive(id ids.Target, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	m := t.targets[id]
 	return m != nil && m.silent(t.tuning, now)
 }
 
-// Silent records that a request of this VM, sent at the given time, got nothing from
+// TimedOut records that a request of this VM, sent at the given time, got nothing from
 // the target for too long. A target that gave signs of life since is slow, or hangs
 // some requests: that makes it dearer, and nothing worse, since under load all
 // targets are slow, and fewer of them make the others slower still.
-func (t *Table) Silent(id ids.Target, sent, now time.Time) {
+func (t *Table) TimedOut(id ids.Target, sent, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.targets[id]
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -120,9 +120,9 @@
 	return &Table{Limits: ratelimit.New(nil), self: self, tuning: tuning, targets: map[ids.Target]*target{}, signals: map[ids.Target]*signaled{}, peers: map[ids.VM]*peer{}}
 }
 
-// Platform takes in the platform's whole list. Members that it no longer holds
+// ApplyPlatform takes in the platform's whole list. Members that it no longer holds
 // become unlisted, which is evidence against a target, no more.
-func (t *Table) Platform(records []platform.Record, now time.Time) {
+func (t *Table) ApplyPlatform(records []platform.Record, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range t.targets {
@@ -217,9 +217,9 @@
 	return true
 }
 
-// Probed takes in a report on a target, own or from a peer. It returns whether
+// ApplyReport takes in a report on a target, own or from a peer. It returns whether
 // the report was news.
-func (t *Table) Probed(id ids.Target, r Report, now time.Time) bool {
+func (t *Table) ApplyReport(id ids.Target, r Report, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.targets[id]
@@ -302,8 +302,8 @@
 	}
 }
 
-// Leaves records that the target itself refused work because it is leaving, or has ended.
-func (t *Table) Leaves(id ids.Target, inc ids.Incarnation) {
+// MarkLeaving records that the target itself refused work because it is leaving, or has ended.
+func (t *Table) MarkLeaving(id ids.Target, inc ids.Incarnation) {
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -46,9 +46,9 @@
 	target := ids.Target(id)
 	switch d.Cmd {
 	case "platform":
-		table.Platform(records(d.Input), now)
+		table.ApplyPlatform(records(d.Input), now)
 	case "probe":
-		table.Probed(target, Report{
+		table.ApplyReport(target, Report{
 			Incarnation: ids.Incarnation(num("inc")), Seq: num("seq"), Leaving: d.HasArg("leaving"), Silent: d.HasArg("silent"),
 			Weights: ids.WeightsVersion(weights),
 		}, now)
@@ -63,13 +63,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		table.Silent(target, now.Add(-waited), now)
+		table.TimedOut(target, now.Add(-waited), now)
 	case "heard":
-		table.Heard(target, now)
+		table.MarkSeen(target, now)
 	case "peer-lost":
 		var peer string
 		d.ScanArgs(t, "peer", &peer)
-		table.PeerLost(ids.VM(peer), []ids.Target{target}, now)
+		table.SetLostByPeer(ids.VM(peer), []ids.Target{target}, now)
 	case "doubt":
 		var span string
 		d.ScanArgs(t, "for", &span)
@@ -77,17 +77,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		table.Doubt(target, now.Add(dur))
+		table.SuspectUntil(target, now.Add(dur))
 	case "peer-lost-none": // a peer's word about all targets: it reaches them
 		var peer string
 		d.ScanArgs(t, "peer", &peer)
-		table.PeerLost(ids.VM(peer), nil, now)
+		table.SetLostByPeer(ids.VM(peer), nil, now)
 	case "contact":
-		table.Contact(target, !d.HasArg("lost"), now)
+		table.SetReachable(target, !d.HasArg("lost"), now)
 	case "try":
 		return fmt.Sprintln("trial:", table.Trying(target, now))
 	case "refuses":
-		table.Leaves(target, ids.Incarnation(num("inc")))
+		table.MarkLeaving(target, ids.Incarnation(num("inc")))
 	case "beat":
 		table.Heartbeat(ids.VM(id), ids.Incarnation(num("inc")), num("count"), 0, d.HasArg("leaving"), now)
 	case "forget":
@@ -129,7 +129,7 @@
 // longer: it gets none until that is over, or until it is known to be.
 func TestBusyOnlyGrows(t *testing.T) {
 	table, now := New("vm0", DefaultTuning), time.Unix(1_000_000, 0)
-	table.Platform(records("e1:engine:live:1"), now)
+	table.ApplyPlatform(records("e1:engine:live:1"), now)
 	open := func(after time.Duration) bool {
 		targets := table.Targets(now.Add(after))
 		return len(targets) == 1 && targets[0].BreakerOpen
--- a/internal/membership/signals.go
+++ b/internal/membership/signals.go
@@ -29,9 +29,9 @@
 // Any tells whether anything changed.
 func (c SignalChange) Any() bool { return c.Leaving || c.Rest || c.Limit }
 
-// Signaled takes in what a target said of itself in an answer that came now, to a request
+// ApplySignals takes in what a target said of itself in an answer that came now, to a request
 // that was sent at a time, and returns what of it is news.
-func (t *Table) Signaled(id ids.Target, inc ids.Incarnation, s Signals, sent, now time.Time) SignalChange {
+func (t *Table) ApplySignals(id ids.Target, inc ids.Incarnation, s Signals, sent, now time.Time) SignalChange {
 	change := SignalChange{Limit: t.Limits.Answered(id, inc, s.Limit, sent)}
 	if !s.Leaving && s.Rest <= 0 {
 		return change
--- a/internal/membership/signals_test.go
+++ b/internal/membership/signals_test.go
@@ -15,12 +15,12 @@
 func TestLeavingIsKept(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	list := func(table *Table, state platform.State, inc ids.Incarnation) routing.State {
-		table.Platform([]platform.Record{{ID: "t", Role: platform.RoleService, State: state, Incarnation: inc}}, now)
+		table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: state, Incarnation: inc}}, now)
 		return table.State("t", now)
 	}
 	for name, leave := range map[string]func(*Table){
-		"answer":  func(table *Table) { table.Signaled("t", 2, Signals{Leaving: true}, now, now) },
-		"refusal": func(table *Table) { table.Leaves("t", 2) },
+		"answer":  func(table *Table) { table.ApplySignals("t", 2, Signals{Leaving: true}, now, now) },
+		"refusal": func(table *Table) { table.MarkLeaving("t", 2) },
 		"entry":   func(table *Table) { list(table, platform.StateLeaving, 2) },
 	} {
 		table := New("vm", DefaultTuning)
@@ -36,7 +36,7 @@
 		if got := list(table, platform.StateLive, 3); got == routing.Leaving {
 			t.Errorf("%s: the target has started again and still counts as leaving", name)
 		}
-		table.Signaled("t", 2, Signals{Leaving: true}, now, now)
+		table.ApplySignals("t", 2, Signals{Leaving: true}, now, now)
 		if got := list(table, platform.StateLive, 3); got == routing.Leaving {
 			t.Errorf("%s: an answer of the incarnation before counts", name)
 		}
@@ -47,7 +47,7 @@
 func TestSignalsAreForgotten(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
 	for i := range 10 * signalsKept {
-		table.Signaled(ids.Target(fmt.Sprint("t", i)), 1, Signals{Leaving: true}, now, now)
+		table.ApplySignals(ids.Target(fmt.Sprint("t", i)), 1, Signals{Leaving: true}, now, now)
 		now = now.Add(signalsFor / signalsKept)
 	}
 	if n := len(table.signals); n > 2*signalsKept {
@@ -60,12 +60,12 @@
 func TestRest(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
 	list := func() {
-		table.Platform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 1}}, now)
+		table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 1}}, now)
 	}
 	left := func() time.Duration { return table.Targets(now)[0].Rest }
 	list()
 	for _, asked := range []time.Duration{3 * time.Second, time.Second} {
-		table.Signaled("t", 1, Signals{Rest: asked}, now, now)
+		table.ApplySignals("t", 1, Signals{Rest: asked}, now, now)
 		now = now.Add(time.Second)
 	}
 	table.Ready("t")
@@ -79,8 +79,8 @@
 	if now = now.Add(time.Second); left() != 0 {
 		t.Error("the rest does not end")
 	}
-	table.Signaled("t", 1, Signals{Rest: time.Hour}, now, now)
-	table.Platform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 2}}, now)
+	table.ApplySignals("t", 1, Signals{Rest: time.Hour}, now, now)
+	table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 2}}, now)
 	if left() != 0 {
 		t.Error("a target that has started again has the rest of the incarnation before")
 	}
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -97,7 +97,7 @@
 // AdoptPlatform takes in a revision of the platform's list; it is an Adopter.
 func (n *Node) AdoptPlatform(_ objectapi.Revision, objects []objectapi.Object) {
 	records, _ := platform.Decode(objects)
-	n.Fleet.Members.Platform(records, clock.Now())
+	n.Fleet.Members.ApplyPlatform(records, clock.Now())
 	n.SetTargets(records)
 	n.Fleet.MarkDirty()
 }
@@ -288,7 +288,7 @@
 	if !ok {
 		return
 	}
-	if n.Fleet.Members.Probed(id, membershipReport(r), clock.Now()) && (r.Leaving || r.Silent) {
+	if n.Fleet.Members.ApplyReport(id, membershipReport(r), clock.Now()) && (r.Leaving || r.Silent) {
 		n.Fleet.MarkDirty()
 	}
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -32,7 +32,7 @@
 // It returns whether they were told.
 func (n *Node) Publish(id ids.Target, r, told membership.Report, toldAt, now time.Time) bool {
 	before := n.Fleet.Members.State(id, now)
-	if !n.Fleet.Members.Probed(id, r, now) {
+	if !n.Fleet.Members.ApplyReport(id, r, now) {
 		return false
 	}
 	urgent := r.Leaving != told.Leaving || r.Silent != told.Silent || r.Incarnation != told.Incarnation ||
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -164,7 +164,7 @@
 	if x.w.Gate != nil && !x.p.Knowledge.NoGate {
 		d.gate = x.w.Gate(x.now)
 	}
-	d.f.Members.Platform(records, x.now())
+	d.f.Members.ApplyPlatform(records, x.now())
 	d.f.Refresh()
 	x.clk.every(refreshEvery, x.end, func() { d.f.Refresh() })
 	return d
@@ -188,7 +188,7 @@
 	r := x.reportOf(e)
 	for i := range x.deciders {
 		lag := reportLag + time.Duration(x.rnd.Int64N(int64(reportLag)))
-		x.clk.after(lag, func() { x.deciders[i].f.Members.Probed(e.id, r, x.now().Add(-lag)) })
+		x.clk.after(lag, func() { x.deciders[i].f.Members.ApplyReport(e.id, r, x.now().Add(-lag)) })
 	}
 }
 
--- a/internal/yardstick/workloads.go
+++ b/internal/yardstick/workloads.go
@@ -132,7 +132,7 @@
 			}
 			d := x.newDecider(i, x.records)
 			for _, e := range x.engines {
-				d.f.Members.Probed(e.id, x.reportOf(e), x.now())
+				d.f.Members.ApplyReport(e.id, x.reportOf(e), x.now())
 			}
 			d.f.Refresh()
 			if survivor {
