--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -112,7 +112,7 @@
 	}
 	srv := grpc.NewServer()
 	peerpb.RegisterPeerServer(srv, &peers.Server{Node: n})
-	go func() { _ = srv.Serve(n.Counted(l)) }()
+	go func() { _ = srv.Serve(n.CountTraffic(l)) }()
 	return n, srv, l.Addr().String(), nil
 }
 
@@ -130,7 +130,7 @@
 		n.Allowances.SetLimit(workspaces[w], allowance.Limit{Rate: ampleRate, Burst: ampleRate})
 	}
 	for step := 0; ctx.Err() == nil; step++ {
-		pause := n.NewsEvery(news, heartbeat)
+		pause := n.UpdateInterval(news, heartbeat)
 		for debt += spec.Dispatches * pause.Seconds(); debt >= 1; debt-- {
 			made++
 			id := prefix.ID(uint64(i+1)<<40 + uint64(made))
@@ -140,11 +140,11 @@
 			n.Allowances.Take(allowance.Call{Workspace: ws, Cost: 1})
 		}
 		if time.Since(last) >= heartbeat {
-			n.Beat()
+			n.AdvanceHeartbeat()
 			last = time.Now()
 		}
-		if n.Gather() || last.Equal(time.Time{}) || time.Since(last) < pause {
-			n.Tell(ctx, false)
+		if n.CollectDispatches() || last.Equal(time.Time{}) || time.Since(last) < pause {
+			n.Broadcast(ctx, false)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -110,7 +110,7 @@
 		BudgetEmpty: s.BudgetEmpty.Load(), PromptTokens: s.PromptTokens.Load(), CachedTokens: s.CachedTokens.Load(),
 		OutputTokens: s.OutputTokens.Load(), StreamEvents: s.Events.Load(),
 		PeerBytesOut: d.Node.BytesOut.Load(), PeerBytesIn: d.Node.BytesIn.Load(), PeerMessages: d.Node.Messages.Load(),
-		PeerFailures: d.Node.Failures.Load(), NewsDropped: int64(d.Node.NewsDropped()),
+		PeerFailures: d.Node.Failures.Load(), NewsDropped: int64(d.Node.DroppedUpdates()),
 		ClaimsPending: d.Settler.Pending(), ClaimsDropped: int64(d.Settler.Dropped()),
 		ConfigRevision: int64(d.Node.Config.Revision()), HeapBytes: int64(mem.HeapAlloc), Goroutines: runtime.NumGoroutine(),
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -189,7 +189,7 @@
 	peerpb.RegisterPeerServer(d.peerSrv, &peers.Server{Node: d.Node})
 
 	d.run("callers", func() error { return d.callers.Serve(listeners[0]) })
-	d.run("peers", func() error { return d.peerSrv.Serve(d.Node.Counted(listeners[1])) })
+	d.run("peers", func() error { return d.peerSrv.Serve(d.Node.CountTraffic(listeners[1])) })
 	d.run("admin", func() error { return d.admin.Serve(listeners[2]) })
 	for name, duty := range d.dutyTable() {
 		d.run(name, func() error { duty(ctx); return nil })
@@ -236,7 +236,7 @@
 	d.Node.Leaving.Store(true)
 	d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Text: "leaving"}, nil)
 	d.Log.Info().Str("step", "stop").Int("in_flight", d.Limiter.InFlight()).Msg("not ready, leaving")
-	d.Node.Tell(ctx, true)
+	d.Node.Broadcast(ctx, true)
 	timing.Sleep(ctx, d.Settings.ReadyNotice.D())
 	drain, cancel := context.WithTimeout(ctx, d.Settings.DrainTimeout.D())
 	defer cancel()
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -177,8 +177,8 @@
 		case <-d.Node.Config.Changed():
 		case <-d.Node.Platform.Changed():
 		}
-		d.Node.Tell(ctx, true)
-		d.Node.Cross(ctx)
+		d.Node.Broadcast(ctx, true)
+		d.Node.ExchangeCrossDomain(ctx)
 	}
 }
 
@@ -190,13 +190,13 @@
 	for {
 		beat := clock.Since(last) >= heartbeat
 		if beat {
-			d.Node.Beat()
+			d.Node.AdvanceHeartbeat()
 			last = clock.Now()
 		}
-		if d.Node.Gather() || beat {
-			d.Node.Tell(ctx, false)
+		if d.Node.CollectDispatches() || beat {
+			d.Node.Broadcast(ctx, false)
 		}
-		pause := d.Node.NewsEvery(d.Settings.News.D(), heartbeat)
+		pause := d.Node.UpdateInterval(d.Settings.News.D(), heartbeat)
 		select {
 		case <-ctx.Done():
 			return
@@ -210,7 +210,7 @@
 // cross exchanges summaries with other failure domains.
 func (d *Daemon) cross(ctx context.Context) {
 	for timing.Sleep(ctx, d.Settings.Heartbeat.D()) {
-		d.Node.Cross(ctx)
+		d.Node.ExchangeCrossDomain(ctx)
 	}
 }
 
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -52,7 +52,7 @@
 	slots := make(chan struct{}, probesAtOnce)
 	var wg sync.WaitGroup
 	for _, t := range d.Fleet.Members.Targets(now) {
-		if !d.Node.Owns(t.ID, t.Record.FailureDomain) {
+		if !d.Node.IsProber(t.ID, t.Record.FailureDomain) {
 			continue
 		}
 		slots <- struct{}{}
@@ -121,7 +121,7 @@
 	cursors := map[ids.Target]cursor{}
 	for timing.Sleep(ctx, feedEvery) {
 		for _, t := range d.Fleet.Members.Targets(clock.Now()) {
-			if t.Record.Role == platform.RoleEngine && d.Node.First(t.ID, t.Record.FailureDomain) {
+			if t.Record.Role == platform.RoleEngine && d.Node.IsFeedReader(t.ID, t.Record.FailureDomain) {
 				cursors[t.ID] = d.feedOne(ctx, t, cursors[t.ID])
 			} else {
 				delete(cursors, t.ID)
--- a/internal/peers/bytes.go
+++ b/internal/peers/bytes.go
@@ -50,5 +50,5 @@
 	return countedConn{Conn: c, n: l.n}, nil
 }
 
-// Counted returns a listener whose traffic counts as this node's control traffic.
-func (n *Node) Counted(l net.Listener) net.Listener { return countedListener{Listener: l, n: n} }
+// CountTraffic returns a listener whose traffic counts as this node's control traffic.
+func (n *Node) CountTraffic(l net.Listener) net.Listener { return countedListener{Listener: l, n: n} }
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// Beat counts this VM's heartbeat on and gathers its demand.
-func (n *Node) Beat() {
+// AdvanceHeartbeat counts this VM's heartbeat on and gathers its demand.
+func (n *Node) AdvanceHeartbeat() {
 	n.counter.Add(1)
 	told := map[uint32]bool{}
 	for _, u := range n.Allowances.Told() {
@@ -151,8 +151,8 @@
 // deci is in how many parts a request a second is told.
 const deci = 10
 
-// Gather takes up this VM's own dispatches, and tells whether there is any news.
-func (n *Node) Gather() bool {
+// CollectDispatches takes up this VM's own dispatches, and tells whether there is any news.
+func (n *Node) CollectDispatches() bool {
 	var last *peerpb.Dispatch
 	for _, b := range n.Fleet.Cache.TakeNewEntries() {
 		target, life := targetHash(b.Target), uint32(uint16(b.Generation))
@@ -166,9 +166,9 @@
 	return n.outbox.Pending() || n.Crashes.Pending()
 }
 
-// Tell sends the news at hand to every peer of the domain. The heartbeat goes
+// Broadcast sends the news at hand to every peer of the domain. The heartbeat goes
 // along once for each count; urgent news counts on.
-func (n *Node) Tell(ctx context.Context, urgent bool) {
+func (n *Node) Broadcast(ctx context.Context, urgent bool) {
 	if urgent {
 		n.counter.Add(1) // peers take a beat that they have seen for an echo
 	}
@@ -184,10 +184,10 @@
 	}
 }
 
-// NewsEvery is how often news is told between heartbeats, given the shortest
+// UpdateInterval is how often news is told between heartbeats, given the shortest
 // interval: it grows with the number of peers, so that the bytes a second stay
 // bounded in a large domain.
-func (n *Node) NewsEvery(shortest, longest time.Duration) time.Duration {
+func (n *Node) UpdateInterval(shortest, longest time.Duration) time.Duration {
 	n.mu.Lock()
 	peers := len(n.tellers)
 	n.mu.Unlock()
@@ -197,9 +197,9 @@
 // peersAtShortest is up to how many peers the shortest interval holds.
 const peersAtShortest = 4
 
-// Cross exchanges summaries with one VM of another domain, if this VM is one of
+// ExchangeCrossDomain exchanges summaries with one VM of another domain, if this VM is one of
 // its domain's relays.
-func (n *Node) Cross(ctx context.Context) {
+func (n *Node) ExchangeCrossDomain(ctx context.Context) {
 	now := clock.Now()
 	var far []string
 	smaller := 0
@@ -331,5 +331,5 @@
 	}
 }
 
-// NewsDropped returns how much news found no room in a message.
-func (n *Node) NewsDropped() uint64 { return n.outbox.Dropped() }
+// DroppedUpdates returns how much news found no room in a message.
+func (n *Node) DroppedUpdates() uint64 { return n.outbox.Dropped() }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -74,20 +74,20 @@
 // probersPerTarget is how many VMs of a domain probe each of its targets.
 const probersPerTarget = 2
 
-// Owns tells whether this VM is one of those that probe a target: of its own
+// IsProber tells whether this VM is one of those that probe a target: of its own
 // domain the two live VMs with the highest rendezvous weight; in a small fleet also
 // one for each target of other domains. In a large one those probes would outweigh
 // all others, and its domains have targets enough of their own: targets elsewhere
 // then stay suspect, the last resort.
-func (n *Node) Owns(id ids.Target, domain ids.FailureDomain) bool {
+func (n *Node) IsProber(id ids.Target, domain ids.FailureDomain) bool {
 	if domain != n.Domain {
 		return n.smallFleet() && n.rank(id) == 0
 	}
 	return n.rank(id) < probersPerTarget
 }
 
-// First tells whether this VM reads a target's cache feed for its domain.
-func (n *Node) First(id ids.Target, domain ids.FailureDomain) bool {
+// IsFeedReader tells whether this VM reads a target's cache feed for its domain.
+func (n *Node) IsFeedReader(id ids.Target, domain ids.FailureDomain) bool {
 	return domain == n.Domain && n.rank(id) == 0
 }
 
