--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -77,7 +77,7 @@
 
 	DecodeConfig  func(value []byte) (catalog.Declaration, error)
 	DecodeReplica func(o objectapi.Object) (platform.Record, error)
-	DecodeWeights func(value []byte) (follow.NamedWeights, error)
+	DecodeWeights func(value []byte) (follow.DesiredWeights, error)
 
 	// DecodeOrder reads an operator's order for a version of a service's software, and
 	// EncodeOrderStatus renders what becomes of it.
@@ -218,10 +218,10 @@
 		d.adapter.Meter.CrossDomain = d.far
 	}
 	d.Replicas = &follow.Replicas{
-		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.gone(client), Named: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
-		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Most: edge.Subset},
+		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, OnGone: d.gone(client), Configured: d.namesService, ReturnGrace: returnGrace, Log: d.Log,
+		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Max: edge.Subset},
 	}
-	d.Fleet.KnownFraction = d.Replicas.Part
+	d.Fleet.KnownFraction = d.Replicas.KnownFraction
 	d.Fleet.MaxSnapshotAge = refreshEvery
 	d.Weights = &follow.Weights{Decode: d.adapter.DecodeWeights, Clock: &follow.Clock{}, Log: d.Log}
 	d.Weights.SetWithin(edge.WeightsWithin.D() - weightsMargin)
@@ -229,7 +229,7 @@
 	d.Forward = &forward.Forwarder{
 		VM: s.VM, Domain: s.FailureDomain, Catalog: d.Catalog, Fleet: d.Fleet, Upstream: client,
 		Dialect: d.adapter.Dialect, Budgets: d.budgets, KV: planner, Weights: d.Weights, Log: d.Log,
-		AddRendezvousTargets: d.Replicas.Visit,
+		AddRendezvousTargets: d.Replicas.AddRendezvousTargets,
 		ObserveWeights:       func(id ids.Target, w ids.WeightsVersion) { d.Replicas.SetWeights(id, w, "answer") },
 		Tuning: forward.Tuning{
 			MaxBodyMemory:     int64(float64(edge.MemoryMB<<20) * bodyShare),
@@ -266,7 +266,7 @@
 		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.ordered, Meter: d.adapter.Meter,
 		Unresponsive: d.feeds.Unresponsive, RecentWeights: d.named,
 		OnRecentWeights: func(n news.RecentWeights) {
-			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
+			d.Weights.ApplyPeerAge(follow.VersionAge{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
 		OnUnresponsive: func(peer ids.VM, silent []ids.Target) {
 			d.Fleet.Members.SetLostByPeer(peer, silent, clock.Now())
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -78,7 +78,7 @@
 	for _, s := range out {
 		read = append(read, s.ID)
 	}
-	d.Replicas.Hold(read)
+	d.Replicas.Pin(read)
 	for _, kv := range c.KVStores {
 		if id := forward.StoreTarget(kv.Addr); d.reads(id, kv.FailureDomain) {
 			out = append(out, kvfeed.Source{ID: id, Addr: kv.Addr, Store: true})
@@ -174,7 +174,7 @@
 func (d *Daemon) watchReaders() {
 	now := clock.Now()
 	within := max(vouchWithin, vouchRounds*d.news.RoundInterval())
-	for _, r := range d.Replicas.Working() {
+	for _, r := range d.Replicas.Active() {
 		if r.Role != platform.RoleEngine {
 			continue
 		}
--- a/internal/edge/feeds_test.go
+++ b/internal/edge/feeds_test.go
@@ -120,7 +120,7 @@
 // TestFeedsOfAVMThatHearsNobody: it reads a bounded number of feeds, always the same ones.
 func TestFeedsOfAVMThatHearsNobody(t *testing.T) {
 	d, _ := daemonAmong(t, nil)
-	d.Replicas.Subset.Most = 256
+	d.Replicas.Subset.Max = 256
 	d.started = time.Now().Add(-time.Minute)
 	d.Catalog.Adopt(catalog.New(catalog.Declaration{Version: 1, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{}}}}))
 	var objects []objectapi.Object
@@ -138,7 +138,7 @@
 	if again := d.feedSources(); !slices.Equal(first, again) {
 		t.Error("the feeds differ from one look to the next")
 	}
-	if n := len(d.Replicas.Working()); n > 256+mostFeeds {
+	if n := len(d.Replicas.Active()); n > 256+mostFeeds {
 		t.Errorf("the VM works with %d replicas", n)
 	}
 }
--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -46,9 +46,9 @@
 func (d *Daemon) buildReader() {
 	bell := &mirror.Bell{}
 	space := func(prefix string, next follow.Handler) *mirror.Space {
-		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Watched(next), Bell: bell}
+		return &mirror.Space{Prefix: prefix, Next: d.Weights.Clock.Wrap(next), Bell: bell}
 	}
-	catalogs := &follow.Catalogs{Current: d.Catalog, Decode: d.adapter.DecodeConfig, Key: d.adapter.KeyConfig, Adopted: d.adopted, Log: d.Log}
+	catalogs := &follow.Catalogs{Current: d.Catalog, Decode: d.adapter.DecodeConfig, Key: d.adapter.KeyConfig, OnAdopted: d.adopted, Log: d.Log}
 	spaces := []*mirror.Space{
 		space(d.adapter.PrefixConfig, catalogs), space(d.adapter.PrefixReplicas, d.Replicas),
 		space(d.adapter.PrefixWeights, d.Weights), space(prefixVMs, &d.vms),
@@ -62,14 +62,14 @@
 
 // readStore follows the store until ctx ends.
 func (d *Daemon) readStore(ctx context.Context) {
-	var doubt follow.Doubt
+	var doubt follow.StoreHealth
 	var all sync.WaitGroup
 	defer all.Wait()
 	for _, s := range d.mirrors.Spaces {
 		at, known := s.At()
 		f := &follow.Follower{
-			Store: d.store, Prefix: s.Prefix, Handler: s, Log: d.Log, Doubt: &doubt,
-			Wait: d.wait(s.Prefix), Gather: d.gatherer(s.Prefix), Regaining: known && clock.Since(at.Sent) > regainAfter,
+			Store: d.store, Prefix: s.Prefix, Handler: s, Log: d.Log, Health: &doubt,
+			Wait: d.wait(s.Prefix), CoalesceDelay: d.gatherer(s.Prefix), Reconnecting: known && clock.Since(at.Sent) > regainAfter,
 		}
 		all.Go(func() { f.Run(ctx) })
 	}
--- a/internal/edge/traffic.go
+++ b/internal/edge/traffic.go
@@ -43,6 +43,6 @@
 	}
 	n := d.newsMetrics()
 	line = line.Int64("news_sent", n.Sent).Int64("news_heard", n.Heard).Int64("news_rejected", n.Rejected).Str("news_parent", string(n.Parent)).
-		Int("news_children", n.Children).Int("vms_heard", len(d.vms.living().domain)).Int("replicas_known", len(d.Replicas.Working()))
+		Int("news_children", n.Children).Int("vms_heard", len(d.vms.living().domain)).Int("replicas_known", len(d.Replicas.Active()))
 	line.Object("store_calls", d.store).Object("late", &d.Forward.Late).Object("refused", &d.Forward.Refusals).Send()
 }
--- a/internal/follow/catalogs.go
+++ b/internal/follow/catalogs.go
@@ -13,8 +13,8 @@
 	Decode func(value []byte) (catalog.Declaration, error)
 	// Key is the object that holds the newest configuration.
 	Key string
-	// Adopted is called after another configuration has come into force. Nil: nobody is.
-	Adopted func()
+	// OnAdopted is called after another configuration has come into force. Nil: nobody is.
+	OnAdopted func()
 	Log     *eventlog.Log
 }
 
@@ -53,8 +53,8 @@
 	if c.Current.Adopt(n) {
 		c.Log.Belief("catalog").Uint64("version", n.Version).Uint64("revision", uint64(o.Version)).
 			Int("routes", len(n.Routes)).Int("workspaces", len(n.Workspaces)).Send()
-		if c.Adopted != nil {
-			c.Adopted()
+		if c.OnAdopted != nil {
+			c.OnAdopted()
 		}
 	}
 }
--- a/internal/follow/clock.go
+++ b/internal/follow/clock.go
@@ -45,8 +45,8 @@
 	return last
 }
 
-// Watched returns a handler that passes everything on and lets the clock hear of it.
-func (c *Clock) Watched(next Handler) Handler { return clocked{clock: c, next: next} }
+// Wrap returns a handler that passes everything on and lets the clock hear of it.
+func (c *Clock) Wrap(next Handler) Handler { return clocked{clock: c, next: next} }
 
 type clocked struct {
 	clock *Clock
--- a/internal/follow/doubt.go
+++ b/internal/follow/doubt.go
@@ -15,13 +15,13 @@
 // errDoubted ends a watch that may have gone silent.
 var errDoubted = errors.New("another watch of the store has failed")
 
-// Doubt ends the watches of all followers of a store when one of them fails: what
+// StoreHealth ends the watches of all followers of a store when one of them fails: what
 // broke that one may have silenced the others. Each then lists anew, the one that failed
 // first: as long as the store does not answer it, the others make no calls, and one of them
 // asks in its place after turnMost. Four followers
 // that each asked made 54 calls in nine seconds without the store, one makes 24 at most. A
-// nil Doubt does nothing. Safe for concurrent use.
-type Doubt struct {
+// nil StoreHealth does nothing. Safe for concurrent use.
+type StoreHealth struct {
 	mu      sync.Mutex
 	raised  time.Time
 	waiting map[*context.CancelCauseFunc]struct{}
@@ -41,7 +41,7 @@
 
 // raise ends all watches that wait now: a follower's call has failed. away tells that the
 // store did not answer it.
-func (d *Doubt) raise(f *Follower, away bool) {
+func (d *StoreHealth) raise(f *Follower, away bool) {
 	if d == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // answered notes that the store has answered a follower.
-func (d *Doubt) answered(f *Follower) {
+func (d *StoreHealth) answered(f *Follower) {
 	if d == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // ask makes a follower the one that asks the store whether it is back. The lock is held.
-func (d *Doubt) ask(f *Follower) {
+func (d *StoreHealth) ask(f *Follower) {
 	if d.asked == nil {
 		d.asked = map[*Follower]bool{}
 	}
@@ -91,7 +91,7 @@
 
 // turn waits until a follower may call the store: at once, unless another one asks whether
 // it is back. It returns whether the store was away.
-func (d *Doubt) turn(ctx context.Context, f *Follower) (away bool) {
+func (d *StoreHealth) turn(ctx context.Context, f *Follower) (away bool) {
 	for ctx.Err() == nil {
 		asking, back := d.asker()
 		if asking == nil || asking == f {
@@ -112,7 +112,7 @@
 
 // asker returns the follower that asks whether the store is back, and what is closed when
 // it is; nil: the store is there.
-func (d *Doubt) asker() (*Follower, chan struct{}) {
+func (d *StoreHealth) asker() (*Follower, chan struct{}) {
 	if d == nil {
 		return nil, nil
 	}
@@ -122,7 +122,7 @@
 }
 
 // replace lets a follower ask in the place of another, unless a third one does already.
-func (d *Doubt) replace(asking, f *Follower) {
+func (d *StoreHealth) replace(asking, f *Follower) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.asking == asking {
@@ -131,7 +131,7 @@
 }
 
 // until returns a context that ends when doubt is raised. stop must be called.
-func (d *Doubt) until(ctx context.Context) (watch context.Context, stop func()) {
+func (d *StoreHealth) until(ctx context.Context) (watch context.Context, stop func()) {
 	watch, cancel := context.WithCancelCause(ctx)
 	if d == nil {
 		return watch, func() { cancel(nil) }
--- a/internal/follow/doubt_test.go
+++ b/internal/follow/doubt_test.go
@@ -61,10 +61,10 @@
 func TestOneLostWatchMakesAllListAnew(t *testing.T) {
 	store := &silentStore{broken: "a/", fail: make(chan struct{}), lists: map[string]int{}}
 	ctx, cancel := context.WithCancel(t.Context())
-	var doubt Doubt
+	var doubt StoreHealth
 	var wg sync.WaitGroup
 	for _, prefix := range []string{"a/", "b/"} {
-		f := &Follower{Store: store, Prefix: prefix, Handler: noHandler{}, Doubt: &doubt}
+		f := &Follower{Store: store, Prefix: prefix, Handler: noHandler{}, Health: &doubt}
 		wg.Go(func() { f.Run(ctx) })
 	}
 	defer wg.Wait()
@@ -116,13 +116,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &lostStore{}
 		ctx, cancel := context.WithCancel(t.Context())
-		var doubt Doubt
+		var doubt StoreHealth
 		var wg sync.WaitGroup
 		var handlers []*lastHeard
 		for _, prefix := range []string{"a/", "b/", "c/", "d/"} {
 			h := &lastHeard{}
 			handlers = append(handlers, h)
-			f := &Follower{Store: store, Prefix: prefix, Handler: h, Doubt: &doubt}
+			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &doubt}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(2 * time.Second)
@@ -165,13 +165,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &partlyLost{prefix: "a/"}
 		ctx, cancel := context.WithCancel(t.Context())
-		var doubt Doubt
+		var doubt StoreHealth
 		var wg sync.WaitGroup
 		var handlers []*lastHeard
 		for _, prefix := range []string{"a/", "b/", "c/"} {
 			h := &lastHeard{}
 			handlers = append(handlers, h)
-			f := &Follower{Store: store, Prefix: prefix, Handler: h, Doubt: &doubt}
+			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &doubt}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		for range 10 {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -56,13 +56,13 @@
 	Log     *eventlog.Log
 	// Wait tells how long a watch waits for a change. Nil: as long as the store likes.
 	Wait func() time.Duration
-	// Gather tells how long to wait after a change for others, so that a row of them
+	// CoalesceDelay tells how long to wait after a change for others, so that a row of them
 	// costs one call. Nil: not at all.
-	Gather func() time.Duration
-	// Regaining tells that the store was away before Run, as far as this VM knows.
-	Regaining bool
-	// Doubt is shared by the followers of one store. Nil: this one stands alone.
-	Doubt *Doubt
+	CoalesceDelay func() time.Duration
+	// Reconnecting tells that the store was away before Run, as far as this VM knows.
+	Reconnecting bool
+	// Health is shared by the followers of one store. Nil: this one stands alone.
+	Health *StoreHealth
 
 	after objectapi.Revision // zero: list first
 	lost  bool
@@ -72,9 +72,9 @@
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	pause := firstPause
-	f.lost, f.since = f.Regaining, clock.Now()
+	f.lost, f.since = f.Reconnecting, clock.Now()
 	for ctx.Err() == nil {
-		if f.Doubt.turn(ctx, f) {
+		if f.Health.turn(ctx, f) {
 			f.after = 0
 			f.failed(errAway)
 			pause = maxPause // the store has been asked for a while
@@ -84,7 +84,7 @@
 			return
 		}
 		if err == nil {
-			f.Doubt.answered(f)
+			f.Health.answered(f)
 			pause = firstPause
 			f.regained()
 			continue
@@ -94,7 +94,7 @@
 			continue
 		}
 		compacted := errors.Is(err, objectapi.ErrCompacted)
-		f.Doubt.raise(f, !compacted)
+		f.Health.raise(f, !compacted)
 		if compacted {
 			f.Log.Belief("history-gone").Str("dependency", "store "+f.Prefix).Send()
 			continue // the store is well, only its history is gone
@@ -120,7 +120,7 @@
 	if f.Wait != nil {
 		ctx = objectapi.WithWait(ctx, f.Wait())
 	}
-	watch, stop := f.Doubt.until(ctx)
+	watch, stop := f.Health.until(ctx)
 	events, rev, err := f.Store.Watch(watch, f.Prefix, f.after)
 	doubted := errors.Is(context.Cause(watch), errDoubted)
 	stop()
@@ -133,8 +133,8 @@
 	f.after = max(rev, f.after)
 	if len(events) > 0 {
 		f.Handler.Changed(events, At{Revision: f.after, Sent: sent, Answered: clock.Now()})
-		if f.Gather != nil {
-			timing.Sleep(ctx, f.Gather())
+		if f.CoalesceDelay != nil {
+			timing.Sleep(ctx, f.CoalesceDelay())
 		}
 	} else {
 		f.Handler.Unchanged(At{Revision: f.after, Sent: sent, Answered: clock.Now()})
--- a/internal/follow/growth_test.go
+++ b/internal/follow/growth_test.go
@@ -33,7 +33,7 @@
 	log := eventlog.New(io.Discard, nil)
 	r := &Replicas{
 		Fleet: fleet.New(membership.New("vm", membership.DefaultTuning), cacheview.New(1<<12, nil), loadview.New(), routing.NewFetching(), nil),
-		Gone:  func(ids.Target) {}, ReturnGrace: time.Second, Log: log, Subset: Subset{VM: "vm", Domain: "d0", Most: 256},
+		OnGone:  func(ids.Target) {}, ReturnGrace: time.Second, Log: log, Subset: Subset{VM: "vm", Domain: "d0", Max: 256},
 	}
 	r.Fleet.MaxSnapshotAge = 100 * time.Millisecond
 	r.Decode = func(o objectapi.Object) (platform.Record, error) {
@@ -86,14 +86,14 @@
 		row := row{targets: float64(len(r.Fleet.Snapshot().View.Targets))}
 		row.tick = allocated(20, func(int) {
 			r.Deployed()
-			r.Working()
+			r.Active()
 			r.Sweep()
 			r.Fleet.Refresh()
 		})
 		row.change = allocated(20, func(i int) { r.Changed([]objectapi.Object{fleetEntry(i*7, 2)}, At{Revision: 2}) })
 		sc := r.Fleet.Acquire()
 		row.call = allocated(20, func(i int) {
-			r.Visit("s", uint64(i)*0x9E3779B97F4A7C15, 2)
+			r.AddRendezvousTargets("s", uint64(i)*0x9E3779B97F4A7C15, 2)
 			r.Fleet.Decide(&routing.Request{Service: "s", FailureDomain: "d0", Seed: uint64(i)}, nil, sc)
 		})
 		rows[n] = row
@@ -127,7 +127,7 @@
 		r.Listed(all, At{Revision: 1}, false)
 		near := 0
 		before := map[ids.Target]bool{}
-		for _, rec := range r.Working() {
+		for _, rec := range r.Active() {
 			before[ids.Target(rec.ID)] = true
 			if rec.FailureDomain == "d0" {
 				near++
@@ -141,7 +141,7 @@
 		gone.Deleted = true
 		r.Changed([]objectapi.Object{gone, fleetEntry(n, 2)}, At{Revision: 2})
 		kept := 0
-		for _, rec := range r.Working() {
+		for _, rec := range r.Active() {
 			if before[ids.Target(rec.ID)] {
 				kept++
 			}
@@ -157,7 +157,7 @@
 	for vm := range 5 {
 		r := newFleetReplicas(n)
 		r.Subset.VM = ids.VM(fmt.Sprint("vm", vm))
-		r.Visit("s", 77, 2)
+		r.AddRendezvousTargets("s", 77, 2)
 		var got []ids.Target
 		for id := range r.directory.visits {
 			got = append(got, id)
@@ -170,8 +170,8 @@
 			}
 		}
 	}
-	if small := newFleetReplicas(256); len(small.Working()) != 256 || small.Part("s") != 1 {
-		t.Errorf("%d of 256 replicas of a small service", len(small.Working()))
+	if small := newFleetReplicas(256); len(small.Active()) != 256 || small.KnownFraction("s") != 1 {
+		t.Errorf("%d of 256 replicas of a small service", len(small.Active()))
 	}
 }
 
@@ -188,7 +188,7 @@
 			sc := r.Fleet.Acquire()
 			i := 0
 			for b.Loop() {
-				r.Visit("s", uint64(i)*0x9E3779B97F4A7C15, 2)
+				r.AddRendezvousTargets("s", uint64(i)*0x9E3779B97F4A7C15, 2)
 				r.Fleet.Decide(&routing.Request{Service: "s", FailureDomain: "d0", Seed: uint64(i)}, nil, sc)
 				i++
 			}
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -30,11 +30,11 @@
 	Fleet *fleet.Fleet
 	// Decode reads one entry.
 	Decode func(o objectapi.Object) (platform.Record, error)
-	// Gone is called for each replica that is gone or has started again.
-	Gone func(id ids.Target)
-	// Named tells whether the configuration names a service. Replicas of other services
+	// OnGone is called for each replica that is gone or has started again.
+	OnGone func(id ids.Target)
+	// Configured tells whether the configuration names a service. Replicas of other services
 	// are not published. Nil: all are.
-	Named func(service string) bool
+	Configured func(service string) bool
 	// ReturnGrace is how long after the store's return a missing entry may come
 	// back.
 	ReturnGrace time.Duration
@@ -161,7 +161,7 @@
 // tells tells whether what an entry says is logged: of a large fleet only of replicas that this
 // VM works with. The lock is held.
 func (r *Replicas) tells(old *record) bool {
-	most := r.Subset.Most
+	most := r.Subset.Max
 	return most <= 0 || len(r.records) < most || old != nil && r.works(ids.Target(old.ID), old)
 }
 
@@ -206,7 +206,7 @@
 // restarted forgets the incarnation before. The lock is held.
 func (r *Replicas) restarted(id ids.Target, inc ids.Incarnation, from string) {
 	r.Log.Belief("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
-	r.Gone(id)
+	r.OnGone(id)
 }
 
 // missing marks an entry that is no longer listed. The lock is held.
@@ -243,7 +243,7 @@
 	r.directory.replace(id, r.records[id], nil)
 	delete(r.records, id)
 	r.Fleet.Members.Remove(id)
-	r.Gone(id)
+	r.OnGone(id)
 	r.Log.Belief("replica-gone").Str("target", string(id)).Str("reason", reason).Send()
 }
 
@@ -303,7 +303,7 @@
 
 // usable tells whether an entry names a replica of a service that the configuration names.
 func (r *Replicas) usable(rec *record) bool {
-	return !rec.foreign && (r.Named == nil || r.Named(rec.Service))
+	return !rec.foreign && (r.Configured == nil || r.Configured(rec.Service))
 }
 
 // Each calls f with each replica that is listed or may come back, until f returns false. f must
--- a/internal/follow/replicas_test.go
+++ b/internal/follow/replicas_test.go
@@ -32,7 +32,7 @@
 			r.Key = o.Key
 			return r, err
 		},
-		Gone: func(id ids.Target) { *gone = append(*gone, id) },
+		OnGone: func(id ids.Target) { *gone = append(*gone, id) },
 	}, gone
 }
 
--- a/internal/follow/restarted_test.go
+++ b/internal/follow/restarted_test.go
@@ -35,7 +35,7 @@
 func TestServicesThatAreNotNamed(t *testing.T) {
 	r, _ := newReplicas(t)
 	named := false
-	r.Named = func(string) bool { return named }
+	r.Configured = func(string) bool { return named }
 	r.Listed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{}, false)
 	if got := r.Records(); len(got) != 0 {
 		t.Errorf("the list names %v", got)
--- a/internal/follow/subset.go
+++ b/internal/follow/subset.go
@@ -22,9 +22,9 @@
 type Subset struct {
 	VM     ids.VM
 	Domain ids.FailureDomain
-	// Most is how many replicas of a service it works with, beside those that it visits or
+	// Max is how many replicas of a service it works with, beside those that it visits or
 	// holds. Zero: all.
-	Most int
+	Max int
 }
 
 func (s Subset) hash() uint64 { return routing.HashTarget(ids.Target(s.VM)) }
@@ -131,7 +131,7 @@
 	}
 	for service, m := range r.directory.services {
 		if m.stale {
-			m.choose(r.Subset.Most)
+			m.choose(r.Subset.Max)
 		}
 		if len(m.near)+len(m.far) == 0 {
 			delete(r.directory.services, service)
@@ -197,9 +197,9 @@
 	return visited && clock.Since(at) < visitFor
 }
 
-// Hold makes this VM work with some replicas whatever its subset, in place of those that were
+// Pin makes this VM work with some replicas whatever its subset, in place of those that were
 // given before: it reads their feeds.
-func (r *Replicas) Hold(targets []ids.Target) {
+func (r *Replicas) Pin(targets []ids.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
@@ -215,9 +215,9 @@
 	}
 }
 
-// Visit makes this VM work with the replicas of a service that come first for a key, in its own
+// AddRendezvousTargets makes this VM work with the replicas of a service that come first for a key, in its own
 // failure domain as long as there are any. All VMs of the domain agree on them.
-func (r *Replicas) Visit(service string, key uint64, n int) {
+func (r *Replicas) AddRendezvousTargets(service string, key uint64, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.directory.services[service]
@@ -282,8 +282,8 @@
 	}
 }
 
-// Working returns the replicas that this VM works with. The result must not be changed.
-func (r *Replicas) Working() []platform.Record {
+// Active returns the replicas that this VM works with. The result must not be changed.
+func (r *Replicas) Active() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.directory.published
@@ -308,13 +308,13 @@
 	return out
 }
 
-// Part returns which part of a service's replicas this VM works with, 0 to 1.
-func (r *Replicas) Part(service string) float64 {
+// KnownFraction returns which part of a service's replicas this VM works with, 0 to 1.
+func (r *Replicas) KnownFraction(service string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.directory.services[service]
-	if m == nil || m.whole || r.Subset.Most <= 0 {
+	if m == nil || m.whole || r.Subset.Max <= 0 {
 		return 1
 	}
-	return float64(r.Subset.Most) / float64(max(len(m.near)+len(m.far), 1))
+	return float64(r.Subset.Max) / float64(max(len(m.near)+len(m.far), 1))
 }
--- a/internal/follow/weights.go
+++ b/internal/follow/weights.go
@@ -14,15 +14,15 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// NamedWeights is one version of a model's weights as operators name it.
-type NamedWeights struct {
+// DesiredWeights is one version of a model's weights as operators name it.
+type DesiredWeights struct {
 	Model   ids.Model
 	Version uint64
 }
 
 // Weights keeps which weights operators want of each model, and since when.
 type Weights struct {
-	Decode func(value []byte) (NamedWeights, error)
+	Decode func(value []byte) (DesiredWeights, error)
 	// Clock tells since when what a list brings can be there. Nil: only this key space
 	// itself does.
 	Clock *Clock
@@ -151,8 +151,8 @@
 	}
 }
 
-// VersionText is the form of a version in the rest of threadwall.
-func VersionText(v uint64) ids.WeightsVersion {
+// FormatVersion is the form of a version in the rest of threadwall.
+func FormatVersion(v uint64) ids.WeightsVersion {
 	return ids.WeightsVersion(strconv.FormatUint(v, 10))
 }
 
@@ -165,7 +165,7 @@
 	if !ok {
 		return ""
 	}
-	return VersionText(last.number)
+	return FormatVersion(last.number)
 }
 
 // last returns the newest version that the store has shown. The lock is held.
@@ -190,8 +190,8 @@
 	return now.Sub(last.at)
 }
 
-// Age is how long a version has been named, as one VM tells another.
-type Age struct {
+// VersionAge is how long a version has been named, as one VM tells another.
+type VersionAge struct {
 	Model   ids.Model
 	Version uint64
 	Age     time.Duration
@@ -199,24 +199,24 @@
 
 // Recent returns the versions that were named a short while ago, at most twice Within,
 // which the store has shown and whose age is not a guess.
-func (w *Weights) Recent(now time.Time) []Age {
+func (w *Weights) Recent(now time.Time) []VersionAge {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	var out []Age
+	var out []VersionAge
 	for m, all := range w.models {
 		for _, n := range all {
 			if age := now.Sub(n.at); !n.guessed && n.heard.IsZero() && age < 2*w.within {
-				out = append(out, Age{Model: m, Version: n.number, Age: age})
+				out = append(out, VersionAge{Model: m, Version: n.number, Age: age})
 			}
 		}
 	}
 	return out
 }
 
-// Heard takes in what a peer says of a version: a VM that has just started or was out of
+// ApplyPeerAge takes in what a peer says of a version: a VM that has just started or was out of
 // touch can't know how old it is, and one whose watch of the store has gone silent does
 // not know of it. Of two words the one that makes the version older counts.
-func (w *Weights) Heard(a Age, now time.Time) {
+func (w *Weights) ApplyPeerAge(a VersionAge, now time.Time) {
 	at := now.Add(-a.Age)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -269,7 +269,7 @@
 		bounds = append(bounds, bound)
 	}
 	if last, ok := w.last(m); ok {
-		newest, since = VersionText(last.number), now.Sub(last.at)
+		newest, since = FormatVersion(last.number), now.Sub(last.at)
 	}
 	return newest, since, bounds
 }
--- a/internal/follow/weights_test.go
+++ b/internal/follow/weights_test.go
@@ -16,7 +16,7 @@
 func TestLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
-		w := &Weights{Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: version}, nil }}
+		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{}, false)
 		name := func(v uint64) {
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const within = 9 * time.Second
 		version := uint64(1)
-		decode := func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: version}, nil }
+		decode := func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }
 		peer, starting := &Weights{Decode: decode}, &Weights{Decode: decode}
 		peer.SetWithin(within)
 		starting.SetWithin(within)
@@ -69,18 +69,18 @@
 		peer.Changed([]objectapi.Object{{}}, At{})
 		time.Sleep(6 * time.Second)
 		starting.Listed([]objectapi.Object{{}}, At{}, false)
-		want := []Age{{Model: "m", Version: 2, Age: 6 * time.Second}}
+		want := []VersionAge{{Model: "m", Version: 2, Age: 6 * time.Second}}
 		if told := peer.Recent(time.Now()); !slices.Equal(told, want) {
 			t.Fatalf("told %v, want %v", told, want)
 		}
 		if left, _ := starting.Left("m", "1", time.Now()); left != 2700*time.Millisecond {
 			t.Fatalf("%v left by this VM's guess", left)
 		}
-		starting.Heard(want[0], time.Now())
+		starting.ApplyPeerAge(want[0], time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
 			t.Fatalf("%v left, want 3s", left)
 		}
-		starting.Heard(Age{Model: "m", Version: 2, Age: time.Second}, time.Now())
+		starting.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
 			t.Fatalf("%v left after a peer that heard later", left)
 		}
@@ -91,12 +91,12 @@
 // was named meanwhile: old weights are bounded from its naming on.
 func TestVersionFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &Weights{Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: 1}, nil }}
+		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: 1}, nil }}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{}, false)
 		time.Sleep(time.Minute)
-		w.Heard(Age{Model: "m", Version: 3, Age: time.Second}, time.Now())
-		w.Heard(Age{Model: "m", Version: 2, Age: 4 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 3, Age: time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: 4 * time.Second}, time.Now())
 		if newest := w.Newest("m"); newest != "1" {
 			t.Errorf("the newest is %q, which the store has not shown", newest)
 		}
@@ -114,7 +114,7 @@
 func TestNamedWhileOutOfTouch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
-		w := &Weights{Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: version}, nil }}
+		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false)
 		time.Sleep(time.Minute)
@@ -128,7 +128,7 @@
 		if told := w.Recent(time.Now()); len(told) != 0 {
 			t.Errorf("told %v, which is a guess", told)
 		}
-		w.Heard(Age{Model: "m", Version: 2, Age: time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := w.Left("m", "1", time.Now()); left != 8*time.Second {
 			t.Errorf("%v left, want 8s after a peer's word", left)
 		}
@@ -141,9 +141,9 @@
 func TestClockNarrowsTheGuess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
-		w := &Weights{Clock: &Clock{}, Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: version}, nil }}
+		w := &Weights{Clock: &Clock{}, Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
 		w.SetWithin(9 * time.Second)
-		other := w.Clock.Watched(noHandler{})
+		other := w.Clock.Wrap(noHandler{})
 		w.Listed([]objectapi.Object{{Version: 10}}, At{Revision: 10, Sent: time.Now()}, false)
 		time.Sleep(6 * time.Second)
 		other.Unchanged(At{Revision: 20, Sent: time.Now()})
@@ -159,8 +159,8 @@
 }
 
 // decoder decodes every object as version *v of model m.
-func decoder(v *uint64) func([]byte) (NamedWeights, error) {
-	return func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: *v}, nil }
+func decoder(v *uint64) func([]byte) (DesiredWeights, error) {
+	return func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: *v}, nil }
 }
 
 // TestClockBefore checks what answers tell of since when a revision can be there.
@@ -170,7 +170,7 @@
 		return At{Revision: rev, Sent: t0.Add(seconds * time.Second), Answered: t0.Add(time.Hour)}
 	}
 	c := &Clock{}
-	h := c.Watched(noHandler{})
+	h := c.Wrap(noHandler{})
 	if got := c.Before(5); !got.IsZero() {
 		t.Errorf("nothing is known, and yet %v", got)
 	}
@@ -199,7 +199,7 @@
 		version := uint64(1)
 		w := &Weights{Clock: &Clock{}, Decode: decoder(&version)}
 		w.SetWithin(9 * time.Second)
-		h := w.Clock.Watched(w)
+		h := w.Clock.Wrap(w)
 		h.Listed([]objectapi.Object{{Version: 10}}, At{Revision: 10, Sent: time.Now()}, false)
 		time.Sleep(3 * time.Second)
 		version = 2
@@ -217,7 +217,7 @@
 		version := uint64(1)
 		w := &Weights{Clock: &Clock{}, Decode: decoder(&version)}
 		w.SetWithin(10 * time.Second)
-		w.Clock.Watched(noHandler{}).Listed(nil, At{Revision: 5, Sent: time.Now()}, false)
+		w.Clock.Wrap(noHandler{}).Listed(nil, At{Revision: 5, Sent: time.Now()}, false)
 		time.Sleep(time.Second)
 		w.Listed([]objectapi.Object{{Version: 10}}, At{Revision: 10, Sent: time.Now()}, false)
 		if left, _ := w.Left("m", "", time.Now()); left != 3*time.Second {
@@ -258,11 +258,11 @@
 		for version = 2; version <= 3; version++ {
 			w.Changed([]objectapi.Object{{}}, At{Answered: time.Now()})
 		}
-		w.Heard(Age{Model: "m", Version: 3, Age: 5 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 3, Age: 5 * time.Second}, time.Now())
 		if left, _ := w.Left("m", "1", time.Now()); left != 4*time.Second {
 			t.Errorf("a known version: %v left, want 4s", left)
 		}
-		w.Heard(Age{Model: "m", Version: 4, Age: 6 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 4, Age: 6 * time.Second}, time.Now())
 		if left, _ := w.Left("m", "1", time.Now()); left != 3*time.Second {
 			t.Errorf("an unknown version: %v left, want 3s", left)
 		}
@@ -284,13 +284,13 @@
 			}
 		}
 		age("a guess", 7*time.Second, 0)
-		w.Heard(Age{Model: "m", Version: 1, Age: 2 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: 2 * time.Second}, time.Now())
 		age("a younger word", 2*time.Second, 1)
-		w.Heard(Age{Model: "m", Version: 1, Age: time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: time.Second}, time.Now())
 		age("a still younger word", 2*time.Second, 1)
-		w.Heard(Age{Model: "m", Version: 1, Age: 4 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: 4 * time.Second}, time.Now())
 		age("an older word", 4*time.Second, 1)
-		w.Heard(Age{Model: "other", Version: 1, Age: 9 * time.Second}, time.Now())
+		w.ApplyPeerAge(VersionAge{Model: "other", Version: 1, Age: 9 * time.Second}, time.Now())
 		age("a word of another model, which the store has not shown", 4*time.Second, 1)
 		time.Sleep(16 * time.Second)
 		age("twice the time", 20*time.Second, 0)
@@ -306,7 +306,7 @@
 	for ; version <= 3*keepVersions; version++ {
 		w.Changed([]objectapi.Object{{}}, At{Answered: time.Now()})
 	}
-	if kept := len(w.models["m"]); kept != keepVersions || w.Newest("m") != VersionText(3*keepVersions) {
+	if kept := len(w.models["m"]); kept != keepVersions || w.Newest("m") != FormatVersion(3*keepVersions) {
 		t.Errorf("%d are kept, the newest is %s", kept, w.Newest("m"))
 	}
 }
--- a/internal/follow/words_test.go
+++ b/internal/follow/words_test.go
@@ -13,7 +13,7 @@
 func TestProvenByTheQuestion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
-		w := &Weights{Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: version}, nil }}
+		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false)
 		sent := time.Now()
@@ -33,10 +33,10 @@
 // TestOnlyTheStoreNames takes in a peer's word of a version that nobody ever named: it is
 // never wanted, and bounds the others for a short while only.
 func TestOnlyTheStoreNames(t *testing.T) {
-	w := &Weights{Decode: func([]byte) (NamedWeights, error) { return NamedWeights{Model: "m", Version: 2}, nil }}
+	w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: 2}, nil }}
 	w.SetWithin(9 * time.Second)
 	w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false)
-	w.Heard(Age{Model: "m", Version: 1 << 40, Age: time.Minute}, time.Now())
+	w.ApplyPeerAge(VersionAge{Model: "m", Version: 1 << 40, Age: time.Minute}, time.Now())
 	w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false)
 	if n := w.Newest("m"); n != "2" {
 		t.Errorf("the newest is %s, the store says 2", n)
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -16,8 +16,8 @@
 func TestPeerReportShortensWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
-		w := &follow.Weights{Decode: func([]byte) (follow.NamedWeights, error) {
-			return follow.NamedWeights{Model: "m", Version: version}, nil
+		w := &follow.Weights{Decode: func([]byte) (follow.DesiredWeights, error) {
+			return follow.DesiredWeights{Model: "m", Version: version}, nil
 		}}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, follow.At{Sent: time.Now()}, false)
@@ -33,7 +33,7 @@
 		sent := time.Now()
 		send.watchWeights()
 		time.Sleep(time.Second)
-		w.Heard(follow.Age{Model: "m", Version: 2, Age: 5 * time.Second}, time.Now())
+		w.ApplyPeerAge(follow.VersionAge{Model: "m", Version: 2, Age: 5 * time.Second}, time.Now())
 		var at time.Duration
 		stop := context.AfterFunc(ctx, func() { at = time.Since(sent) })
 		defer stop()
