--- a/internal/membership/contact.go
+++ b/internal/membership/contact.go
@@ -6,16 +6,16 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// MarkSeen records a sign of life from the target.
+// MarkSeen records that this VM received something from the target.
 func (t *Table) MarkSeen(id ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.targets[id]; m != nil {
-		m.heardAt = now
+		m.seenAt = now
 	}
 }
 
-// SetReachable records whether a standing call of this VM to the target, such as the one
+// SetReachable records whether a long-lived call of this VM to the target, such as the one
 // that reads its cache feed, is answered.
 func (t *Table) SetReachable(id ids.Target, alive bool, now time.Time) {
 	t.mu.Lock()
@@ -26,27 +26,27 @@
 	}
 	m.unreachable = !alive
 	if alive {
-		m.heardAt = now
+		m.seenAt = now
 	}
 }
 
-// SuspectUntil records that until then nobody can say whether the target answers: those who
-// would know have fallen silent. A moment in the past ends the doubt.
+// SuspectUntil records that, until the given time, it is not known whether the target
+// answers: the VMs that would know have sent no message. A time in the past ends this.
 func (t *Table) SuspectUntil(id ids.Target, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m := t.targets[id]; m != nil {
-		m.doubtUntil = until
+		m.suspectUntil = until
 	}
 }
 
-// doubted tells whether the target is in doubt, and this VM knows no better.
-func (m *target) doubted(now time.Time) bool {
-	return now.Before(m.doubtUntil) && now.Sub(m.heardAt) >= ownWord
+// suspected reports whether SuspectUntil applies and this VM had no recent contact of its own.
+func (m *target) suspected(now time.Time) bool {
+	return now.Before(m.suspectUntil) && now.Sub(m.seenAt) >= ownContactPrecedence
 }
 
-// SetLostByPeer records all targets to which a peer's standing calls fail; those to the others
-// don't.
+// SetLostByPeer records all targets to which a peer's long-lived calls fail. It replaces what
+// was recorded for that peer.
 func (t *Table) SetLostByPeer(peer ids.VM, lost []ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,44 +66,44 @@
 }
 
 const (
-	// peerWord is how long a peer's word that it lost a target counts; it repeats it
-	// while that lasts.
-	peerWord = 2 * time.Second
-	// peersToBelieve is how many peers must say so: one may be cut off itself.
-	peersToBelieve = 2
-	// ownWord is for how long a sign of life that this VM had itself goes before what
-	// peers say.
-	ownWord = time.Second
+	// peerReportTTL is how long a peer's report of a lost target counts; the peer repeats the
+	// report while the target stays lost.
+	peerReportTTL = 2 * time.Second
+	// minPeersLost is how many peers must report the loss: a single one may be partitioned itself.
+	minPeersLost = 2
+	// ownContactPrecedence is for how long this VM's own contact with a target overrides what
+	// peers report.
+	ownContactPrecedence = time.Second
 )
 
-// lostByPeers tells whether peers say that the target is silent, and this VM knows no
-// better.
+// lostByPeers reports whether enough peers have lost the target and this VM had no recent
+// contact of its own.
 func (m *target) lostByPeers(now time.Time) bool {
-	if len(m.lostBy) < peersToBelieve || now.Sub(m.heardAt) < ownWord {
+	if len(m.lostBy) < minPeersLost || now.Sub(m.seenAt) < ownContactPrecedence {
 		return false
 	}
 	peers := 0
 	for _, at := range m.lostBy {
-		if now.Sub(at) < peerWord {
+		if now.Sub(at) < peerReportTTL {
 			peers++
 		}
 	}
-	return peers >= peersToBelieve
+	return peers >= minPeersLost
 }
 
-// Unresponsive tells whether the target answers nothing, as far as this VM and its peers
-// know. One that is full, slow, or carries out an order does answer.
+// Unresponsive reports whether the target answers nothing, as far as this VM and its peers
+// know. A target that is full, slow, or carries out an order does answer.
 func (t *Table) Unresponsive(id ids.Target, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	m := t.targets[id]
-	return m != nil && m.silent(t.tuning, now)
+	return m != nil && m.unresponsive(t.tuning, now)
 }
 
 // TimedOut records that a request of this VM, sent at the given time, got nothing from
-// the target for too long. A target that gave signs of life since is slow, or hangs
-// some requests: that makes it dearer, and nothing worse, since under load all
-// targets are slow, and fewer of them make the others slower still.
+// the target for too long. If the target was seen since, it is slow or hangs some requests:
+// that raises its failure rate, and with it its cost, but does not count toward the breaker.
+// Under load all targets are slow, and taking some out makes the others slower still.
 func (t *Table) TimedOut(id ids.Target, sent, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 	m.failRate.add(1)
 	m.failRate.at = now
-	if m.heardAt.After(sent) {
+	if m.seenAt.After(sent) {
 		return
 	}
 	m.fails++
--- a/internal/membership/failrate.go
+++ b/internal/membership/failrate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// failRate is the recent part of attempts that failed. It fades with time, so that
+// failRate is the recent fraction of attempts that failed. It decays over time, so that
 // a target which gets no requests because of it is tried again.
 type failRate struct {
 	value float64
@@ -15,22 +15,22 @@
 const (
 	// failGain is the weight of one attempt: three failures of ten show as 0.4.
 	failGain = 0.25
-	// failedCallGain is that of a failure that is passed on to the caller: the call may be at
-	// fault as well as the target.
+	// failedCallGain is the weight of a failure that was returned to the caller: the call may
+	// be at fault as well as the target.
 	failedCallGain = 0.1
-	// failHalfLife is how fast a rate fades when nothing fails.
+	// failHalfLife is the half-life of the rate while nothing fails.
 	failHalfLife = 3 * time.Second
 )
 
-// add takes in one attempt: 1 failed, 0 succeeded.
+// add records one attempt: 1 failed, 0 succeeded.
 func (f *failRate) add(failed float64) { f.value += failGain * (failed - f.value) }
 
-// addCall takes in a failure that was passed on.
+// addCall records a failure that was returned to the caller.
 func (f *failRate) addCall(now time.Time) {
 	f.value, f.at = f.value+failedCallGain*(1-f.value), now
 }
 
-// now returns the faded rate.
+// now returns the decayed rate.
 func (f *failRate) now(now time.Time) float32 {
 	if f.at.IsZero() {
 		return 0
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -6,14 +6,15 @@
 //
 //   - No source alone declares a target dead. One source against it makes it
 //     suspect: it gets work only when nothing better is left. Two make it dead.
-//     Any later proof of life from the same source heals it.
-//   - Leaving is believed from any source and holds for that incarnation: a
-//     target that was told to go must get no new work, also while the platform
+//     Any later proof of life from the same source reverses this.
+//   - Leaving is accepted from any source and holds for that incarnation: a
+//     target that was asked to leave must get no new work, also while the platform
 //     can't be reached.
-//   - A larger incarnation is a new life: it starts as joining, with its load and
-//     failures forgotten.
-//   - A VM is judged by the counter in its heartbeats alone. The platform's list
-//     says whom to expect; it can't revive a silent VM.
+//   - A larger incarnation means that the target has restarted: it begins as
+//     joining, without the load and failures of the previous incarnation.
+//   - The state of a VM follows from the counter in its heartbeats alone. The
+//     platform's list says which VMs to expect; it can't revive a VM that sends no
+//     heartbeats.
 //
 // Table is a plain state machine over explicit times; it starts no goroutine.
 package membership
@@ -31,29 +32,29 @@
 
 // Tuning holds the delays of the state machine.
 type Tuning struct {
-	// SuspectAfter is the silence that makes a member suspect. Default 3s.
+	// SuspectAfter is the time without a message after which a member is suspect. Default 3s.
 	SuspectAfter time.Duration
-	// DeadAfter is the silence after which a VM is dead. Default 10s.
+	// DeadAfter is the time without a heartbeat after which a VM is dead. Default 10s.
 	DeadAfter time.Duration
 	// SlowStart is how long a new incarnation of a target is joining. Default 10s.
 	SlowStart time.Duration
-	// Failures in a row that count as evidence against a target. Default 3.
+	// Failures is how many failures in a row open a target's breaker. Default 3.
 	Failures int
 	// BreakerOpen is how long a failing target gets no work from this VM before
-	// one request may try it. Default 2s.
+	// one trial request is allowed. Default 2s.
 	BreakerOpen time.Duration
-	// Grace is how long a VM that is listed, and not yet heard of, is joining.
-	// Default 5s.
+	// Grace is how long a listed VM is joining before its first heartbeat, and how long a
+	// target without a report is not suspect. Default 5s.
 	Grace time.Duration
 }
 
-// DefaultTuning suits heartbeats and probes of one second.
+// DefaultTuning suits heartbeats and probes at intervals of one second.
 var DefaultTuning = Tuning{
 	SuspectAfter: 3 * time.Second, DeadAfter: 10 * time.Second, SlowStart: 10 * time.Second,
 	Failures: 3, BreakerOpen: 2 * time.Second, Grace: 5 * time.Second,
 }
 
-// Report is what a probe of a target told.
+// Report is the result of one probe of a target.
 type Report struct {
 	Incarnation  ids.Incarnation
 	Seq          uint64 // orders reports of one incarnation
@@ -62,30 +63,30 @@
 	Slots        int
 	PrefillRate  float64 // tokens/s
 	Leaving      bool
-	Silent       bool // the prober got no answer for SuspectAfter
+	Silent       bool // the prober got no response for SuspectAfter
 	Weights      ids.WeightsVersion
 }
 
 // target is all evidence about one target.
 type target struct {
-	record      platform.Record
-	listed      bool
-	report      Report
-	reportAt    time.Time // when this VM heard it
-	bornAt      time.Time
-	leaving     bool
-	firstSeen   time.Time
-	fails       int
-	lastFail    time.Time
-	failRate    failRate
-	heardAt     time.Time            // this VM's last sign of life from it: an event, an answer, its feed
-	unreachable bool                 // a standing call of this VM to it has failed
-	doubtUntil  time.Time            // nobody can say until then whether it answers
-	lostBy      map[ids.VM]time.Time // peers whose standing call to it has failed, and when they last said so
-	busyUntil   time.Time            // it refused work and gets none before this
-	restUntil   time.Time            // it asked this VM for a rest until then
-	incarnation ids.Incarnation
-	weights     ids.WeightsVersion
+	record       platform.Record
+	listed       bool
+	report       Report
+	reportAt     time.Time // when this VM received it
+	startedAt    time.Time
+	leaving      bool
+	firstSeen    time.Time
+	fails        int
+	lastFail     time.Time
+	failRate     failRate
+	seenAt       time.Time            // when this VM last received an event, a response or its feed
+	unreachable  bool                 // a long-lived call of this VM to it has failed
+	suspectUntil time.Time            // until then it is not known whether it answers
+	lostBy       map[ids.VM]time.Time // peers whose long-lived call to it has failed, and when they last reported it
+	busyUntil    time.Time            // it refused work and gets none before this time
+	restUntil    time.Time            // it asked this VM to send nothing until then
+	incarnation  ids.Incarnation
+	weights      ids.WeightsVersion
 }
 
 // peer is all evidence about one entry VM.
@@ -102,7 +103,7 @@
 
 // Table holds all members. Safe for concurrent use.
 type Table struct {
-	// Limits are the rates that targets name.
+	// Limits are the rate limits that targets announce.
 	Limits *ratelimit.Limiter
 
 	self   ids.VM
@@ -110,18 +111,18 @@
 
 	mu      sync.RWMutex
 	targets map[ids.Target]*target
-	signals map[ids.Target]*signaled
+	signals map[ids.Target]*signalState
 	peers   map[ids.VM]*peer
-	version uint64 // grows when the set of targets or a descriptor changes
+	version uint64 // increases when the set of targets or a descriptor changes
 }
 
 // New returns an empty table for this VM.
 func New(self ids.VM, tuning Tuning) *Table {
-	return &Table{Limits: ratelimit.New(nil), self: self, tuning: tuning, targets: map[ids.Target]*target{}, signals: map[ids.Target]*signaled{}, peers: map[ids.VM]*peer{}}
+	return &Table{Limits: ratelimit.New(nil), self: self, tuning: tuning, targets: map[ids.Target]*target{}, signals: map[ids.Target]*signalState{}, peers: map[ids.VM]*peer{}}
 }
 
-// ApplyPlatform takes in the platform's whole list. Members that it no longer holds
-// become unlisted, which is evidence against a target, no more.
+// ApplyPlatform applies the platform's complete list. Members that are missing from it become
+// unlisted, which counts as one source against a target.
 func (t *Table) ApplyPlatform(records []platform.Record, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,16 +155,16 @@
 		t.targets[ids.Target(r.ID)] = m
 	}
 	m.record, m.listed = r, true
-	m.reborn(r.Incarnation, r.Weights, now)
+	m.restart(r.Incarnation, r.Weights, now)
 	if r.State == platform.StateLeaving && r.Incarnation >= m.incarnation {
 		m.leaving = true
-		t.signaledOf(ids.Target(r.ID), r.Incarnation, now).leave()
+		t.signalsOf(ids.Target(r.ID), r.Incarnation, now).leave()
 	}
-	m.recall(t.signals[ids.Target(r.ID)])
+	m.applySignals(t.signals[ids.Target(r.ID)])
 }
 
-// reborn starts a new life if inc is later than the known one.
-func (m *target) reborn(inc ids.Incarnation, w ids.WeightsVersion, now time.Time) {
+// restart begins a new incarnation if inc is larger than the known one.
+func (m *target) restart(inc ids.Incarnation, w ids.WeightsVersion, now time.Time) {
 	if inc == m.incarnation && w != "" {
 		m.weights = w
 	}
@@ -171,12 +172,12 @@
 		return
 	}
 	*m = target{
-		record: m.record, listed: m.listed, firstSeen: now, bornAt: now,
+		record: m.record, listed: m.listed, firstSeen: now, startedAt: now,
 		incarnation: inc, weights: w, report: Report{Incarnation: inc},
 	}
 }
 
-// Incarnation returns the latest known incarnation of a target; zero: it is not known.
+// Incarnation returns the latest known incarnation of a target, or zero if there is none.
 func (t *Table) Incarnation(id ids.Target) ids.Incarnation {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -195,9 +196,9 @@
 	return p
 }
 
-// Heartbeat takes in a VM's heartbeat, heard directly or passed on. Only a
+// Heartbeat applies a VM's heartbeat, received directly or forwarded. Only a
 // counter that advances within the latest incarnation is proof of life. It
-// returns whether this was news.
+// returns whether the heartbeat was new.
 func (t *Table) Heartbeat(id ids.VM, inc ids.Incarnation, counter, revision uint64, leaving bool, now time.Time) bool {
 	if id == t.self {
 		return false
@@ -217,8 +218,8 @@
 	return true
 }
 
-// ApplyReport takes in a report on a target, own or from a peer. It returns whether
-// the report was news.
+// ApplyReport applies a report on a target, from this VM's probe or from a peer. It returns
+// whether the report was new.
 func (t *Table) ApplyReport(id ids.Target, r Report, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -236,7 +237,7 @@
 		m.report.Silent, m.report.Seq, m.reportAt = true, r.Seq, now
 		return true
 	}
-	m.reborn(r.Incarnation, r.Weights, now)
+	m.restart(r.Incarnation, r.Weights, now)
 	m.report, m.reportAt = r, now
 	m.leaving = m.leaving || r.Leaving
 	return true
@@ -265,7 +266,7 @@
 }
 
 // FailedCall records that the target answered a request of this VM with a failure that was
-// passed on. It lives, and may be well: it opens no breaker.
+// returned to the caller. The target is alive and may be healthy, so this opens no breaker.
 func (t *Table) FailedCall(id ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -275,7 +276,7 @@
 	}
 }
 
-// Remove forgets a target that is gone for certain.
+// Remove drops a target that is known to be gone.
 func (t *Table) Remove(id ids.Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -283,8 +284,9 @@
 	t.version++
 }
 
-// Busy records that the target takes no work until then. It only grows: a refusal by a
-// target that is known to be busy for longer says nothing new.
+// Busy records that the target takes no work before the given time. An earlier time than the
+// recorded one changes nothing: a refusal by a target that is known to be busy for longer
+// carries no new information.
 func (t *Table) Busy(id ids.Target, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -307,16 +309,16 @@
 	now := clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.signaledOf(id, inc, now)
+	k := t.signalsOf(id, inc, now)
 	k.leave()
 	if m := t.targets[id]; m != nil {
-		m.recall(k)
+		m.applySignals(k)
 	}
 }
 
-// Trying records that a request goes to the target. If the target's breaker time
-// has just ended, this is its one trial: the breaker stays open for others until
-// the trial ends or another breaker time is over. It returns whether it is.
+// Trying records that a request is sent to the target. If the target's breaker time has just
+// ended, the request is its trial: the breaker stays open for other requests until the trial
+// ends or another breaker time is over. It returns whether the request is a trial.
 func (t *Table) Trying(id ids.Target, now time.Time) (trial bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -331,7 +333,7 @@
 // maxBreakerDoublings bounds the breaker's growth: 16 times BreakerOpen.
 const maxBreakerDoublings = 4
 
-// breakerOpen tells whether the target gets no work from this VM for now. The
+// breakerOpen reports whether the target gets no work from this VM for now. The
 // time doubles with each failure beyond the first that opened the breaker.
 func (m *target) breakerOpen(tu Tuning, now time.Time) bool {
 	if now.Before(m.busyUntil) {
@@ -343,7 +345,7 @@
 	return now.Sub(m.lastFail) < tu.BreakerOpen<<min(m.fails-tu.Failures, maxBreakerDoublings)
 }
 
-// state judges a target by its evidence.
+// state derives a target's state from the evidence about it.
 func (m *target) state(tu Tuning, now time.Time) routing.State {
 	if m.leaving {
 		return routing.Leaving
@@ -352,7 +354,7 @@
 	if !m.listed {
 		against++
 	}
-	if m.silent(tu, now) {
+	if m.unresponsive(tu, now) {
 		against++
 	}
 	if m.breakerOpen(tu, now) {
@@ -363,17 +365,17 @@
 		return routing.Dead
 	case against == 1:
 		return routing.Suspect
-	case now.Sub(m.bornAt) < tu.SlowStart:
+	case now.Sub(m.startedAt) < tu.SlowStart:
 		return routing.Joining
 	default:
 		return routing.Live
 	}
 }
 
-// silent judges by exception: the VM that probes a target reports when it falls
-// silent, so that a hundred healthy targets cost no messages.
-func (m *target) silent(tu Tuning, now time.Time) bool {
-	if m.unreachable || m.lostByPeers(now) || m.doubted(now) {
+// unresponsive reports whether the target counts as unresponsive. The VM that probes a target sends a
+// report when the target stops answering, so that a hundred healthy targets cost no messages.
+func (m *target) unresponsive(tu Tuning, now time.Time) bool {
+	if m.unreachable || m.lostByPeers(now) || m.suspected(now) {
 		return true
 	}
 	if m.reportAt.IsZero() {
@@ -382,7 +384,7 @@
 	return m.report.Silent
 }
 
-// state judges a VM.
+// state derives a VM's state from its heartbeats and the platform's list.
 func (p *peer) state(tu Tuning, now time.Time) routing.State {
 	if p.advancedAt.IsZero() {
 		if p.leaving {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -12,9 +12,9 @@
 	"github.com/threadwall/threadwall/internal/platform"
 )
 
-// TestStories runs the stories in testdata. Each line is a moment and what
-// happens in it; "states" prints what the table thinks.
-func TestStories(t *testing.T) {
+// TestScenarios runs the scenarios in testdata. Each command is one event, and "wait" advances
+// the time; the output is the state of all members after the command.
+func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := New("vm0", DefaultTuning)
 		now := time.Unix(1_000_000, 0)
@@ -29,12 +29,12 @@
 				now = now.Add(span)
 				return ""
 			}
-			return story(t, table, d, now)
+			return runCommand(t, table, d, now)
 		})
 	})
 }
 
-func story(t *testing.T, table *Table, d *datadriven.TestData, now time.Time) string {
+func runCommand(t *testing.T, table *Table, d *datadriven.TestData, now time.Time) string {
 	num := func(key string) uint64 {
 		var n uint64
 		d.MaybeScanArgs(t, key, &n)
@@ -56,7 +56,7 @@
 		table.Failed(target, now)
 	case "ok":
 		table.Succeeded(target)
-	case "silent": // a request sent some time ago got nothing
+	case "silent": // a request that was sent some time ago got no response
 		var span string
 		d.ScanArgs(t, "after", &span)
 		waited, err := time.ParseDuration(span)
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		table.SuspectUntil(target, now.Add(dur))
-	case "peer-lost-none": // a peer's word about all targets: it reaches them
+	case "peer-lost-none": // a peer reports that it reaches all targets
 		var peer string
 		d.ScanArgs(t, "peer", &peer)
 		table.SetLostByPeer(ids.VM(peer), nil, now)
@@ -125,9 +125,10 @@
 	return b.String()
 }
 
-// TestBusyOnlyGrows refuses work at a target that is known to carry out an order for
-// longer: it gets none until that is over, or until it is known to be.
-func TestBusyOnlyGrows(t *testing.T) {
+// TestBusyIsNeverShortened checks that a refusal with a short delay does not shorten the time of
+// an order that the target carries out: the target gets no work until that time is over or
+// Ready is called.
+func TestBusyIsNeverShortened(t *testing.T) {
 	table, now := New("vm0", DefaultTuning), time.Unix(1_000_000, 0)
 	table.ApplyPlatform(records("e1:engine:live:1"), now)
 	open := func(after time.Duration) bool {
@@ -137,14 +138,14 @@
 	table.Busy("e1", now.Add(1500*time.Millisecond))
 	table.Busy("e1", now.Add(250*time.Millisecond))
 	if !open(1499*time.Millisecond) || open(1500*time.Millisecond) {
-		t.Error("a refusal has ended the time of the order")
+		t.Error("a refusal shortened the busy time of the order")
 	}
 	table.Busy("e1", now.Add(2*time.Second))
 	if !open(1999 * time.Millisecond) {
-		t.Error("the time of the order was not prolonged")
+		t.Error("a later time did not extend the busy time")
 	}
 	table.Ready("e1")
 	if open(0) {
-		t.Error("it gets no work though it takes some again")
+		t.Error("the breaker is open after Ready")
 	}
 }
--- a/internal/membership/signals.go
+++ b/internal/membership/signals.go
@@ -7,30 +7,30 @@
 	"github.com/threadwall/threadwall/internal/ratelimit"
 )
 
-// Signals are what a target says of itself with an answer.
+// Signals are what a target reports about itself in a response.
 type Signals struct {
 	Leaving bool            // it takes no new work for the rest of its incarnation
-	Rest    time.Duration   // it wants nothing from this VM for so long; zero: it does not say
-	Limit   ratelimit.Limit // what it takes from all VMs together
+	Rest    time.Duration   // how long this VM shall send it nothing; zero: not given
+	Limit   ratelimit.Limit // the rate limit for all VMs together
 }
 
-// signaled is the latest that one incarnation of a target said of itself. It outlives the
-// target's entry, which may be gone for a while and then say what is no longer so.
-type signaled struct {
+// signalState holds the latest signals of one incarnation of a target. It outlives the
+// target's entry in the platform's list, which may be missing for a while and then be stale.
+type signalState struct {
 	incarnation ids.Incarnation
 	leaving     bool
 	restUntil   time.Time
 	at          time.Time
 }
 
-// SignalChange names what an answer changed in what a target is known to say of itself.
+// SignalChange says which signals of a target a response has changed.
 type SignalChange struct{ Leaving, Rest, Limit bool }
 
-// Any tells whether anything changed.
+// Any reports whether anything changed.
 func (c SignalChange) Any() bool { return c.Leaving || c.Rest || c.Limit }
 
-// ApplySignals takes in what a target said of itself in an answer that came now, to a request
-// that was sent at a time, and returns what of it is news.
+// ApplySignals applies the signals in a response that was received at now, to a request that
+// was sent at sent, and returns what they changed.
 func (t *Table) ApplySignals(id ids.Target, inc ids.Incarnation, s Signals, sent, now time.Time) SignalChange {
 	change := SignalChange{Limit: t.Limits.Answered(id, inc, s.Limit, sent)}
 	if !s.Leaving && s.Rest <= 0 {
@@ -38,7 +38,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.signaledOf(id, inc, now)
+	k := t.signalsOf(id, inc, now)
 	if k == nil {
 		return change
 	}
@@ -48,12 +48,12 @@
 		k.restUntil, change.Rest = until, true
 	}
 	if m := t.targets[id]; m != nil {
-		m.recall(k)
+		m.applySignals(k)
 	}
 	return change
 }
 
-// Declines tells whether a target takes nothing from this VM now: it leaves, or rests.
+// Declines reports whether a target takes nothing from this VM now, since it leaves or rests.
 func (t *Table) Declines(id ids.Target, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -62,48 +62,48 @@
 }
 
 const (
-	// signalsKept is how many targets' signals are kept before old ones are forgotten.
-	signalsKept = 256
-	// signalsFor is for how long signals are kept of a target that is not listed.
-	signalsFor = 10 * time.Minute
+	// maxSignals is how many targets' signals are kept before old ones are dropped.
+	maxSignals = 256
+	// signalsTTL is how long the signals of a target that is not listed are kept.
+	signalsTTL = 10 * time.Minute
 )
 
-// signaledOf returns where an incarnation's signals are kept; nil: it has ended. The lock is
-// held.
-func (t *Table) signaledOf(id ids.Target, inc ids.Incarnation, now time.Time) *signaled {
+// signalsOf returns the signals of an incarnation, or nil if a later incarnation is known. The
+// caller holds the lock.
+func (t *Table) signalsOf(id ids.Target, inc ids.Incarnation, now time.Time) *signalState {
 	k := t.signals[id]
 	if k != nil && inc < k.incarnation {
 		return nil
 	}
 	if k == nil || inc > k.incarnation {
-		if len(t.signals) >= signalsKept {
-			t.forgetSignals(now)
+		if len(t.signals) >= maxSignals {
+			t.expireSignals(now)
 		}
-		k = &signaled{incarnation: inc}
+		k = &signalState{incarnation: inc}
 		t.signals[id] = k
 	}
 	k.at = now
 	return k
 }
 
-// leave notes that the target leaves; one that has ended is not concerned.
-func (k *signaled) leave() {
+// leave records that the target leaves. A nil receiver is an incarnation that has ended.
+func (k *signalState) leave() {
 	if k != nil {
 		k.leaving = true
 	}
 }
 
-// forgetSignals drops what targets said that are long gone. The lock is held.
-func (t *Table) forgetSignals(now time.Time) {
+// expireSignals drops the signals of targets that have long been gone. The caller holds the lock.
+func (t *Table) expireSignals(now time.Time) {
 	for id, k := range t.signals {
-		if t.targets[id] == nil && now.Sub(k.at) > signalsFor {
+		if t.targets[id] == nil && now.Sub(k.at) > signalsTTL {
 			delete(t.signals, id)
 		}
 	}
 }
 
-// recall takes in what the target said of itself, unless it has started again since.
-func (m *target) recall(k *signaled) {
+// applySignals applies stored signals unless the target has restarted since.
+func (m *target) applySignals(k *signalState) {
 	if k == nil || k.incarnation < m.incarnation {
 		return
 	}
--- a/internal/membership/signals_test.go
+++ b/internal/membership/signals_test.go
@@ -10,9 +10,10 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestLeavingIsKept keeps a target that said that it leaves out of use for the rest of its
-// incarnation, whoever it told and whatever its entry says later. A new incarnation ends that.
-func TestLeavingIsKept(t *testing.T) {
+// TestLeavingPersists checks that a target that announced that it leaves stays leaving for the
+// rest of its incarnation, whichever source reported it and whatever its entry says later. A new
+// incarnation ends that.
+func TestLeavingPersists(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	list := func(table *Table, state platform.State, inc ids.Incarnation) routing.State {
 		table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: state, Incarnation: inc}}, now)
@@ -27,36 +28,36 @@
 		list(table, platform.StateLive, 2)
 		leave(table)
 		if got := list(table, platform.StateLive, 2); got != routing.Leaving {
-			t.Errorf("%s: the entry says ready, and the target is %v", name, got)
+			t.Errorf("%s: the target is %v after its entry says live, want leaving", name, got)
 		}
 		table.Remove("t")
 		if got := list(table, platform.StateLive, 2); got != routing.Leaving {
-			t.Errorf("%s: the entry was gone and is back, and the target is %v", name, got)
+			t.Errorf("%s: the target is %v after its entry was removed and added, want leaving", name, got)
 		}
 		if got := list(table, platform.StateLive, 3); got == routing.Leaving {
-			t.Errorf("%s: the target has started again and still counts as leaving", name)
+			t.Errorf("%s: the target still counts as leaving after a restart", name)
 		}
 		table.ApplySignals("t", 2, Signals{Leaving: true}, now, now)
 		if got := list(table, platform.StateLive, 3); got == routing.Leaving {
-			t.Errorf("%s: an answer of the incarnation before counts", name)
+			t.Errorf("%s: a response of the previous incarnation was applied", name)
 		}
 	}
 }
 
-// TestSignalsAreForgotten bounds what is kept of targets that are gone.
-func TestSignalsAreForgotten(t *testing.T) {
+// TestSignalsExpire checks that the signals of targets that are gone are bounded in number.
+func TestSignalsExpire(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
-	for i := range 10 * signalsKept {
+	for i := range 10 * maxSignals {
 		table.ApplySignals(ids.Target(fmt.Sprint("t", i)), 1, Signals{Leaving: true}, now, now)
-		now = now.Add(signalsFor / signalsKept)
+		now = now.Add(signalsTTL / maxSignals)
 	}
-	if n := len(table.signals); n > 2*signalsKept {
-		t.Errorf("%d targets' signals are kept", n)
+	if n := len(table.signals); n > 2*maxSignals {
+		t.Errorf("signals of %d targets are kept", n)
 	}
 }
 
-// TestRest lets a target rest by the longest that it asked this VM for, beside what else is
-// wrong with it. What ends an order's pause does not end it, and nor does its entry.
+// TestRest checks that a target rests for the longest time that it asked this VM for. Neither
+// Ready nor the removal of its entry ends the rest; a new incarnation does.
 func TestRest(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
 	list := func() {
@@ -70,18 +71,18 @@
 	}
 	table.Ready("t")
 	if got := left(); got != time.Second {
-		t.Errorf("%v of the rest is left, want 1s", got)
+		t.Errorf("%v of the rest remains, want 1s", got)
 	}
 	table.Remove("t")
 	if list(); left() != time.Second {
-		t.Error("the rest has gone with the entry")
+		t.Error("the rest was lost when the entry was removed")
 	}
 	if now = now.Add(time.Second); left() != 0 {
-		t.Error("the rest does not end")
+		t.Error("the rest does not end after its time")
 	}
 	table.ApplySignals("t", 1, Signals{Rest: time.Hour}, now, now)
 	table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 2}}, now)
 	if left() != 0 {
-		t.Error("a target that has started again has the rest of the incarnation before")
+		t.Error("a restarted target has the rest of the previous incarnation")
 	}
 }
--- a/internal/membership/views.go
+++ b/internal/membership/views.go
@@ -21,7 +21,7 @@
 	Report      Report             `json:"report"`
 	ReportAge   time.Duration      `json:"report_age_ns"`
 	BreakerOpen bool               `json:"breaker_open"`
-	Rest        time.Duration      `json:"rest_ns,omitempty"` // for which it wants nothing from this VM
+	Rest        time.Duration      `json:"rest_ns,omitempty"` // how long this VM shall still send it nothing
 	SlowStart   float32            `json:"slow_start"`
 	FailRate    float32            `json:"fail_rate"`
 }
@@ -40,14 +40,15 @@
 	Leaving        bool              `json:"leaving"`
 }
 
-// Version changes whenever the set of targets or their descriptors may have.
+// Version returns a number that changes whenever the set of targets or their descriptors may
+// have changed.
 func (t *Table) Version() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.version
 }
 
-// Targets returns all targets by id.
+// Targets returns all targets, ordered by id.
 func (t *Table) Targets(now time.Time) []TargetStatus {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -59,26 +60,26 @@
 	return out
 }
 
-// longAgo stands for the age of a report that never came. The difference to the
-// zero time would be the longest duration there is, and any sum with it negative.
-const longAgo = time.Hour
+// maxReportAge caps the age of a report, also of one that never arrived: the difference to the
+// zero time would be the largest duration, and any sum with it would overflow to a negative value.
+const maxReportAge = time.Hour
 
 func (m *target) status(id ids.Target, tu Tuning, now time.Time) TargetStatus {
 	s := TargetStatus{
 		ID: id, Record: m.record, State: m.state(tu, now),
 		Incarnation: m.incarnation, Weights: m.weights,
-		Report: m.report, ReportAge: min(now.Sub(m.reportAt), longAgo),
+		Report: m.report, ReportAge: min(now.Sub(m.reportAt), maxReportAge),
 		BreakerOpen: m.breakerOpen(tu, now), SlowStart: 1, FailRate: m.failRate.now(now),
 		Rest: max(m.restUntil.Sub(now), 0),
 	}
 	s.StateName = s.State.String()
 	if s.State == routing.Joining {
-		s.SlowStart = float32(now.Sub(m.bornAt)) / float32(tu.SlowStart)
+		s.SlowStart = float32(now.Sub(m.startedAt)) / float32(tu.SlowStart)
 	}
 	return s
 }
 
-// Peers returns all other entry VMs by id.
+// Peers returns all other entry VMs, ordered by id.
 func (t *Table) Peers(now time.Time) []PeerStatus {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -99,13 +100,14 @@
 	return out
 }
 
-// Forget drops members that are unlisted and dead, and returns how many.
+// Forget drops members that are unlisted and have long been unresponsive, and returns how many
+// it dropped.
 func (t *Table) Forget(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := len(t.targets) + len(t.peers)
 	for id, m := range t.targets {
-		if !m.listed && m.silent(t.tuning, now) && now.Sub(m.reportAt) > 6*t.tuning.DeadAfter {
+		if !m.listed && m.unresponsive(t.tuning, now) && now.Sub(m.reportAt) > 6*t.tuning.DeadAfter {
 			delete(t.targets, id)
 			t.version++
 		}
@@ -118,7 +120,7 @@
 	return n - len(t.targets) - len(t.peers)
 }
 
-// State returns one target's state; Dead if it is not known.
+// State returns the state of one target, or Dead if it is unknown.
 func (t *Table) State(id ids.Target, now time.Time) routing.State {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
