--- a/internal/peers/bytes.go
+++ b/internal/peers/bytes.go
@@ -5,8 +5,7 @@
 	"net"
 )
 
-// countedConn counts what control costs on the wire, framing and headers
-// included.
+// countedConn counts the bytes of the control traffic, including framing and headers.
 type countedConn struct {
 	net.Conn
 	n *Node
@@ -50,5 +49,5 @@
 	return countedConn{Conn: c, n: l.n}, nil
 }
 
-// CountTraffic returns a listener whose traffic counts as this node's control traffic.
+// CountTraffic wraps l so that its traffic counts as this node's control traffic.
 func (n *Node) CountTraffic(l net.Listener) net.Listener { return countedListener{Listener: l, n: n} }
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -1,5 +1,6 @@
-// Package peers is how entry VMs act together: heartbeats and news within the
-// failure domain, configuration by revision, and state for a starting VM.
+// Package peers implements the communication between entry VMs: heartbeats and updates within
+// the failure domain, exchange of configuration by revision, and transfer of state to a
+// starting VM.
 package peers
 
 import (
@@ -30,16 +31,17 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Costs of control; docs/design/gossip.md gives the measurement.
+// Limits of the control traffic; docs/design/gossip.md gives the measurement.
 const (
-	newsBytes       = 400 // of news in a message, about
+	maxUpdateBytes  = 400 // approximate payload of one update message
 	callTimeout     = 800 * time.Millisecond
-	workLag         = 200 * time.Millisecond // mean age of news of a dispatch
-	maxMessageBytes = 256 << 20              // a whole configuration with its documents
-	relaysPerDomain = 2                      // VMs of a domain that speak to other domains
+	dispatchLag     = 200 * time.Millisecond // mean age of a dispatch when its update arrives
+	maxMessageBytes = 256 << 20              // a complete configuration with its documents
+	relaysPerDomain = 2                      // VMs of a domain that exchange summaries with other domains
 )
 
-// Node is this VM among its peers. Fields are set before Init.
+// Node exchanges heartbeats, updates and configuration with the peers of this VM. The exported
+// fields are set before Init.
 type Node struct {
 	VM          ids.VM
 	Domain      ids.FailureDomain
@@ -49,22 +51,22 @@
 	Platform    *confsync.Store
 	Allowances  *allowance.Limiter
 	Events      *timeline.Log
-	// Crashes are the requests under which targets crashed. Nil: peers are told of none.
+	// Crashes are the requests during which targets crashed. If nil, none are reported to peers.
 	Crashes *quarantine.Ledger
 
-	Leaving  atomic.Bool
-	outbox   *gossip.Outbox
-	urgent   chan struct{}
-	counter  atomic.Uint64
-	toldBeat atomic.Uint64
-	byHash   atomic.Pointer[map[uint32]ids.Target]
-	toldUse  map[uint32]bool // workspaces whose demand was told at the last heartbeat
+	Leaving     atomic.Bool
+	outbox      *gossip.Outbox
+	urgent      chan struct{}
+	counter     atomic.Uint64
+	sentBeat    atomic.Uint64
+	byHash      atomic.Pointer[map[uint32]ids.Target]
+	reportedUse map[uint32]bool // workspaces whose demand was sent with the last heartbeat
 
-	mu      sync.Mutex
-	conns   map[string]*grpc.ClientConn
-	tellers map[ids.VM]*teller
-	wants   *ring.Ring[want]
-	gate    *semaphore.Weighted // bounds FetchState calls served at once
+	mu         sync.Mutex
+	conns      map[string]*grpc.ClientConn
+	senders    map[ids.VM]*sender
+	wanted     *ring.Ring[wantedRevision]
+	stateCalls *semaphore.Weighted // bounds concurrent FetchState calls
 
 	BytesOut, BytesIn, Messages, Failures atomic.Int64
 }
@@ -72,29 +74,29 @@
 var _ peerpb.PeerServer = (*Server)(nil)
 
 const (
-	wantsQueue       = 32
-	stateCallsAtOnce = 2
+	wantedQueueSize = 32
+	maxStateCalls   = 2
 )
 
-// want is a revision that a peer has and we lack.
-type want struct {
+// wantedRevision is a newer revision that a peer has announced.
+type wantedRevision struct {
 	space peerpb.KeySpace
 	vm    ids.VM
 	addr  string
 }
 
-// Init completes a node.
+// Init prepares a node for use.
 func (n *Node) Init() {
 	n.outbox = gossip.New()
 	n.urgent = make(chan struct{}, 1)
 	n.conns = map[string]*grpc.ClientConn{}
-	n.tellers = map[ids.VM]*teller{}
+	n.senders = map[ids.VM]*sender{}
 	n.byHash.Store(&map[uint32]ids.Target{})
-	n.wants = ring.New[want](wantsQueue)
-	n.gate = semaphore.NewWeighted(stateCallsAtOnce)
+	n.wanted = ring.New[wantedRevision](wantedQueueSize)
+	n.stateCalls = semaphore.NewWeighted(maxStateCalls)
 }
 
-// AdoptPlatform takes in a revision of the platform's list; it is an Adopter.
+// AdoptPlatform applies a revision of the platform's list; it is a confsync.Adopter.
 func (n *Node) AdoptPlatform(_ objectapi.Revision, objects []objectapi.Object) {
 	records, _ := platform.Decode(objects)
 	n.Fleet.Members.ApplyPlatform(records, clock.Now())
@@ -102,7 +104,7 @@
 	n.Fleet.MarkDirty()
 }
 
-// SetTargets takes in which targets and entry VMs there are.
+// SetTargets sets the known targets and entry VMs.
 func (n *Node) SetTargets(records []platform.Record) {
 	var vms []ids.VM
 	hashes := map[uint32]ids.Target{}
@@ -117,9 +119,9 @@
 	n.Allowances.SetVMs(vms)
 }
 
-// targetHash names a target in messages. Two of a few thousand targets share one
-// with a chance of one in a thousand; news of one then counts for the other,
-// which misleads a choice and nothing else, since lives differ too.
+// targetHash identifies a target in messages. Among a few thousand targets, two share a hash with
+// a probability of one in a thousand; an update about one then counts for the other. That
+// only makes a routing decision worse, since the generations of the two differ as well.
 func targetHash(t ids.Target) uint32 { return uint32(routing.HashTarget(t)) }
 
 // beat returns this VM's heartbeat.
@@ -130,28 +132,29 @@
 	}
 }
 
-// AdvanceHeartbeat counts this VM's heartbeat on and gathers its demand.
+// AdvanceHeartbeat increments this VM's heartbeat counter and queues its demand for the next update.
 func (n *Node) AdvanceHeartbeat() {
 	n.counter.Add(1)
-	told := map[uint32]bool{}
+	sent := map[uint32]bool{}
 	for _, u := range n.Allowances.Told() {
-		told[u.Workspace] = true
+		sent[u.Workspace] = true
 		n.outbox.Demand(&peerpb.Demand{
-			Workspace: u.Workspace, Decirequests: uint32(allowance.Rate(u.Used) * deci), Decioffered: uint32(allowance.Rate(u.Offered) * deci),
+			Workspace: u.Workspace, Decirequests: uint32(allowance.Rate(u.Used) * decisPerUnit), Decioffered: uint32(allowance.Rate(u.Offered) * decisPerUnit),
 		})
 	}
-	for ws := range n.toldUse {
-		if !told[ws] {
-			n.outbox.Demand(&peerpb.Demand{Workspace: ws}) // told once more, with nothing
+	for ws := range n.reportedUse {
+		if !sent[ws] {
+			n.outbox.Demand(&peerpb.Demand{Workspace: ws}) // one last report, with no demand
 		}
 	}
-	n.toldUse = told
+	n.reportedUse = sent
 }
 
-// deci is in how many parts a request a second is told.
-const deci = 10
+// decisPerUnit is the resolution of demand in messages: tenths of a request per second.
+const decisPerUnit = 10
 
-// CollectDispatches takes up this VM's own dispatches, and tells whether there is any news.
+// CollectDispatches queues this VM's own dispatches for the next update and reports whether
+// anything is pending.
 func (n *Node) CollectDispatches() bool {
 	var last *peerpb.Dispatch
 	for _, b := range n.Fleet.Cache.TakeNewEntries() {
@@ -166,58 +169,57 @@
 	return n.outbox.Pending() || n.Crashes.Pending()
 }
 
-// Broadcast sends the news at hand to every peer of the domain. The heartbeat goes
-// along once for each count; urgent news counts on.
+// Broadcast sends the pending updates to every peer of the domain. It includes the heartbeat once
+// per counter value; an urgent update increments the counter.
 func (n *Node) Broadcast(ctx context.Context, urgent bool) {
 	if urgent {
-		n.counter.Add(1) // peers take a beat that they have seen for an echo
+		n.counter.Add(1) // peers ignore a heartbeat whose counter they have seen
 	}
-	news := &peerpb.News{Hlc: uint64(n.Events.Clock().Now())}
-	if b := n.beat(); n.toldBeat.Swap(b.Counter) != b.Counter {
-		news.Beat = b
+	update := &peerpb.News{Hlc: uint64(n.Events.Clock().Now())}
+	if b := n.beat(); n.sentBeat.Swap(b.Counter) != b.Counter {
+		update.Beat = b
 	}
-	n.outbox.Fill(news, newsBytes)
-	tellers := n.tellersOf(ctx)
-	news.Suspects = suspectsProto(n.Crashes.DueReports(len(tellers)))
-	for _, t := range tellers {
-		t.ring.TryPut(news)
+	n.outbox.Fill(update, maxUpdateBytes)
+	senders := n.updateSenders(ctx)
+	update.Suspects = suspectsProto(n.Crashes.DueReports(len(senders)))
+	for _, t := range senders {
+		t.ring.TryPut(update)
 	}
 }
 
-// UpdateInterval is how often news is told between heartbeats, given the shortest
-// interval: it grows with the number of peers, so that the bytes a second stay
-// bounded in a large domain.
+// UpdateInterval returns the interval between updates, from shortest up to longest. It grows with
+// the number of peers, so that the bytes per second stay bounded in a large domain.
 func (n *Node) UpdateInterval(shortest, longest time.Duration) time.Duration {
 	n.mu.Lock()
-	peers := len(n.tellers)
+	peers := len(n.senders)
 	n.mu.Unlock()
-	return min(shortest*time.Duration(max(peers, peersAtShortest))/peersAtShortest, longest)
+	return min(shortest*time.Duration(max(peers, maxPeersAtShortest))/maxPeersAtShortest, longest)
 }
 
-// peersAtShortest is up to how many peers the shortest interval holds.
-const peersAtShortest = 4
+// maxPeersAtShortest is the number of peers up to which the shortest interval applies.
+const maxPeersAtShortest = 4
 
-// ExchangeCrossDomain exchanges summaries with one VM of another domain, if this VM is one of
+// ExchangeCrossDomain exchanges summaries with a random VM of another domain if this VM is one of
 // its domain's relays.
 func (n *Node) ExchangeCrossDomain(ctx context.Context) {
 	now := clock.Now()
-	var far []string
+	var remote []string
 	smaller := 0
 	for _, p := range n.Fleet.Members.Peers(now) {
 		switch {
 		case p.FailureDomain != n.Domain && p.PeerAddr != "":
-			far = append(far, p.PeerAddr)
+			remote = append(remote, p.PeerAddr)
 		case p.State >= routing.Joining && p.ID < n.VM:
 			smaller++
 		}
 	}
-	if smaller >= relaysPerDomain || len(far) == 0 {
+	if smaller >= relaysPerDomain || len(remote) == 0 {
 		return
 	}
-	n.exchange(ctx, far[rand.IntN(len(far))])
+	n.exchange(ctx, remote[rand.IntN(len(remote))])
 }
 
-// summary is what this VM tells another domain.
+// summary returns what this VM sends to another domain.
 func (n *Node) summary() *peerpb.Summary {
 	s := &peerpb.Summary{
 		Vm: string(n.VM), Incarnation: uint64(n.Incarnation), Hlc: uint64(n.Events.Clock().Now()),
@@ -232,58 +234,58 @@
 	defer cancel()
 	c, err := n.client(addr)
 	if err == nil {
-		var answer *peerpb.Summary
-		if answer, err = c.Exchange(ctx, n.summary()); err == nil {
-			n.absorbSummary(answer, addr)
+		var response *peerpb.Summary
+		if response, err = c.Exchange(ctx, n.summary()); err == nil {
+			n.applySummary(response, addr)
 			return
 		}
 	}
 	n.Failures.Add(1)
 }
 
-func (n *Node) absorbSummary(s *peerpb.Summary, addr string) {
+func (n *Node) applySummary(s *peerpb.Summary, addr string) {
 	n.Events.Clock().Observe(hlc.Stamp(s.Hlc))
-	n.heard(ids.VM(s.Vm), s.Incarnation, s.Beat, addr)
-	n.heardSuspects(ids.VM(s.Vm), s.Suspects, true)
+	n.applyBeat(ids.VM(s.Vm), s.Incarnation, s.Beat, addr)
+	n.applySuspects(ids.VM(s.Vm), s.Suspects, true)
 }
 
-// absorb takes in a peer's news.
-func (n *Node) absorb(vm ids.VM, incarnation uint64, m *peerpb.News) {
+// applyUpdate applies an update from a peer.
+func (n *Node) applyUpdate(vm ids.VM, incarnation uint64, m *peerpb.News) {
 	n.Events.Clock().Observe(hlc.Stamp(m.Hlc))
 	if m.Beat != nil {
-		n.heard(vm, incarnation, m.Beat, "")
+		n.applyBeat(vm, incarnation, m.Beat, "")
 	}
-	n.heardSuspects(vm, m.Suspects, false)
+	n.applySuspects(vm, m.Suspects, false)
 	for _, r := range m.Reports {
-		n.reported(r)
+		n.applyReport(r)
 	}
 	for _, d := range m.Dispatches {
-		n.dispatched(d)
+		n.applyDispatch(d)
 	}
 	for _, d := range m.Demands {
 		n.Allowances.HeardOne(vm, allowance.Use{
-			Workspace: d.Workspace, Used: allowance.Sum(float64(d.Decirequests) / deci), Offered: allowance.Sum(float64(d.Decioffered) / deci),
+			Workspace: d.Workspace, Used: allowance.Sum(float64(d.Decirequests) / decisPerUnit), Offered: allowance.Sum(float64(d.Decioffered) / decisPerUnit),
 		})
 	}
 }
 
-// heard takes in a heartbeat. addr is where the VM can be asked for a newer
-// configuration, empty if it is to be looked up.
-func (n *Node) heard(vm ids.VM, incarnation uint64, b *peerpb.Beat, addr string) {
+// applyBeat applies a heartbeat. addr is where a newer configuration can be fetched from the VM;
+// if empty, it is looked up.
+func (n *Node) applyBeat(vm ids.VM, incarnation uint64, b *peerpb.Beat, addr string) {
 	if b == nil || !n.Fleet.Members.Heartbeat(vm, ids.Incarnation(incarnation), b.Counter, b.ConfigRevision, b.Leaving, clock.Now()) {
 		return
 	}
 	n.Allowances.Present(vm)
 	n.Config.Hear(objectapi.Revision(b.ConfigRevision))
 	if b.ConfigRevision > uint64(n.Config.Revision()) {
-		n.wants.TryPut(want{space: peerpb.KeySpace_CONFIG, vm: vm, addr: addr})
+		n.wanted.TryPut(wantedRevision{space: peerpb.KeySpace_CONFIG, vm: vm, addr: addr})
 	}
 	if b.PlatformRevision > uint64(n.Platform.Revision()) {
-		n.wants.TryPut(want{space: peerpb.KeySpace_PLATFORM, vm: vm, addr: addr})
+		n.wanted.TryPut(wantedRevision{space: peerpb.KeySpace_PLATFORM, vm: vm, addr: addr})
 	}
 }
 
-func (n *Node) reported(r *peerpb.TargetReport) {
+func (n *Node) applyReport(r *peerpb.TargetReport) {
 	id, ok := (*n.byHash.Load())[r.Target]
 	if !ok {
 		return
@@ -293,7 +295,7 @@
 	}
 }
 
-func (n *Node) dispatched(d *peerpb.Dispatch) {
+func (n *Node) applyDispatch(d *peerpb.Dispatch) {
 	id, ok := (*n.byHash.Load())[d.Target]
 	if !ok {
 		return
@@ -302,7 +304,7 @@
 		n.Fleet.Cache.ApplyPeerEntry(id, uint16(d.Life), p)
 	}
 	if d.Work > 0 {
-		n.Fleet.Load.AddPeerWork(id, int32(d.Work), clock.Now().Add(-workLag))
+		n.Fleet.Load.AddPeerWork(id, int32(d.Work), clock.Now().Add(-dispatchLag))
 	}
 }
 
@@ -321,7 +323,7 @@
 	return peerpb.NewPeerClient(c), nil
 }
 
-// Close ends all connections to peers.
+// Close closes all connections to peers.
 func (n *Node) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -331,5 +333,5 @@
 	}
 }
 
-// DroppedUpdates returns how much news found no room in a message.
+// DroppedUpdates returns how many items were dropped because they did not fit in a message.
 func (n *Node) DroppedUpdates() uint64 { return n.outbox.Dropped() }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -27,20 +27,19 @@
 	}
 }
 
-// Publish takes in this VM's own probe of a target, and tells peers if it says
-// something that they should know. told is the report that they were last told.
-// It returns whether they were told.
-func (n *Node) Publish(id ids.Target, r, told membership.Report, toldAt, now time.Time) bool {
+// Publish applies this VM's own probe of a target and queues it for the peers if it differs enough
+// from sent, the report that they were last sent at sentAt. It returns whether it was queued.
+func (n *Node) Publish(id ids.Target, r, sent membership.Report, sentAt, now time.Time) bool {
 	before := n.Fleet.Members.State(id, now)
 	if !n.Fleet.Members.ApplyReport(id, r, now) {
 		return false
 	}
-	urgent := r.Leaving != told.Leaving || r.Silent != told.Silent || r.Incarnation != told.Incarnation ||
-		r.Weights != told.Weights || n.Fleet.Members.State(id, now) != before
+	urgent := r.Leaving != sent.Leaving || r.Silent != sent.Silent || r.Incarnation != sent.Incarnation ||
+		r.Weights != sent.Weights || n.Fleet.Members.State(id, now) != before
 	if urgent {
 		n.Fleet.MarkDirty()
 	}
-	if !urgent && !worthTelling(told, r, now.Sub(toldAt)) {
+	if !urgent && !worthSending(sent, r, now.Sub(sentAt)) {
 		return false
 	}
 	n.outbox.Report(reportProto(id, r), urgent)
@@ -53,46 +52,46 @@
 	return true
 }
 
-// Urgent receives a token when there is news that must not wait for the next
+// Urgent returns a channel that receives a value when an update must not wait for the next
 // interval.
 func (n *Node) Urgent() <-chan struct{} { return n.urgent }
 
 const (
-	loadChangeTokens = 500              // a smaller change of the queue is not worth telling
-	loadChangeRatio  = 0.25             // nor one of a smaller part
-	tellAgain        = 30 * time.Second // an unchanged load is told again after this
+	loadChangeTokens = 500              // smaller changes of the queue are not sent
+	loadChangeRatio  = 0.25             // neither are changes by a smaller fraction
+	reportInterval   = 30 * time.Second // an unchanged load is sent again after this time
 )
 
-func worthTelling(told, r membership.Report, age time.Duration) bool {
-	diff := r.QueuedTokens - told.QueuedTokens
+func worthSending(sent, r membership.Report, age time.Duration) bool {
+	diff := r.QueuedTokens - sent.QueuedTokens
 	if diff < 0 {
 		diff = -diff
 	}
-	return age > tellAgain || diff > loadChangeTokens && float64(diff) > loadChangeRatio*float64(told.QueuedTokens)
+	return age > reportInterval || diff > loadChangeTokens && float64(diff) > loadChangeRatio*float64(sent.QueuedTokens)
 }
 
 // probersPerTarget is how many VMs of a domain probe each of its targets.
 const probersPerTarget = 2
 
-// IsProber tells whether this VM is one of those that probe a target: of its own
-// domain the two live VMs with the highest rendezvous weight; in a small fleet also
-// one for each target of other domains. In a large one those probes would outweigh
-// all others, and its domains have targets enough of their own: targets elsewhere
-// then stay suspect, the last resort.
+// IsProber reports whether this VM probes a target. In the target's domain the two live VMs with
+// the highest rendezvous weight do; in a small fleet also one VM of each other domain. In a
+// large fleet the probes across domains would outnumber all others, and each domain has enough
+// targets of its own: targets of other domains then stay suspect and are used only as a last
+// resort.
 func (n *Node) IsProber(id ids.Target, domain ids.FailureDomain) bool {
 	if domain != n.Domain {
-		return n.smallFleet() && n.rank(id) == 0
+		return n.isSmallFleet() && n.rank(id) == 0
 	}
 	return n.rank(id) < probersPerTarget
 }
 
-// IsFeedReader tells whether this VM reads a target's cache feed for its domain.
+// IsFeedReader reports whether this VM reads a target's cache feed for its domain.
 func (n *Node) IsFeedReader(id ids.Target, domain ids.FailureDomain) bool {
 	return domain == n.Domain && n.rank(id) == 0
 }
 
-// IsWatcher tells whether this VM watches the object API for its domain: the two
-// live VMs with the lowest names do, all others hear of changes from peers.
+// IsWatcher reports whether this VM watches the object API for its domain: the two live VMs with
+// the lowest names do, and all others receive changes from peers.
 func (n *Node) IsWatcher(now time.Time) bool {
 	before := 0
 	for _, p := range n.Fleet.Members.Peers(now) {
@@ -105,7 +104,7 @@
 
 const watchersPerDomain = 2
 
-// smallFleet tells whether all VMs know each other's domains well.
-func (n *Node) smallFleet() bool {
-	return len(n.Fleet.Members.Peers(clock.Now())) <= smallFleet
+// isSmallFleet reports whether all VMs exchange updates across domains (see smallFleetPeers).
+func (n *Node) isSmallFleet() bool {
+	return len(n.Fleet.Members.Peers(clock.Now())) <= smallFleetPeers
 }
--- a/internal/peers/sender.go
+++ b/internal/peers/sender.go
@@ -12,9 +12,9 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// teller keeps a stream to one peer open. A peer that does not read blocks its
-// own teller only; news for it is dropped and counted meanwhile.
-type teller struct {
+// sender keeps a stream to one peer open. A peer that does not read blocks only its
+// own sender; updates for it are then dropped and counted.
+type sender struct {
 	n    *Node
 	vm   ids.VM
 	addr string
@@ -22,43 +22,43 @@
 	stop context.CancelFunc
 }
 
-// tellQueue is how many messages wait for a slow peer.
-const tellQueue = 4
+// senderQueueSize is how many messages are queued for a slow peer.
+const senderQueueSize = 4
 
-// tellPause is the wait before a broken stream is opened again.
-const tellPause = 500 * time.Millisecond
+// reconnectDelay is the delay before a broken stream is opened again.
+const reconnectDelay = 500 * time.Millisecond
 
-// smallFleet is up to how many peers all VMs tell each other everything, across
-// failure domains: with two VMs and two or three targets in each domain, prompts
-// are routed over all of them.
-const smallFleet = 24
+// smallFleetPeers is the number of peers up to which all VMs send each other all updates, across
+// failure domains: with two VMs and two or three targets in each domain, prompts are
+// routed over all targets.
+const smallFleetPeers = 24
 
-// tellersOf returns the tellers of all peers of the domain, and starts and ends
-// tellers as VMs come and go. Dead VMs keep theirs as long as they are listed: a
-// heartbeat through it is how a false suspicion heals.
-func (n *Node) tellersOf(ctx context.Context) []*teller {
+// updateSenders returns the senders to all peers of the domain, and starts and stops senders as
+// VMs are added and removed. A dead VM keeps its sender as long as it is listed: a heartbeat
+// through it is how the VM recovers from a false suspicion.
+func (n *Node) updateSenders(ctx context.Context) []*sender {
 	wanted := map[ids.VM]string{}
 	peers := n.Fleet.Members.Peers(clock.Now())
 	for _, p := range peers {
-		if near := p.FailureDomain == n.Domain || len(peers) <= smallFleet; near && p.PeerAddr != "" {
+		if connect := p.FailureDomain == n.Domain || len(peers) <= smallFleetPeers; connect && p.PeerAddr != "" {
 			wanted[p.ID] = p.PeerAddr
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var out []*teller
-	for vm, t := range n.tellers {
+	var out []*sender
+	for vm, t := range n.senders {
 		if wanted[vm] != t.addr {
 			t.stop()
-			delete(n.tellers, vm)
+			delete(n.senders, vm)
 		}
 	}
 	for vm, addr := range wanted {
-		t := n.tellers[vm]
+		t := n.senders[vm]
 		if t == nil {
 			tctx, stop := context.WithCancel(ctx)
-			t = &teller{n: n, vm: vm, addr: addr, ring: ring.New[*peerpb.News](tellQueue), stop: stop}
-			n.tellers[vm] = t
+			t = &sender{n: n, vm: vm, addr: addr, ring: ring.New[*peerpb.News](senderQueueSize), stop: stop}
+			n.senders[vm] = t
 			go t.run(tctx)
 		}
 		out = append(out, t)
@@ -66,19 +66,19 @@
 	return out
 }
 
-// run opens streams and sends what comes through the ring.
-func (t *teller) run(ctx context.Context) {
+// run opens streams and sends the queued messages until ctx ends.
+func (t *sender) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if t.stream(ctx) != nil {
 			t.n.Failures.Add(1)
 		}
-		timing.Sleep(ctx, tellPause)
+		timing.Sleep(ctx, reconnectDelay)
 	}
 }
 
-// stream tells one peer until the stream breaks. The first message says who
-// speaks, so that the others needn't.
-func (t *teller) stream(ctx context.Context) error {
+// stream sends updates to one peer until the stream breaks. The first message names this VM, so
+// that later ones need not.
+func (t *sender) stream(ctx context.Context) error {
 	c, err := t.n.client(t.addr)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 	}
 }
 
-// rank is how many live VMs of the domain come before this one for a target.
+// rank returns how many live VMs of the domain rank before this one for a target.
 func (n *Node) rank(id ids.Target) int {
 	own, before := routing.VMWeight(id, n.VM), 0
 	for _, p := range n.Fleet.Members.Peers(clock.Now()) {
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Server answers peers.
+// Server implements the gRPC service that peers call.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	Node *Node
@@ -30,10 +30,10 @@
 		return err
 	}
 	if first.Vm == "" {
-		return status.Error(codes.InvalidArgument, "the first message must say who speaks")
+		return status.Error(codes.InvalidArgument, "the first message must name the sending VM")
 	}
 	for m := first; ; {
-		s.Node.absorb(ids.VM(first.Vm), first.Incarnation, m)
+		s.Node.applyUpdate(ids.VM(first.Vm), first.Incarnation, m)
 		if m, err = in.Recv(); err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 
 // Exchange implements peerpb.PeerServer.
 func (s *Server) Exchange(_ context.Context, m *peerpb.Summary) (*peerpb.Summary, error) {
-	s.Node.absorbSummary(m, "")
+	s.Node.applySummary(m, "")
 	return s.Node.summary(), nil
 }
 
@@ -51,17 +51,17 @@
 	return snapshotProto(s.Node.space(r.KeySpace).Since(objectapi.Revision(r.Have))), nil
 }
 
-// maxStateBeliefs bounds the beliefs that a starting VM is given: as many as a
+// maxStateEntries bounds the cache view entries that are sent to a starting VM: as many as a
 // VM's table holds, 8 bytes each.
-const maxStateBeliefs = 128 << 10
+const maxStateEntries = 128 << 10
 
 // FetchState implements peerpb.PeerServer.
 func (s *Server) FetchState(_ context.Context, r *peerpb.StateRequest) (*peerpb.StateSnapshot, error) {
 	n := s.Node
-	if !n.gate.TryAcquire(1) {
+	if !n.stateCalls.TryAcquire(1) {
 		return nil, status.Error(codes.ResourceExhausted, "busy with other starting VMs")
 	}
-	defer n.gate.Release(1)
+	defer n.stateCalls.Release(1)
 	out := &peerpb.StateSnapshot{
 		Config: snapshotProto(n.Config.Since(0)), Platform: snapshotProto(n.Platform.Since(0)),
 		Hlc: uint64(n.Events.Clock().Now()), Vms: n.knownVMs(r.Vm), Suspects: suspectsProto(n.Crashes.Snapshot()),
@@ -73,7 +73,7 @@
 		}
 	}
 	held := map[uint32]*peerpb.Held{}
-	for _, b := range n.Fleet.Cache.Entries(maxStateBeliefs) {
+	for _, b := range n.Fleet.Cache.Entries(maxStateEntries) {
 		h := held[targetHash(b.Target)]
 		if h == nil {
 			h = &peerpb.Held{Target: targetHash(b.Target), Life: uint32(uint16(b.Generation))}
@@ -85,11 +85,11 @@
 	return out, nil
 }
 
-// knownVMs lists this VM and its peers, but the one that asks.
-func (n *Node) knownVMs(but string) []*peerpb.KnownVM {
+// knownVMs lists this VM and its peers, except the VM that sent the request.
+func (n *Node) knownVMs(except string) []*peerpb.KnownVM {
 	out := []*peerpb.KnownVM{{Vm: string(n.VM), Incarnation: uint64(n.Incarnation), Beat: n.beat()}}
 	for _, p := range n.Fleet.Members.Peers(clock.Now()) {
-		if p.State >= routing.Joining && p.Counter > 0 && string(p.ID) != but {
+		if p.State >= routing.Joining && p.Counter > 0 && string(p.ID) != except {
 			out = append(out, &peerpb.KnownVM{Vm: string(p.ID), Incarnation: uint64(p.Incarnation), Beat: &peerpb.Beat{
 				Counter: p.Counter, ConfigRevision: p.ConfigRevision, Leaving: p.Leaving,
 			}})
@@ -98,7 +98,7 @@
 	return out
 }
 
-// FetchState asks one peer for what a starting VM needs, and takes it in.
+// FetchState fetches the state that a starting VM needs from one peer and applies it.
 func (n *Node) FetchState(ctx context.Context, addr string) error {
 	c, err := n.client(addr)
 	if err != nil {
@@ -114,22 +114,22 @@
 		}
 	}
 	n.Fleet.Refresh()
-	n.heardSuspects(ids.VM(addr), snap.Suspects, false)
+	n.applySuspects(ids.VM(addr), snap.Suspects, false)
 	n.Events.Clock().Observe(hlc.Stamp(snap.Hlc))
 	for _, v := range snap.Vms {
-		n.heard(ids.VM(v.Vm), v.Incarnation, v.Beat, "")
+		n.applyBeat(ids.VM(v.Vm), v.Incarnation, v.Beat, "")
 	}
 	for _, r := range snap.Reports {
-		n.reported(r)
+		n.applyReport(r)
 	}
 	n.Fleet.Refresh()
 	for _, h := range snap.Held {
-		n.dispatched(&peerpb.Dispatch{Target: h.Target, Life: h.Life, Prefixes: h.Prefixes})
+		n.applyDispatch(&peerpb.Dispatch{Target: h.Target, Life: h.Life, Prefixes: h.Prefixes})
 	}
 	return nil
 }
 
-// space returns the copy of a key space.
+// space returns the local store of a key space.
 func (n *Node) space(k peerpb.KeySpace) *confsync.Store {
 	if k == peerpb.KeySpace_PLATFORM {
 		return n.Platform
@@ -137,7 +137,7 @@
 	return n.Config
 }
 
-// Adopt offers a revision of a key space and records what became of it.
+// Adopt offers a revision of a key space to its store, logs its adoption and returns the verdict.
 func (n *Node) Adopt(k peerpb.KeySpace, s confsync.Snapshot, from string) confsync.Verdict {
 	v := n.space(k).Offer(s)
 	if v == confsync.Adopted {
@@ -156,20 +156,20 @@
 	Deleted  int                `json:"deleted,omitempty"`
 }
 
-// FetchWanted is the duty that fetches revisions which peers have and we lack.
+// FetchWanted fetches newer revisions that peers have announced, until ctx ends.
 func (n *Node) FetchWanted(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case w := <-n.wants.Out():
+		case w := <-n.wanted.Out():
 			n.fetch(ctx, w)
 		}
 	}
 }
 
-// fetch asks a peer for what it has beyond our revision, first as a delta.
-func (n *Node) fetch(ctx context.Context, w want) {
+// fetch fetches a newer revision from a peer: first as a delta, then in full if the base differs.
+func (n *Node) fetch(ctx context.Context, w wantedRevision) {
 	if w.addr == "" {
 		w.addr = n.addrOf(w.vm)
 	}
@@ -203,7 +203,7 @@
 	return ""
 }
 
-// snapshotProto encodes a copy of a key space for peers.
+// snapshotProto encodes a snapshot of a key space for peers.
 func snapshotProto(s confsync.Snapshot) *peerpb.ConfigSnapshot {
 	out := &peerpb.ConfigSnapshot{Revision: uint64(s.Revision), Floor: uint64(s.Floor), Base: uint64(s.Base), Deleted: s.Deleted}
 	for _, o := range s.Objects {
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// suspectsProto renders what is told of requests under which targets crashed.
+// suspectsProto encodes reports on requests during which targets crashed.
 func suspectsProto(reports []quarantine.Report) []*peerpb.Suspect {
 	out := make([]*peerpb.Suspect, 0, len(reports))
 	for i := range reports {
@@ -22,9 +22,9 @@
 	return out
 }
 
-// heardSuspects takes in what a peer tells of them. One whose fingerprint has another length
-// is left out.
-func (n *Node) heardSuspects(from ids.VM, suspects []*peerpb.Suspect, passOn bool) {
+// applySuspects applies a peer's reports on requests during which targets crashed. It skips
+// reports whose fingerprint has the wrong length.
+func (n *Node) applySuspects(from ids.VM, suspects []*peerpb.Suspect, forward bool) {
 	if n.Crashes == nil || len(suspects) == 0 {
 		return
 	}
@@ -41,12 +41,12 @@
 		}
 		reports = append(reports, r)
 	}
-	n.Crashes.Receive(from, reports, passOn)
+	n.Crashes.Receive(from, reports, forward)
 }
 
-// FleetRank is how many VMs come before this one for what one VM of the fleet does, by
-// rendezvous. Those of other domains count as alive: who waits for one that is not loses
-// time, and no more.
+// FleetRank returns how many VMs rank before this one, by rendezvous weight, for a task that one
+// VM of the fleet does. VMs of other domains count as alive: waiting for one that is dead only
+// costs time.
 func (n *Node) FleetRank(name ids.Target) int {
 	own, before := routing.VMWeight(name, n.VM), 0
 	for _, p := range n.Fleet.Members.Peers(clock.Now()) {
