--- a/internal/follow/catalogs.go
+++ b/internal/follow/catalogs.go
@@ -6,16 +6,16 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Catalogs brings declared configurations into force.
+// Catalogs applies the declared configurations of a key space.
 type Catalogs struct {
 	Current *catalog.Current
-	// Decode reads a configuration as operators store it.
+	// Decode decodes a configuration as operators store it.
 	Decode func(value []byte) (catalog.Declaration, error)
-	// Key is the object that holds the newest configuration.
+	// Key is the key of the object that holds the newest configuration.
 	Key string
-	// OnAdopted is called after another configuration has come into force. Nil: nobody is.
+	// OnAdopted, if not nil, is called after a new configuration has come into force.
 	OnAdopted func()
-	Log     *eventlog.Log
+	Log       *eventlog.Log
 }
 
 var _ Handler = (*Catalogs)(nil)
@@ -24,7 +24,7 @@
 func (c *Catalogs) Listed(objects []objectapi.Object, at At, _ bool) {
 	for _, o := range objects {
 		if o.Key == c.Key {
-			c.take(o)
+			c.apply(o)
 			c.Current.Prove(at.Sent)
 		}
 	}
@@ -34,7 +34,7 @@
 func (c *Catalogs) Changed(events []objectapi.Object, at At) {
 	for _, o := range events {
 		if o.Key == c.Key && !o.Deleted {
-			c.take(o)
+			c.apply(o)
 		}
 	}
 	c.Current.Prove(at.Sent)
@@ -43,7 +43,7 @@
 // Unchanged implements Handler.
 func (c *Catalogs) Unchanged(at At) { c.Current.Prove(at.Sent) }
 
-func (c *Catalogs) take(o objectapi.Object) {
+func (c *Catalogs) apply(o objectapi.Object) {
 	d, err := c.Decode(o.Value)
 	if err != nil {
 		c.Log.Belief("catalog-rejected").Uint64("revision", uint64(o.Version)).Str("error", err.Error()).Send()
--- a/internal/follow/clock.go
+++ b/internal/follow/clock.go
@@ -7,29 +7,29 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Clock tells since when an object of the store can be there at most, from the store's
-// revisions: all key spaces share one counter, so an answer of any of them with a lower
-// revision says that the object was not there when its call was sent. Safe for concurrent
-// use. The zero value knows nothing.
+// Clock bounds the age of an object of the store by the store's revisions. All key spaces share
+// one revision counter, so a response for any of them with a lower revision proves that the
+// object did not exist when the call was sent. Safe for concurrent use. The zero value is ready
+// for use.
 type Clock struct {
-	mu    sync.Mutex
-	marks [clockMarks]At
-	next  int
+	mu      sync.Mutex
+	samples [clockSamples]At
+	next    int
 }
 
-// clockMarks is how many answers are remembered: those of some ten seconds.
-const clockMarks = 64
+// clockSamples is how many responses are kept: those of about 10 s.
+const clockSamples = 64
 
-// note remembers an answer.
-func (c *Clock) note(at At) {
+// record stores the revision and send time of a response.
+func (c *Clock) record(at At) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.marks[c.next] = At{Revision: at.Revision, Sent: at.Sent}
-	c.next = (c.next + 1) % clockMarks
+	c.samples[c.next] = At{Revision: at.Revision, Sent: at.Sent}
+	c.next = (c.next + 1) % clockSamples
 }
 
-// Before returns the latest moment at which a revision is known not to have been there;
-// zero if there is none.
+// Before returns the latest time at which a revision is known not to have existed, or zero if
+// there is none.
 func (c *Clock) Before(rev objectapi.Revision) time.Time {
 	if c == nil {
 		return time.Time{}
@@ -37,7 +37,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var last time.Time
-	for _, m := range c.marks {
+	for _, m := range c.samples {
 		if m.Revision != 0 && m.Revision < rev && m.Sent.After(last) {
 			last = m.Sent
 		}
@@ -45,29 +45,29 @@
 	return last
 }
 
-// Wrap returns a handler that passes everything on and lets the clock hear of it.
-func (c *Clock) Wrap(next Handler) Handler { return clocked{clock: c, next: next} }
+// Wrap returns a handler that forwards all calls to next and records their revisions.
+func (c *Clock) Wrap(next Handler) Handler { return clockHandler{clock: c, next: next} }
 
-type clocked struct {
+type clockHandler struct {
 	clock *Clock
 	next  Handler
 }
 
-var _ Handler = clocked{}
+var _ Handler = clockHandler{}
 
-// Listed implements Handler. The clock hears of a list afterwards: what it brings was
-// there before its revision.
-func (h clocked) Listed(objects []objectapi.Object, at At, regained bool) {
+// Listed implements Handler. The clock records a list only after next has handled it: the objects
+// of the list existed before its revision.
+func (h clockHandler) Listed(objects []objectapi.Object, at At, regained bool) {
 	h.next.Listed(objects, at, regained)
-	h.clock.note(at)
+	h.clock.record(at)
 }
 
-// Changed implements Handler. A watch may have waited for seconds before it was answered:
-// its question is too old to narrow anything.
-func (h clocked) Changed(events []objectapi.Object, at At) { h.next.Changed(events, at) }
+// Changed implements Handler. The clock records nothing: a watch may have waited for seconds before
+// the response, so its send time is too old to narrow an estimate.
+func (h clockHandler) Changed(events []objectapi.Object, at At) { h.next.Changed(events, at) }
 
 // Unchanged implements Handler.
-func (h clocked) Unchanged(at At) {
+func (h clockHandler) Unchanged(at At) {
 	h.next.Unchanged(at)
-	h.clock.note(at)
+	h.clock.record(at)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,11 +1,11 @@
-// Package follow keeps a VM up with the platform's store: it lists a key space,
+// Package follow keeps a VM's copy of the platform's store up to date: it lists a key space and
 // then watches it, through outages.
 //
-// Every failed call, and every watch that can't be continued, leads to a new
-// list: a watch that broke may have missed a change. A watch may also go silent
-// without breaking, so the failure of one makes all others of the same store list
-// anew (Doubt), and no watch waits long. What is learned goes to a Handler; the time at which a call was sent goes along, since only what was
-// confirmed before that is known to be included in its answer.
+// Every failed call, and every watch that can't be continued, leads to a new list: a watch that
+// broke may have missed a change. A watch may also become unresponsive without breaking, so the
+// failure of one makes all others of the same store list again (StoreHealth), and no watch waits
+// long. A Handler receives the results together with the time at which the call was sent, since
+// only writes that were confirmed before that time are known to be included in the response.
 package follow
 
 import (
@@ -20,32 +20,32 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// At is how far something that was learned reaches.
+// At says which state of the store a response reflects.
 type At struct {
-	// Revision is that of the store: all changes up to it are included.
+	// Revision is the store's revision: all changes up to it are included.
 	Revision objectapi.Revision
-	// Sent is when the call was sent that brought it, on the clock of package clock:
-	// whatever the store had confirmed by then is included.
+	// Sent is when the call was sent, on the clock of package clock: all writes that the store
+	// had confirmed by then are included.
 	Sent time.Time
-	// Answered is when the answer came: the store was in reach then.
+	// Answered is when the response was received: the store was reachable then.
 	Answered time.Time
 }
 
-// Handler takes in what a Follower learns. Calls come one after the other.
+// Handler receives the results of a Follower. A Follower makes its calls one at a time.
 type Handler interface {
-	// Listed gives all objects. regained tells that calls had failed before.
+	// Listed passes all objects. regained says that calls had failed before.
 	Listed(objects []objectapi.Object, at At, regained bool)
-	// Changed gives changes since the last call, in order.
+	// Changed passes the changes since the last call, in order.
 	Changed(events []objectapi.Object, at At)
-	// Unchanged says that nothing had changed when a call was sent.
+	// Unchanged reports that nothing had changed when a call was sent.
 	Unchanged(at At)
 }
 
-// Pauses between failed calls. They grow by doubling, with jitter, so that a store
-// that comes back isn't met by all VMs at once.
+// Delays between failed calls. They double up to the maximum, with jitter, so that not all VMs
+// call a store that has just recovered at the same time.
 const (
-	firstPause = 100 * time.Millisecond
-	maxPause   = 800 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
 )
 
 // Follower follows one key space.
@@ -54,14 +54,14 @@
 	Prefix  string
 	Handler Handler
 	Log     *eventlog.Log
-	// Wait tells how long a watch waits for a change. Nil: as long as the store likes.
+	// Wait returns how long a watch waits for a change. If nil, the store decides.
 	Wait func() time.Duration
-	// CoalesceDelay tells how long to wait after a change for others, so that a row of them
-	// costs one call. Nil: not at all.
+	// CoalesceDelay returns how long to wait after a change for more, so that a series of changes
+	// costs one call. If nil, there is no delay.
 	CoalesceDelay func() time.Duration
-	// Reconnecting tells that the store was away before Run, as far as this VM knows.
+	// Reconnecting says that the store was unavailable before Run, as far as this VM knows.
 	Reconnecting bool
-	// Health is shared by the followers of one store. Nil: this one stands alone.
+	// Health is shared by the followers of one store. Nil if this is the only one.
 	Health *StoreHealth
 
 	after objectapi.Revision // zero: list first
@@ -69,43 +69,43 @@
 	since time.Time // of the loss
 }
 
-// Run follows until ctx ends.
+// Run follows the key space until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := firstPause
+	delay := minRetryDelay
 	f.lost, f.since = f.Reconnecting, clock.Now()
 	for ctx.Err() == nil {
-		if f.Health.turn(ctx, f) {
+		if f.Health.awaitTurn(ctx, f) {
 			f.after = 0
-			f.failed(errAway)
-			pause = maxPause // the store has been asked for a while
+			f.failed(errUnavailable)
+			delay = maxRetryDelay // the prober has called the store for a while
 		}
 		err := f.once(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			f.Health.answered(f)
-			pause = firstPause
+			f.Health.reportSuccess(f)
+			delay = minRetryDelay
 			f.regained()
 			continue
 		}
 		f.after = 0
-		if errors.Is(err, errDoubted) {
+		if errors.Is(err, errRelist) {
 			continue
 		}
 		compacted := errors.Is(err, objectapi.ErrCompacted)
-		f.Health.raise(f, !compacted)
+		f.Health.reportFailure(f, !compacted)
 		if compacted {
 			f.Log.Belief("history-gone").Str("dependency", "store "+f.Prefix).Send()
-			continue // the store is well, only its history is gone
+			continue // the store is healthy and has only dropped its history
 		}
 		f.failed(err)
-		timing.Sleep(ctx, pause/2+rand.N(pause))
-		pause = min(pause*2, maxPause)
+		timing.Sleep(ctx, delay/2+rand.N(delay))
+		delay = min(delay*2, maxRetryDelay)
 	}
 }
 
-// once makes one call.
+// once makes one call: a list, or a watch after the last known revision.
 func (f *Follower) once(ctx context.Context) error {
 	sent := clock.Now()
 	if f.after == 0 {
@@ -120,12 +120,12 @@
 	if f.Wait != nil {
 		ctx = objectapi.WithWait(ctx, f.Wait())
 	}
-	watch, stop := f.Health.until(ctx)
+	watch, stop := f.Health.watchContext(ctx)
 	events, rev, err := f.Store.Watch(watch, f.Prefix, f.after)
-	doubted := errors.Is(context.Cause(watch), errDoubted)
+	relist := errors.Is(context.Cause(watch), errRelist)
 	stop()
-	if err != nil && doubted {
-		return errDoubted
+	if err != nil && relist {
+		return errRelist
 	}
 	if err != nil {
 		return err
--- a/internal/follow/growth_test.go
+++ b/internal/follow/growth_test.go
@@ -19,21 +19,21 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// 986 VMs before 10,002 replicas held 31 GB before they had served a call, and played 3.5 s of
-// their life in three minutes. Each of them made a picture of all replicas ten times a second (32
-// ms, 6 MB) and copied the list of all of them as often, looked at each for whom it reads
-// the cache feed by a hash of each pair of VM and replica, and took all of them in anew at each
-// change. All of that follows the part of the replicas now that a VM works with.
+// These tests guard the cost of a large fleet. 986 simulated VMs with 10,002 replicas held 31 GB
+// before they had served a call, and simulated 3.5 s in three minutes: ten times a second each VM
+// made a snapshot of all replicas (32 ms, 6 MB) and copied the list of them, computed the reader
+// of each cache feed by a hash of each pair of VM and replica, and applied all replicas again at
+// each change. All of these costs now grow with the subset of replicas that a VM works with.
 
-// fleetSizes are replicas of one service in six failure domains.
+// fleetSizes are numbers of replicas of one service in six failure domains.
 var fleetSizes = []int{153, 1_200, 9_756, 20_000}
 
-// newFleetReplicas is a VM's list of so many replicas, as a running VM has it.
+// newFleetReplicas returns the list of n replicas of a running VM.
 func newFleetReplicas(n int) *Replicas {
 	log := eventlog.New(io.Discard, nil)
 	r := &Replicas{
-		Fleet: fleet.New(membership.New("vm", membership.DefaultTuning), cacheview.New(1<<12, nil), loadview.New(), routing.NewFetching(), nil),
-		OnGone:  func(ids.Target) {}, ReturnGrace: time.Second, Log: log, Subset: Subset{VM: "vm", Domain: "d0", Max: 256},
+		Fleet:  fleet.New(membership.New("vm", membership.DefaultTuning), cacheview.New(1<<12, nil), loadview.New(), routing.NewFetching(), nil),
+		OnGone: func(ids.Target) {}, ReturnGrace: time.Second, Log: log, Subset: Subset{VM: "vm", Domain: "d0", Max: 256},
 	}
 	r.Fleet.MaxSnapshotAge = 100 * time.Millisecond
 	r.Decode = func(o objectapi.Object) (platform.Record, error) {
@@ -58,7 +58,7 @@
 	return objectapi.Object{Key: fmt.Sprintf("servers/i-%05d", i), Value: []byte(fmt.Sprint(weights)), Version: objectapi.Revision(weights)}
 }
 
-// allocated is what f allocates a call, in bytes.
+// allocated returns the bytes that f allocates per call.
 func allocated(n int, f func(i int)) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -69,15 +69,15 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / float64(n)
 }
 
-// power is by which power of the size a figure grows.
+// power returns the exponent with which a figure grows with the size.
 func power(a, b float64, sizeA, sizeB int) float64 {
 	return math.Log(max(b, 1)/max(a, 1)) / math.Log(float64(sizeB)/float64(sizeA))
 }
 
-// TestGrowth counts what a VM allocates and how many targets it looks at, on a tick, at a change and
-// on a call, before fleets of replicas. From 1,200 to 20,000 nothing grows faster than their
-// number to the power of 0.3; a call does so from 9,756 on, where prompts are computed beyond
-// the VM's part of the replicas.
+// TestGrowth measures a VM's number of targets and what it allocates per tick, change and call, for
+// fleets of different sizes. From 1,200 to 20,000 replicas nothing grows faster than their number
+// to the power of 0.3. For calls this holds from 9,756 replicas on, where most rendezvous targets
+// are beyond the VM's subset.
 func TestGrowth(t *testing.T) {
 	type row struct{ targets, tick, change, call float64 }
 	rows := map[int]row{}
@@ -100,10 +100,10 @@
 		t.Logf("%6d replicas: %4.0f targets, %8.0f bytes a tick, %8.0f a change, %8.0f a call", n, row.targets, row.tick, row.change, row.call)
 	}
 	a, b := rows[1_200], rows[20_000]
-	home := rows[9_756] // from where on the replica that comes first for a key is mostly none of the VM's
+	callBase := rows[9_756] // from here on the rendezvous target of a key is mostly beyond the VM's subset
 	for name, p := range map[string]float64{
 		"targets": power(a.targets, b.targets, 1_200, 20_000), "bytes a tick": power(a.tick, b.tick, 1_200, 20_000),
-		"bytes a change": power(a.change, b.change, 1_200, 20_000), "bytes a call": power(home.call, b.call, 9_756, 20_000),
+		"bytes a change": power(a.change, b.change, 1_200, 20_000), "bytes a call": power(callBase.call, b.call, 9_756, 20_000),
 	} {
 		if p > 0.3 {
 			t.Errorf("%s grow with the replicas to the power of %.2f", name, p)
@@ -111,9 +111,10 @@
 	}
 }
 
-// TestSubset: a VM works with its part of a large service's replicas, most of them of its own failure
-// domain; parts of several VMs cover all, are steady as replicas come and go, and small services are
-// known whole. VMs of a domain visit the same replicas for a key.
+// TestSubset checks that a VM works with a subset of a large service's replicas, most of them in its
+// own failure domain; that the subsets of several VMs together cover almost all replicas and are
+// stable when replicas are added and removed; that the subset of a small service is complete; and
+// that all VMs of a domain choose the same rendezvous targets for a key.
 func TestSubset(t *testing.T) {
 	const n = 6_000
 	covered := map[ids.Target]int{}
@@ -125,17 +126,17 @@
 			all = append(all, fleetEntry(i, 1))
 		}
 		r.Listed(all, At{Revision: 1}, false)
-		near := 0
+		local := 0
 		before := map[ids.Target]bool{}
 		for _, rec := range r.Active() {
 			before[ids.Target(rec.ID)] = true
 			if rec.FailureDomain == "d0" {
-				near++
+				local++
 				covered[ids.Target(rec.ID)]++
 			}
 		}
-		if len(before) != 256 || near != 192 {
-			t.Fatalf("%d replicas, %d of them near", len(before), near)
+		if len(before) != 256 || local != 192 {
+			t.Fatalf("%d replicas, %d of them in the own domain", len(before), local)
 		}
 		gone := fleetEntry(6, 2)
 		gone.Deleted = true
@@ -147,7 +148,7 @@
 			}
 		}
 		if kept < 253 {
-			t.Errorf("%d of 256 replicas are left after one has gone and one has come", kept)
+			t.Errorf("%d of 256 replicas are left after one was removed and one was added", kept)
 		}
 	}
 	if len(covered) < 990 {
@@ -159,14 +160,14 @@
 		r.Subset.VM = ids.VM(fmt.Sprint("vm", vm))
 		r.AddRendezvousTargets("s", 77, 2)
 		var got []ids.Target
-		for id := range r.directory.visits {
+		for id := range r.directory.rendezvous {
 			got = append(got, id)
 		}
-		for _, rec := range r.first(r.directory.services["s"].near, 77, 2) {
+		for _, rec := range r.topRendezvous(r.directory.services["s"].local, 77, 2) {
 			if id := ids.Target(rec.ID); vm == 0 {
 				same = append(same, id)
-			} else if !r.works(id, rec) || id != same[0] && id != same[1] {
-				t.Errorf("VM %d visits %v, the first one %v", vm, got, same)
+			} else if !r.isActive(id, rec) || id != same[0] && id != same[1] {
+				t.Errorf("VM %d: rendezvous targets %v, those of VM 0 are %v", vm, got, same)
 			}
 		}
 	}
@@ -175,7 +176,7 @@
 	}
 }
 
-// BenchmarkFleet tells what a VM holds for all replicas, and the time of a tick, a change and a call.
+// BenchmarkFleet measures the memory that a VM holds for all replicas, and the time of a call.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint("replicas=", n), func(b *testing.B) {
--- /dev/null
+++ b/internal/follow/health.go
@@ -0,0 +1,153 @@
+package follow
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"github.com/threadwall/threadwall/internal/clock"
+)
+
+// errUnavailable says that the store does not answer another follower.
+var errUnavailable = errors.New("the store does not answer")
+
+// errRelist cancels a watch that may have become unresponsive.
+var errRelist = errors.New("another watch of the store has failed")
+
+// StoreHealth is shared by the followers of a store. When a call of one follower fails, it cancels
+// the watches of all, since the same fault may have made the others unresponsive. Each follower
+// then lists again, the one that failed first: while the store does not answer it, the others
+// make no calls, and after probeTurn one of them takes over as the prober. Without this, four
+// followers made 54 calls in a store outage of 9 s; with a single prober there are at most 24.
+// A nil StoreHealth does nothing. Safe for concurrent use.
+type StoreHealth struct {
+	mu        sync.Mutex
+	failedAt  time.Time
+	waiting   map[*context.CancelCauseFunc]struct{}
+	prober    *Follower          // the follower that probes the unavailable store; nil: the store is available
+	recovered chan struct{}      // closed when the store is available again
+	probed    map[*Follower]bool // followers that have probed without a response
+	excluded  map[*Follower]bool // followers that the store does not answer although it answers others
+}
+
+// probeTurn is how long a follower waits for the prober before it takes over: the failure may
+// concern a single key space, and must not make the data of the others stale.
+const probeTurn = 2 * time.Second
+
+// minRelistInterval is the minimum time between two cancellations of all watches: followers that
+// list again during an outage fail one after the other, and need not cancel each other's watches
+// each time.
+const minRelistInterval = time.Second
+
+// reportFailure records that a call of f has failed, and cancels all pending watches. unavailable
+// says that the store did not answer the call.
+func (d *StoreHealth) reportFailure(f *Follower, unavailable bool) {
+	if d == nil {
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.excluded[f] {
+		return
+	}
+	if unavailable && d.prober == nil {
+		d.setProber(f)
+		d.recovered = make(chan struct{})
+	}
+	if clock.Since(d.failedAt) < minRelistInterval {
+		return
+	}
+	d.failedAt = clock.Now()
+	for cancel := range d.waiting {
+		(*cancel)(errRelist)
+	}
+}
+
+// reportSuccess records that the store has answered f.
+func (d *StoreHealth) reportSuccess(f *Follower) {
+	if d == nil {
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.excluded, f)
+	if d.prober == nil {
+		return
+	}
+	delete(d.probed, f)
+	d.excluded, d.probed = d.probed, nil // until the store answers these followers
+	d.prober = nil
+	close(d.recovered)
+}
+
+// setProber makes f the follower that probes the unavailable store. The caller holds the lock.
+func (d *StoreHealth) setProber(f *Follower) {
+	if d.probed == nil {
+		d.probed = map[*Follower]bool{}
+	}
+	d.prober = f
+	d.probed[f] = true
+}
+
+// awaitTurn waits until f may call the store: immediately, unless another follower probes it.
+// It returns whether the store was unavailable.
+func (d *StoreHealth) awaitTurn(ctx context.Context, f *Follower) (unavailable bool) {
+	for ctx.Err() == nil {
+		prober, recovered := d.currentProber()
+		if prober == nil || prober == f {
+			return unavailable
+		}
+		unavailable = true
+		limit := time.NewTimer(probeTurn)
+		select {
+		case <-ctx.Done():
+		case <-recovered:
+		case <-limit.C:
+			d.replaceProber(prober, f)
+		}
+		limit.Stop()
+	}
+	return unavailable
+}
+
+// currentProber returns the follower that probes the store, and a channel that is closed when the
+// store is available again. The prober is nil if the store is available.
+func (d *StoreHealth) currentProber() (*Follower, chan struct{}) {
+	if d == nil {
+		return nil, nil
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.prober, d.recovered
+}
+
+// replaceProber makes f the prober in place of the given one, unless a third follower already is.
+func (d *StoreHealth) replaceProber(prober, f *Follower) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.prober == prober {
+		d.setProber(f)
+	}
+}
+
+// watchContext returns a context that ends when a call of another follower fails. The caller must
+// call stop.
+func (d *StoreHealth) watchContext(ctx context.Context) (watch context.Context, stop func()) {
+	watch, cancel := context.WithCancelCause(ctx)
+	if d == nil {
+		return watch, func() { cancel(nil) }
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.waiting == nil {
+		d.waiting = map[*context.CancelCauseFunc]struct{}{}
+	}
+	d.waiting[&cancel] = struct{}{}
+	return watch, func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		delete(d.waiting, &cancel)
+		cancel(nil)
+	}
+}
--- a/internal/follow/doubt_test.go
+++ b/internal/follow/health_test.go
@@ -12,8 +12,8 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// silentStore answers lists. Its watches never answer, except that those of one
-// prefix fail when told to.
+// silentStore answers lists. Its watches never return, except that those of one
+// prefix fail on a signal.
 type silentStore struct {
 	objectapi.Store
 	broken string
@@ -55,16 +55,16 @@
 func (noHandler) Changed([]objectapi.Object, At)      {}
 func (noHandler) Unchanged(At)                        {}
 
-// TestOneLostWatchMakesAllListAnew lets a watch go silent without breaking, as the
-// store's did when its history was dropped (bac scale-2: a version of weights stayed
-// unnoticed for 6 s). Another watch fails, so the silent one is given up, too.
-func TestOneLostWatchMakesAllListAnew(t *testing.T) {
+// TestFailedWatchMakesAllFollowersRelist guards against a watch that becomes unresponsive without
+// breaking, as happened when the store dropped its history: a new version of weights stayed
+// unnoticed for 6 s. When another watch fails, the unresponsive one is cancelled too.
+func TestFailedWatchMakesAllFollowersRelist(t *testing.T) {
 	store := &silentStore{broken: "a/", fail: make(chan struct{}), lists: map[string]int{}}
 	ctx, cancel := context.WithCancel(t.Context())
-	var doubt StoreHealth
+	var health StoreHealth
 	var wg sync.WaitGroup
 	for _, prefix := range []string{"a/", "b/"} {
-		f := &Follower{Store: store, Prefix: prefix, Handler: noHandler{}, Health: &doubt}
+		f := &Follower{Store: store, Prefix: prefix, Handler: noHandler{}, Health: &health}
 		wg.Go(func() { f.Run(ctx) })
 	}
 	defer wg.Wait()
@@ -74,15 +74,15 @@
 	await(t, func() bool { return store.listed("b/") == 2 })
 }
 
-// lostStore answers nothing while it is lost.
-type lostStore struct {
+// unavailableStore answers no calls while lost is set.
+type unavailableStore struct {
 	objectapi.Store
 	mu    sync.Mutex
 	lost  bool
 	calls int // while it was lost
 }
 
-func (s *lostStore) answer() error {
+func (s *unavailableStore) answer() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lost {
@@ -92,11 +92,11 @@
 	return nil
 }
 
-func (s *lostStore) List(context.Context, string) ([]objectapi.Object, objectapi.Revision, error) {
+func (s *unavailableStore) List(context.Context, string) ([]objectapi.Object, objectapi.Revision, error) {
 	return nil, 7, s.answer()
 }
 
-func (s *lostStore) Watch(ctx context.Context, _ string, _ objectapi.Revision) ([]objectapi.Object, objectapi.Revision, error) {
+func (s *unavailableStore) Watch(ctx context.Context, _ string, _ objectapi.Revision) ([]objectapi.Object, objectapi.Revision, error) {
 	if err := s.answer(); err != nil {
 		return nil, 0, err
 	}
@@ -104,25 +104,25 @@
 	return nil, 7, s.answer()
 }
 
-func (s *lostStore) set(lost bool) {
+func (s *unavailableStore) set(lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lost = lost
 }
 
-// TestOneAsksWhetherTheStoreIsBack takes the store away for nine seconds: of four followers
-// one asks for it, and all go on when it is back.
-func TestOneAsksWhetherTheStoreIsBack(t *testing.T) {
+// TestOneFollowerProbesDuringOutage makes the store unavailable for 9 s: one of four followers
+// probes it, and all continue when it is available again.
+func TestOneFollowerProbesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &lostStore{}
+		store := &unavailableStore{}
 		ctx, cancel := context.WithCancel(t.Context())
-		var doubt StoreHealth
+		var health StoreHealth
 		var wg sync.WaitGroup
-		var handlers []*lastHeard
+		var handlers []*lastContact
 		for _, prefix := range []string{"a/", "b/", "c/", "d/"} {
-			h := &lastHeard{}
+			h := &lastContact{}
 			handlers = append(handlers, h)
-			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &doubt}
+			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &health}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		time.Sleep(2 * time.Second)
@@ -132,13 +132,13 @@
 		calls := store.calls
 		store.mu.Unlock()
 		if calls > 24 {
-			t.Errorf("%d calls in nine seconds without the store", calls)
+			t.Errorf("%d calls in a store outage of 9 s, want at most 24", calls)
 		}
 		store.set(false)
 		time.Sleep(3 * time.Second)
 		for i, h := range handlers {
 			if age := h.age(); age > time.Second {
-				t.Errorf("follower %d heard the store last %v ago", i, age)
+				t.Errorf("follower %d had its last response %v ago", i, age)
 			}
 		}
 		cancel()
@@ -146,39 +146,39 @@
 	})
 }
 
-// partlyLost answers everything but one key space.
-type partlyLost struct {
-	lostStore
+// partlyUnavailableStore answers all calls except lists of one key space.
+type partlyUnavailableStore struct {
+	unavailableStore
 	prefix string
 }
 
-func (s *partlyLost) List(_ context.Context, prefix string) ([]objectapi.Object, objectapi.Revision, error) {
+func (s *partlyUnavailableStore) List(_ context.Context, prefix string) ([]objectapi.Object, objectapi.Revision, error) {
 	if prefix == s.prefix {
 		return nil, 0, objectapi.ErrUnavailable
 	}
 	return nil, 7, nil
 }
 
-// TestOneKeySpaceHoldsUpNoOther lets the lists of one key space fail for good, as when
-// somebody fills it with entries that can't be read: the others go on.
-func TestOneKeySpaceHoldsUpNoOther(t *testing.T) {
+// TestFailingKeySpaceDoesNotBlockOthers makes all lists of one key space fail, as when it is filled
+// with unreadable entries: the followers of the others continue.
+func TestFailingKeySpaceDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &partlyLost{prefix: "a/"}
+		store := &partlyUnavailableStore{prefix: "a/"}
 		ctx, cancel := context.WithCancel(t.Context())
-		var doubt StoreHealth
+		var health StoreHealth
 		var wg sync.WaitGroup
-		var handlers []*lastHeard
+		var handlers []*lastContact
 		for _, prefix := range []string{"a/", "b/", "c/"} {
-			h := &lastHeard{}
+			h := &lastContact{}
 			handlers = append(handlers, h)
-			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &doubt}
+			f := &Follower{Store: store, Prefix: prefix, Handler: h, Health: &health}
 			wg.Go(func() { f.Run(ctx) })
 		}
 		for range 10 {
 			time.Sleep(3 * time.Second)
 			for i, h := range handlers[1:] {
 				if age := h.age(); age > 2500*time.Millisecond {
-					t.Errorf("follower %d heard the store last %v ago", i+1, age)
+					t.Errorf("follower %d had its last response %v ago", i+1, age)
 				}
 			}
 		}
@@ -187,21 +187,21 @@
 	})
 }
 
-// lastHeard remembers when the store was last heard.
-type lastHeard struct {
+// lastContact records when the store last responded.
+type lastContact struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-func (h *lastHeard) Listed([]objectapi.Object, At, bool) { h.Unchanged(At{}) }
-func (h *lastHeard) Changed([]objectapi.Object, At)      { h.Unchanged(At{}) }
-func (h *lastHeard) Unchanged(At) {
+func (h *lastContact) Listed([]objectapi.Object, At, bool) { h.Unchanged(At{}) }
+func (h *lastContact) Changed([]objectapi.Object, At)      { h.Unchanged(At{}) }
+func (h *lastContact) Unchanged(At) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = time.Now()
 }
 
-func (h *lastHeard) age() time.Duration {
+func (h *lastContact) age() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Since(h.at)
@@ -215,5 +215,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it did not happen within 5 s")
+	t.Fatal("condition not met within 5 s")
 }
--- a/internal/follow/main_test.go
+++ b/internal/follow/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// TestMain has the tests in virtual time govern the clock of trust, too.
+// TestMain makes package clock follow the virtual time of synctest.
 func TestMain(m *testing.M) {
 	clock.UseVirtualTime()
 	os.Exit(m.Run())
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -15,31 +15,31 @@
 
 // Replicas keeps the list of replicas that the platform publishes.
 //
-// A replica whose entry is removed is gone, and one that says it leaves gets no
-// new work for the rest of its incarnation. Only when the store was away may an
-// entry be missing though its replica lives: such a replica is kept for
-// ReturnGrace, in which a living one registers again.
+// A replica whose entry is removed is gone, and one that reports that it leaves gets no
+// new work for the rest of its incarnation. Only after an outage of the store may an
+// entry be missing although its replica is alive: such a replica is kept for
+// ReturnGrace, in which a live one registers again.
 //
-// A replica may start again under its id. Its incarnation then grows, in whatever source
-// is heard first, and nothing that is believed of the incarnation before is kept. What a
-// slower source still says of that one is left out.
+// A replica may restart under its id. Its incarnation then increases, in whichever source
+// reports it first, and no state of the previous incarnation is kept. Later reports about
+// the previous incarnation are ignored.
 //
-// An entry that can't be read names no replica to use: if it stands where a replica's
-// entry stood, that replica gets no work until it has written its own again.
+// An entry that can't be decoded is not used. If it replaces a replica's entry, that replica
+// gets no work until it has written its own entry again.
 type Replicas struct {
 	Fleet *fleet.Fleet
-	// Decode reads one entry.
+	// Decode decodes one entry.
 	Decode func(o objectapi.Object) (platform.Record, error)
-	// OnGone is called for each replica that is gone or has started again.
+	// OnGone is called for each replica that is gone or has restarted.
 	OnGone func(id ids.Target)
-	// Configured tells whether the configuration names a service. Replicas of other services
-	// are not published. Nil: all are.
+	// Configured reports whether the configuration names a service. Replicas of other services
+	// are not published. If nil, all are.
 	Configured func(service string) bool
-	// ReturnGrace is how long after the store's return a missing entry may come
-	// back.
+	// ReturnGrace is how long a missing entry may take to reappear after the store has
+	// recovered.
 	ReturnGrace time.Duration
 	Log         *eventlog.Log
-	// Subset bounds which replicas this VM works with.
+	// Subset bounds which replicas are active on this VM.
 	Subset Subset
 
 	mu         sync.Mutex
@@ -51,24 +51,24 @@
 
 var _ Handler = (*Replicas)(nil)
 
-// record is one entry and what became of it.
+// record is one entry and its state on this VM.
 type record struct {
 	platform.Record
-	missingAt time.Time // zero: it is listed
-	foreign   bool      // its entry can't be read
-	// weightsAt is when the weights were learned from another source than the
+	missingAt  time.Time // zero: it is listed
+	unreadable bool      // its entry can't be decoded
+	// weightsAt is when the weights were received from another source than the
 	// entry, which is written about once a second.
 	weightsAt time.Time
 	hash      uint64 // of its id
-	weight    uint64 // of the replica for this VM: the least come first
-	chosen    bool
+	weight    uint64 // rendezvous weight for this VM; the subset holds the lowest
+	inSubset  bool
 }
 
-// entryLag is how long an entry may still say what is no longer so: a replica
-// writes it about once a second, and the list lags behind that.
+// entryLag is how long an entry may be out of date: a replica writes it about once a second, and
+// the list lags behind that.
 const entryLag = 2500 * time.Millisecond
 
-// Ready tells whether the list has been read once.
+// Ready reports whether the list has been read at least once.
 func (r *Replicas) Ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 			r.put(o)
 			continue
 		}
-		if id, ok := r.directory.keys[o.Key]; ok {
+		if id, ok := r.directory.byKey[o.Key]; ok {
 			r.missing(id)
 		}
 	}
@@ -119,21 +119,21 @@
 // Unchanged implements Handler.
 func (r *Replicas) Unchanged(At) { r.Sweep() }
 
-// Key is where the record's object lies.
+// Key returns the key of the record's object in the store.
 func (r *record) Key() string { return r.Record.Key }
 
-// put takes in one entry. The lock is held.
+// put applies one entry. The caller holds the lock.
 func (r *Replicas) put(o objectapi.Object) (ids.Target, bool) {
 	n, err := r.Decode(o)
 	if err != nil {
 		r.Log.Belief("replica-rejected").Str("key", o.Key).Str("error", err.Error()).Send()
-		return r.putForeign(o.Key)
+		return r.putUnreadable(o.Key)
 	}
 	id := ids.Target(n.ID)
 	old := r.records[id]
 	if old != nil && n.Incarnation < old.Incarnation {
-		old.foreign, old.missingAt = false, time.Time{}
-		return id, true // it speaks of an incarnation that has ended
+		old.unreadable, old.missingAt = false, time.Time{}
+		return id, true // the entry is of an incarnation that has ended
 	}
 	rec := &record{Record: n, hash: routing.HashTarget(id)}
 	rec.weight = routing.RendezvousWeight(rec.hash, r.Subset.hash())
@@ -144,40 +144,40 @@
 	default:
 		rec.carryOver(old)
 	}
-	if r.tells(old) && (old == nil || old.State != rec.State || old.Weights != rec.Weights || old.Incarnation != rec.Incarnation) {
+	if r.isLogged(old) && (old == nil || old.State != rec.State || old.Weights != rec.Weights || old.Incarnation != rec.Incarnation) {
 		r.Log.Belief("replica").Str("target", n.ID).Str("service", n.Service).Str("addr", n.Addr).Uint64("incarnation", uint64(n.Incarnation)).
 			Str("state", string(rec.State)).Str("weights", string(rec.Weights)).Uint64("revision", uint64(o.Version)).Send()
 	}
 	r.directory.replace(id, old, rec)
 	if old != nil {
-		rec.chosen = old.chosen
-		*old = *rec // the directory's lists hold it
+		rec.inSubset = old.inSubset
+		*old = *rec // the directory's lists point to it
 		return id, true
 	}
 	r.records[id] = rec
 	return id, true
 }
 
-// tells tells whether what an entry says is logged: of a large fleet only of replicas that this
-// VM works with. The lock is held.
-func (r *Replicas) tells(old *record) bool {
-	most := r.Subset.Max
-	return most <= 0 || len(r.records) < most || old != nil && r.works(ids.Target(old.ID), old)
+// isLogged reports whether changes of an entry are logged: in a large fleet only those of active
+// replicas. The caller holds the lock.
+func (r *Replicas) isLogged(old *record) bool {
+	limit := r.Subset.Max
+	return limit <= 0 || len(r.records) < limit || old != nil && r.isActive(ids.Target(old.ID), old)
 }
 
-// putForeign takes in an entry that can't be read. The lock is held.
-func (r *Replicas) putForeign(key string) (ids.Target, bool) {
-	id, ok := r.directory.keys[key]
+// putUnreadable applies an entry that can't be decoded. The caller holds the lock.
+func (r *Replicas) putUnreadable(key string) (ids.Target, bool) {
+	id, ok := r.directory.byKey[key]
 	if !ok {
 		return "", false
 	}
-	r.records[id].foreign = true
-	r.directory.changed()
+	r.records[id].unreadable = true
+	r.directory.invalidateList()
 	r.Fleet.Members.Remove(id)
 	return id, true
 }
 
-// carryOver keeps what is known of the same incarnation beside its entry.
+// carryOver keeps what other sources reported about the same incarnation.
 func (r *record) carryOver(old *record) {
 	if old.State == platform.StateLeaving {
 		r.State = platform.StateLeaving
@@ -187,9 +187,9 @@
 	}
 }
 
-// Restarted records that a replica is known to be in an incarnation. If that is a later
-// one than its entry says yet, the replica takes work, with the weights that it had: a
-// replica keeps them when it starts again.
+// Restarted records the incarnation of a replica as reported by a source other than its entry. If
+// it is later than that in the entry, the replica takes work again, with the weights that it
+// had: a replica keeps its weights when it restarts.
 func (r *Replicas) Restarted(id ids.Target, inc ids.Incarnation, from string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,17 +199,17 @@
 	}
 	r.restarted(id, inc, from)
 	rec.Incarnation, rec.State, rec.weightsAt = inc, platform.StateLive, time.Time{}
-	r.directory.changed()
+	r.directory.invalidateList()
 	r.publish()
 }
 
-// restarted forgets the incarnation before. The lock is held.
+// restarted drops the state of the previous incarnation. The caller holds the lock.
 func (r *Replicas) restarted(id ids.Target, inc ids.Incarnation, from string) {
 	r.Log.Belief("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
 	r.OnGone(id)
 }
 
-// missing marks an entry that is no longer listed. The lock is held.
+// missing marks an entry that is no longer listed. The caller holds the lock.
 func (r *Replicas) missing(id ids.Target) {
 	rec := r.records[id]
 	if rec == nil || !rec.missingAt.IsZero() {
@@ -222,7 +222,7 @@
 	}
 }
 
-// Sweep drops replicas whose entries did not come back in time.
+// Sweep drops replicas whose entries did not reappear within ReturnGrace.
 func (r *Replicas) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -238,7 +238,7 @@
 	}
 }
 
-// drop forgets a replica that is gone. The lock is held.
+// drop removes a replica that is gone. The caller holds the lock.
 func (r *Replicas) drop(id ids.Target, reason string) {
 	r.directory.replace(id, r.records[id], nil)
 	delete(r.records, id)
@@ -247,7 +247,7 @@
 	r.Log.Belief("replica-gone").Str("target", string(id)).Str("reason", reason).Send()
 }
 
-// SetWeights records that a replica has other weights than its entry says yet.
+// SetWeights records the weights of a replica as reported by a source other than its entry.
 func (r *Replicas) SetWeights(id ids.Target, w ids.WeightsVersion, from string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -258,34 +258,34 @@
 	r.Log.Belief("weights").Str("target", string(id)).Str("before", string(rec.Weights)).Str("now", string(w)).Str("from", from).Send()
 	before := rec.Weights
 	rec.Weights, rec.weightsAt = w, clock.Now()
-	r.directory.counted(rec.Model, before, -1)
-	r.directory.counted(rec.Model, w, 1)
-	r.directory.changed()
-	if r.works(id, rec) {
+	r.directory.addWeights(rec.Model, before, -1)
+	r.directory.addWeights(rec.Model, w, 1)
+	r.directory.invalidateList()
+	if r.isActive(id, rec) {
 		r.publish()
 	}
 }
 
-// publish gives the fleet the replicas that this VM works with. The lock is held.
+// publish passes the active replicas to the fleet. The caller holds the lock.
 func (r *Replicas) publish() {
 	now := clock.Now()
-	r.choose()
+	r.updateSubsets()
 	var out []platform.Record
-	before := r.directory.working
-	r.directory.working = map[ids.Target]bool{}
-	for rec := range r.atWork() {
+	before := r.directory.active
+	r.directory.active = map[ids.Target]bool{}
+	for rec := range r.active() {
 		id := ids.Target(rec.ID)
-		if r.directory.working[id] {
+		if r.directory.active[id] {
 			continue
 		}
-		r.directory.working[id] = true
+		r.directory.active[id] = true
 		if r.usable(rec) {
 			out = append(out, rec.Record)
 		}
 	}
 	for id := range before {
-		if !r.directory.working[id] && r.records[id] != nil {
-			r.Fleet.Members.Remove(id) // it is there, and no longer this VM's to work with
+		if !r.directory.active[id] && r.records[id] != nil {
+			r.Fleet.Members.Remove(id) // still listed, but no longer active on this VM
 		}
 	}
 	r.directory.published = out
@@ -293,21 +293,21 @@
 	r.Fleet.MarkDirty()
 }
 
-// Publish gives the list to the fleet anew: the configuration names other services.
+// Publish passes the list to the fleet again, after the configured services have changed.
 func (r *Replicas) Publish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.directory.changed()
+	r.directory.invalidateList()
 	r.publish()
 }
 
-// usable tells whether an entry names a replica of a service that the configuration names.
+// usable reports whether an entry can be decoded and its service is configured.
 func (r *Replicas) usable(rec *record) bool {
-	return !rec.foreign && (r.Configured == nil || r.Configured(rec.Service))
+	return !rec.unreadable && (r.Configured == nil || r.Configured(rec.Service))
 }
 
-// Each calls f with each replica that is listed or may come back, until f returns false. f must
-// not call r.
+// Each calls f with each replica that is listed or within ReturnGrace, until f returns false. f must
+// not call methods of r.
 func (r *Replicas) Each(f func(*platform.Record) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -318,8 +318,8 @@
 	}
 }
 
-// Records returns the replicas that are listed or may come back. The result is shared and must
-// not be changed.
+// Records returns the replicas that are listed or within ReturnGrace. The result is shared and must
+// not be modified.
 func (r *Replicas) Records() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/replicas_test.go
+++ b/internal/follow/replicas_test.go
@@ -18,7 +18,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// newReplicas returns a list whose entries are records as JSON.
+// newReplicas returns a list whose entries are records encoded as JSON, and the targets passed to
+// OnGone.
 func newReplicas(t *testing.T) (*Replicas, *[]ids.Target) {
 	t.Helper()
 	tuning := membership.DefaultTuning
@@ -44,9 +45,9 @@
 	return objectapi.Object{Key: "servers/" + r.ID, Value: value}
 }
 
-func engineOf(id string, born ids.Incarnation, state platform.State) platform.Record {
+func engineOf(id string, incarnation ids.Incarnation, state platform.State) platform.Record {
 	return platform.Record{
-		ID: id, Role: platform.RoleEngine, FailureDomain: "z", Addr: "10.0.0.1:80", Incarnation: born, State: state,
+		ID: id, Role: platform.RoleEngine, FailureDomain: "z", Addr: "10.0.0.1:80", Incarnation: incarnation, State: state,
 		Model: "m", Weights: "3", Service: "s", Slots: 24,
 	}
 }
@@ -59,9 +60,9 @@
 	return nil
 }
 
-// TestDrainEndsWithTheIncarnation drains a replica that then starts again under its id: it
-// takes work, and nothing of what was believed of it before is left.
-func TestDrainEndsWithTheIncarnation(t *testing.T) {
+// TestRestartEndsDrain drains a replica that then restarts under its id: it takes work, and no
+// state of the previous incarnation is left.
+func TestRestartEndsDrain(t *testing.T) {
 	for name, restart := range map[string]func(r *Replicas){
 		"by its entry": func(r *Replicas) {
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 200, platform.StateLive))}, At{})
@@ -86,37 +87,37 @@
 			restart(r)
 			r.Fleet.Refresh()
 			if got := members.State("e1", time.Now()); got != routing.Live {
-				t.Errorf("the replica is %s after it has started again", got)
+				t.Errorf("the replica is %s after its restart", got)
 			}
 			if got := r.find("e1"); got == nil || got.State != platform.StateLive {
 				t.Errorf("the list says %+v", got)
 			}
 			if !slices.Equal(*gone, []ids.Target{"e1"}) {
-				t.Errorf("forgot %v", *gone)
+				t.Errorf("OnGone was called for %v", *gone)
 			}
 			if r.Fleet.Cache.Has("e1", 7) {
-				t.Error("a belief about the KV cache of the incarnation before is left")
+				t.Error("a cache view entry of the previous incarnation is left")
 			}
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{})
 			if got := members.State("e1", time.Now()); got != routing.Live {
-				t.Errorf("the replica is %s after a late entry of the incarnation before", got)
+				t.Errorf("the replica is %s after a late entry of the previous incarnation", got)
 			}
 		})
 	}
 }
 
-// TestForeignEntryNamesNoReplica writes something else under the key of a replica, and a
-// thousand entries that can't be read beside it: the replica gets no work until its own
-// entry is back, and what it had said holds then; the others are not touched.
-func TestForeignEntryNamesNoReplica(t *testing.T) {
-	foreign := []objectapi.Object{{Key: "servers/e1", Value: []byte(`"bytes of somebody`)}}
+// TestUnreadableEntryDisablesReplica overwrites the entry of a replica with an unreadable value and
+// adds a thousand more unreadable entries: the replica gets no work until its own entry is
+// written again, and is then still leaving as before; the other replica is unaffected.
+func TestUnreadableEntryDisablesReplica(t *testing.T) {
+	unreadable := []objectapi.Object{{Key: "servers/e1", Value: []byte(`"bytes of somebody`)}}
 	for i := range 1000 {
-		foreign = append(foreign, objectapi.Object{Key: fmt.Sprint("servers/x", i), Value: []byte{0xff, 0}})
+		unreadable = append(unreadable, objectapi.Object{Key: fmt.Sprint("servers/x", i), Value: []byte{0xff, 0}})
 	}
 	own := []objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving)), entryOf(engineOf("e2", 100, platform.StateLive))}
 	for name, write := range map[string]func(r *Replicas){
-		"a change":   func(r *Replicas) { r.Changed(foreign, At{}) },
-		"a new list": func(r *Replicas) { r.Listed(append(slices.Clone(foreign), own[1]), At{}, false) },
+		"a change":   func(r *Replicas) { r.Changed(unreadable, At{}) },
+		"a new list": func(r *Replicas) { r.Listed(append(slices.Clone(unreadable), own[1]), At{}, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, _ := newReplicas(t)
@@ -126,14 +127,14 @@
 				t.Fatalf("the list names %v", got)
 			}
 			if got := r.Fleet.Members.State("e1", time.Now()); got > routing.Leaving {
-				t.Errorf("the replica is %s though its entry names none", got)
+				t.Errorf("the replica is %s although its entry is unreadable", got)
 			}
 			if got := r.Fleet.Members.State("e2", time.Now()); got != routing.Live {
 				t.Errorf("the other replica is %s", got)
 			}
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{})
 			if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Leaving {
-				t.Errorf("the replica is %s, and had said that it leaves", got)
+				t.Errorf("the replica is %s, want leaving as before", got)
 			}
 		})
 	}
--- a/internal/follow/restarted_test.go
+++ b/internal/follow/restarted_test.go
@@ -9,9 +9,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestRestartHeardBeforeTheEntry hears from a replica itself that it has started again. Its
-// entry follows, an old one of it first.
-func TestRestartHeardBeforeTheEntry(t *testing.T) {
+// TestRestartReportedBeforeEntry has a replica report its restart itself before its entry changes:
+// an entry of the previous incarnation comes first, then that of the new one.
+func TestRestartReportedBeforeEntry(t *testing.T) {
 	r, gone := newReplicas(t)
 	r.Listed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{}, false)
 	r.Restarted("e1", 200, "feed")
@@ -22,27 +22,27 @@
 	}
 	r.Changed([]objectapi.Object{entryOf(engineOf("e1", 200, platform.StateLive))}, At{})
 	if got := r.find("e1"); got == nil || got.Incarnation != 200 || got.State != platform.StateLive || len(*gone) != 1 {
-		t.Errorf("the list says %+v, forgotten %v", got, *gone)
+		t.Errorf("the list says %+v, OnGone was called for %v", got, *gone)
 	}
 	r.Changed([]objectapi.Object{entryOf(engineOf("e1", 200, platform.StateLeaving))}, At{})
 	if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Leaving {
-		t.Errorf("the replica is %s though it says that it leaves", got)
+		t.Errorf("the replica is %s although its entry says that it leaves", got)
 	}
 }
 
-// TestServicesThatAreNotNamed lists replicas of a service before the configuration names
-// it.
-func TestServicesThatAreNotNamed(t *testing.T) {
+// TestUnconfiguredServiceIsNotPublished checks that replicas of a service are published only once
+// the configuration names the service.
+func TestUnconfiguredServiceIsNotPublished(t *testing.T) {
 	r, _ := newReplicas(t)
-	named := false
-	r.Configured = func(string) bool { return named }
+	configured := false
+	r.Configured = func(string) bool { return configured }
 	r.Listed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{}, false)
 	if got := r.Records(); len(got) != 0 {
 		t.Errorf("the list names %v", got)
 	}
-	named = true
+	configured = true
 	r.Publish()
 	if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Live {
-		t.Errorf("the replica is %s after its service was named", got)
+		t.Errorf("the replica is %s after its service was configured", got)
 	}
 }
--- a/internal/follow/subset.go
+++ b/internal/follow/subset.go
@@ -12,83 +12,83 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// A VM of a large fleet works with a bounded part of each service's replicas: loads, beliefs,
-// connections and the work of a decision follow that part, and not the fleet. The parts are
-// steady, overlap, and differ by VM, so that together they cover all replicas about evenly. Where
-// shared prompts are computed is not bound by them: all VMs of a failure domain agree on that
-// by rendezvous over the whole domain (Visit).
+// A VM of a large fleet works with a bounded subset of each service's replicas: loads, cache view
+// entries, connections and the cost of a decision grow with the subset and not with the fleet. The
+// subsets are stable, overlap, and differ by VM, so that together they cover all replicas about
+// evenly. They do not limit where shared prompts are computed: all VMs of a failure domain agree
+// on that by rendezvous hashing over the whole domain (AddRendezvousTargets).
 
-// Subset bounds which replicas a VM works with.
+// Subset bounds which replicas are active on a VM.
 type Subset struct {
 	VM     ids.VM
 	Domain ids.FailureDomain
-	// Max is how many replicas of a service it works with, beside those that it visits or
-	// holds. Zero: all.
+	// Max is the size of the subset of each service, without rendezvous targets and pinned
+	// replicas. Zero: no limit.
 	Max int
 }
 
 func (s Subset) hash() uint64 { return routing.HashTarget(ids.Target(s.VM)) }
 
 const (
-	// farPart is one in how many of them are in other failure domains, for the case that the
-	// VM's own has none left.
-	farPart = 4
-	// visitFor is how long a replica beyond the subset stays with the VM after it was last
-	// wanted, and mostVisits bounds how many do.
-	visitFor   = 30 * time.Second
-	mostVisits = 64
+	// remoteDivisor sets the share of other failure domains: one in four replicas of a subset, in
+	// case the VM's own domain has none left.
+	remoteDivisor = 4
+	// rendezvousTTL is how long a rendezvous target beyond the subset stays active after its last
+	// use, and maxRendezvous is how many such targets there are at most.
+	rendezvousTTL = 30 * time.Second
+	maxRendezvous = 64
 )
 
-// directory is what is kept of all replicas: indexes that hold an entry each, and a count for
-// each version of weights.
+// directory holds the indexes of all replicas, the number of replicas per version of weights, and
+// the active replicas.
 type directory struct {
-	keys     map[string]ids.Target // by the key of the entry
-	short    map[uint32]ids.Target // by 32 bits of the hash
-	services map[string]*members
-	weights  map[platform.Deployed]int
-	list     []platform.Record // nil: it has to be made anew
-	visits   map[ids.Target]time.Time
-	held     map[ids.Target]bool
-	// working are the replicas that this VM works with, and published their records.
-	working   map[ids.Target]bool
+	byKey       map[string]ids.Target // by key of the entry
+	byShortHash map[uint32]ids.Target // by the low 32 bits of the hash
+	services    map[string]*members
+	weights     map[platform.Deployed]int
+	list        []platform.Record // nil: to be rebuilt
+	rendezvous  map[ids.Target]time.Time
+	pinned      map[ids.Target]bool
+	// active are the replicas that this VM works with; published are the usable records of them.
+	active    map[ids.Target]bool
 	published []platform.Record
 }
 
 // members are the replicas of one service.
 type members struct {
-	near, far []*record // by weight; of the VM's failure domain, and of others
-	chosen    []*record // of both
-	stale     bool      // some have come or gone
-	whole     bool      // all are chosen
+	local, remote []*record // by weight: in the VM's failure domain, and in others
+	subset        []*record // the selected ones of both
+	stale         bool      // replicas were added or removed since the selection
+	complete      bool      // the subset holds all replicas
 }
 
-// replace takes in that a replica has come, has changed or has gone. Either may be nil.
+// replace updates the indexes when a replica is added (old is nil), changed, or removed (rec is nil).
 func (d *directory) replace(id ids.Target, old, rec *record) {
-	if d.keys == nil {
-		d.keys, d.short, d.services, d.weights = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*members{}, map[platform.Deployed]int{}
-		d.visits, d.held = map[ids.Target]time.Time{}, map[ids.Target]bool{}
+	if d.byKey == nil {
+		d.byKey, d.byShortHash, d.services, d.weights = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*members{}, map[platform.Deployed]int{}
+		d.rendezvous, d.pinned = map[ids.Target]time.Time{}, map[ids.Target]bool{}
 	}
-	d.changed()
+	d.invalidateList()
 	moved := old == nil || rec == nil || old.Service != rec.Service || old.FailureDomain != rec.FailureDomain
 	if old != nil {
-		delete(d.keys, old.Key())
-		delete(d.short, uint32(old.hash))
-		d.counted(old.Model, old.Weights, -1)
-		d.of(old.Service).stale = d.of(old.Service).stale || moved
+		delete(d.byKey, old.Key())
+		delete(d.byShortHash, uint32(old.hash))
+		d.addWeights(old.Model, old.Weights, -1)
+		d.service(old.Service).stale = d.service(old.Service).stale || moved
 	}
 	if rec != nil {
-		d.keys[rec.Key()] = id
-		d.short[uint32(rec.hash)] = id
-		d.counted(rec.Model, rec.Weights, 1)
-		d.of(rec.Service).stale = d.of(rec.Service).stale || moved
+		d.byKey[rec.Key()] = id
+		d.byShortHash[uint32(rec.hash)] = id
+		d.addWeights(rec.Model, rec.Weights, 1)
+		d.service(rec.Service).stale = d.service(rec.Service).stale || moved
 	}
 }
 
-// changed notes that the list of all is out of date.
-func (d *directory) changed() { d.list = nil }
+// invalidateList marks the list of all records as out of date.
+func (d *directory) invalidateList() { d.list = nil }
 
-// counted adds to the count of a version of weights.
-func (d *directory) counted(m ids.Model, w ids.WeightsVersion, n int) {
+// addWeights adds n to the number of replicas that have a version of weights.
+func (d *directory) addWeights(m ids.Model, w ids.WeightsVersion, n int) {
 	if m == "" {
 		return
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (d *directory) of(service string) *members {
+func (d *directory) service(service string) *members {
 	m := d.services[service]
 	if m == nil {
 		m = &members{stale: true}
@@ -107,147 +107,148 @@
 	return m
 }
 
-// choose chooses anew which replicas this VM works with, of services whose replicas have come or
-// gone. The lock is held.
-func (r *Replicas) choose() {
+// updateSubsets selects the subset again for each service whose replicas have changed. The caller
+// holds the lock.
+func (r *Replicas) updateSubsets() {
 	stale := false
 	for _, m := range r.directory.services {
 		if m.stale {
-			m.near, m.far, stale = m.near[:0], m.far[:0], true
+			m.local, m.remote, stale = m.local[:0], m.remote[:0], true
 		}
 	}
 	if !stale {
 		return
 	}
 	for _, rec := range r.records {
-		m := r.directory.of(rec.Service)
+		m := r.directory.service(rec.Service)
 		switch {
 		case !m.stale:
 		case rec.FailureDomain == r.Subset.Domain:
-			m.near = append(m.near, rec)
+			m.local = append(m.local, rec)
 		default:
-			m.far = append(m.far, rec)
+			m.remote = append(m.remote, rec)
 		}
 	}
 	for service, m := range r.directory.services {
 		if m.stale {
-			m.choose(r.Subset.Max)
+			m.selectSubset(r.Subset.Max)
 		}
-		if len(m.near)+len(m.far) == 0 {
+		if len(m.local)+len(m.remote) == 0 {
 			delete(r.directory.services, service)
 		}
 	}
 }
 
-// choose marks the replicas of one service that a VM works with: those that come first for it.
-func (m *members) choose(most int) {
+// selectSubset selects the replicas of one service with the lowest weights for this VM.
+func (m *members) selectSubset(limit int) {
 	m.stale = false
-	all := len(m.near) + len(m.far)
-	m.whole = most <= 0 || all <= most
+	all := len(m.local) + len(m.remote)
+	m.complete = limit <= 0 || all <= limit
 	byWeight := func(a, b *record) int { return cmp.Compare(a.weight, b.weight) }
-	slices.SortFunc(m.near, byWeight)
-	slices.SortFunc(m.far, byWeight)
-	near := min(len(m.near), max(most-most/farPart, most-len(m.far)))
-	far := most - near
-	if m.whole {
-		near, far = len(m.near), len(m.far)
+	slices.SortFunc(m.local, byWeight)
+	slices.SortFunc(m.remote, byWeight)
+	local := min(len(m.local), max(limit-limit/remoteDivisor, limit-len(m.remote)))
+	remote := limit - local
+	if m.complete {
+		local, remote = len(m.local), len(m.remote)
 	}
-	m.chosen = append(append(m.chosen[:0], m.near[:near]...), m.far[:far]...)
-	for _, rec := range m.near[near:] {
-		rec.chosen = false
+	m.subset = append(append(m.subset[:0], m.local[:local]...), m.remote[:remote]...)
+	for _, rec := range m.local[local:] {
+		rec.inSubset = false
 	}
-	for _, rec := range m.far[far:] {
-		rec.chosen = false
+	for _, rec := range m.remote[remote:] {
+		rec.inSubset = false
 	}
-	for _, rec := range m.chosen {
-		rec.chosen = true
+	for _, rec := range m.subset {
+		rec.inSubset = true
 	}
 }
 
-// atWork yields the replicas that this VM works with, some of them more than once. The lock is
-// held.
-func (r *Replicas) atWork() iter.Seq[*record] {
+// active yields the active replicas, some of them more than once. The caller holds the lock.
+func (r *Replicas) active() iter.Seq[*record] {
 	return func(yield func(*record) bool) {
 		for _, m := range r.directory.services {
-			for _, rec := range m.chosen {
+			for _, rec := range m.subset {
 				if !yield(rec) {
 					return
 				}
 			}
 		}
-		for id := range r.directory.held {
+		for id := range r.directory.pinned {
 			if rec := r.records[id]; rec != nil && !yield(rec) {
 				return
 			}
 		}
-		for id := range r.directory.visits {
-			if rec := r.records[id]; rec != nil && r.works(id, rec) && !yield(rec) {
+		for id := range r.directory.rendezvous {
+			if rec := r.records[id]; rec != nil && r.isActive(id, rec) && !yield(rec) {
 				return
 			}
 		}
 	}
 }
 
-// works tells whether this VM works with a replica. The lock is held.
-func (r *Replicas) works(id ids.Target, rec *record) bool {
-	if rec.chosen || r.directory.held[id] {
+// isActive reports whether a replica is in the subset, pinned, or a recent rendezvous target. The
+// caller holds the lock.
+func (r *Replicas) isActive(id ids.Target, rec *record) bool {
+	if rec.inSubset || r.directory.pinned[id] {
 		return true
 	}
-	at, visited := r.directory.visits[id]
-	return visited && clock.Since(at) < visitFor
+	at, ok := r.directory.rendezvous[id]
+	return ok && clock.Since(at) < rendezvousTTL
 }
 
-// Pin makes this VM work with some replicas whatever its subset, in place of those that were
-// given before: it reads their feeds.
+// Pin makes the given replicas active regardless of the subset, since this VM reads their cache
+// feeds. They replace those of the previous call.
 func (r *Replicas) Pin(targets []ids.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	changed := false
-	held := make(map[ids.Target]bool, len(targets))
+	pinned := make(map[ids.Target]bool, len(targets))
 	for _, id := range targets {
-		held[id] = true
+		pinned[id] = true
 		rec := r.records[id]
-		changed = changed || rec != nil && !r.works(id, rec)
+		changed = changed || rec != nil && !r.isActive(id, rec)
 	}
-	r.directory.held = held
+	r.directory.pinned = pinned
 	if changed {
 		r.publish()
 	}
 }
 
-// AddRendezvousTargets makes this VM work with the replicas of a service that come first for a key, in its own
-// failure domain as long as there are any. All VMs of the domain agree on them.
+// AddRendezvousTargets makes the n rendezvous targets of a key active. They are chosen in the VM's
+// own failure domain as long as it has replicas of the service. All VMs of the domain agree on
+// them.
 func (r *Replicas) AddRendezvousTargets(service string, key uint64, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.directory.services[service]
-	if m == nil || m.whole {
+	if m == nil || m.complete {
 		return
 	}
-	from := m.near
+	from := m.local
 	if len(from) == 0 {
-		from = m.far
+		from = m.remote
 	}
-	now, news := clock.Now(), false
-	for _, rec := range r.first(from, key, n) {
+	now, changed := clock.Now(), false
+	for _, rec := range r.topRendezvous(from, key, n) {
 		id := ids.Target(rec.ID)
-		news = news || !r.works(id, rec)
-		if !rec.chosen {
-			r.directory.visits[id] = now
+		changed = changed || !r.isActive(id, rec)
+		if !rec.inSubset {
+			r.directory.rendezvous[id] = now
 		}
 	}
-	if news {
-		r.forgetVisits(now)
+	if changed {
+		r.expireRendezvous(now)
 		r.publish()
 	}
 }
 
-// first returns the n replicas that come first for a key.
-func (r *Replicas) first(from []*record, key uint64, n int) []*record {
+// topRendezvous returns the n usable replicas with the highest rendezvous weight for a key.
+func (r *Replicas) topRendezvous(from []*record, key uint64, n int) []*record {
 	out := make([]*record, 0, n)
 	weights := make([]uint64, 0, n)
 	for _, rec := range from {
-		if rec.State == platform.StateLeaving || rec.foreign {
+		if rec.State == platform.StateLeaving || rec.unreadable {
 			continue
 		}
 		w := routing.AffinityOf(key, rec.hash)
@@ -263,26 +264,27 @@
 	return out
 }
 
-// forgetVisits drops visits that are over, and the oldest of too many. The lock is held.
-func (r *Replicas) forgetVisits(now time.Time) {
-	visits := r.directory.visits
-	for id, at := range visits {
-		if now.Sub(at) >= visitFor {
-			delete(visits, id)
+// expireRendezvous drops expired rendezvous targets, and the oldest beyond maxRendezvous. The caller
+// holds the lock.
+func (r *Replicas) expireRendezvous(now time.Time) {
+	targets := r.directory.rendezvous
+	for id, at := range targets {
+		if now.Sub(at) >= rendezvousTTL {
+			delete(targets, id)
 		}
 	}
-	for len(visits) > mostVisits {
+	for len(targets) > maxRendezvous {
 		oldest, first := ids.Target(""), now
-		for id, at := range visits {
+		for id, at := range targets {
 			if oldest == "" || at.Before(first) {
 				oldest, first = id, at
 			}
 		}
-		delete(visits, oldest)
+		delete(targets, oldest)
 	}
 }
 
-// Active returns the replicas that this VM works with. The result must not be changed.
+// Active returns the replicas that this VM works with. The result must not be modified.
 func (r *Replicas) Active() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -293,7 +295,7 @@
 func (r *Replicas) Resolve(short uint32) (ids.Target, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, ok := r.directory.short[short]
+	id, ok := r.directory.byShortHash[short]
 	return id, ok
 }
 
@@ -308,13 +310,13 @@
 	return out
 }
 
-// KnownFraction returns which part of a service's replicas this VM works with, 0 to 1.
+// KnownFraction returns the fraction of a service's replicas that is in this VM's subset, 0 to 1.
 func (r *Replicas) KnownFraction(service string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.directory.services[service]
-	if m == nil || m.whole || r.Subset.Max <= 0 {
+	if m == nil || m.complete || r.Subset.Max <= 0 {
 		return 1
 	}
-	return float64(r.Subset.Max) / float64(max(len(m.near)+len(m.far), 1))
+	return float64(r.Subset.Max) / float64(max(len(m.local)+len(m.remote), 1))
 }
--- a/internal/follow/weights_test.go
+++ b/internal/follow/weights_test.go
@@ -11,21 +11,21 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestLeft follows two versions that are named one after the other: the time that is
-// left to old weights counts from the first version that is newer than they are.
+// TestLeft declares two versions one after the other: the remaining time of old weights counts from
+// the first version that is newer.
 func TestLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
 		w.SetWithin(9 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{}, false)
-		name := func(v uint64) {
+		declare := func(v uint64) {
 			version = v
 			w.Changed([]objectapi.Object{{}}, At{})
 		}
-		name(2)
+		declare(2)
 		time.Sleep(4 * time.Second)
-		name(3)
+		declare(3)
 		time.Sleep(time.Second)
 		for _, c := range []struct {
 			has    ids.WeightsVersion
@@ -43,16 +43,16 @@
 		time.Sleep(5 * time.Second)
 		want = []routing.WeightsBound{{OlderThan: 2, StartWithin: -1}, {OlderThan: 3, StartWithin: 3}}
 		if _, _, bounds := w.Wanted("m", time.Now()); !slices.Equal(bounds, want) {
-			t.Errorf("5 s later: %v, want %v: the last version that is too old says it for all before", bounds, want)
+			t.Errorf("5 s later: %v, want %v: bounds that are over are merged into the last of them", bounds, want)
 		}
 		if left, behind := w.Left("other", "1", time.Now()); left != 0 || behind {
-			t.Errorf("a model without names: %v left, behind %v", left, behind)
+			t.Errorf("a model without declared versions: %v left, behind %v", left, behind)
 		}
 	})
 }
 
-// TestAgeFromPeers starts a VM 6 s after version 2 was named: what a peer says of its age
-// goes before this VM's guess, and is not told on by those who only guess.
+// TestAgeFromPeers starts a VM 6 s after version 2 was declared: the age that a peer reports
+// overrides this VM's estimate. VMs do not report ages that are estimates.
 func TestAgeFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const within = 9 * time.Second
@@ -62,19 +62,19 @@
 		peer.SetWithin(within)
 		starting.SetWithin(within)
 		peer.Listed([]objectapi.Object{{}}, At{}, false)
-		if told := peer.Recent(time.Now()); len(told) != 0 {
-			t.Fatalf("told %v, which is a guess", told)
+		if reported := peer.Recent(time.Now()); len(reported) != 0 {
+			t.Fatalf("reported %v, which is an estimate", reported)
 		}
 		version = 2
 		peer.Changed([]objectapi.Object{{}}, At{})
 		time.Sleep(6 * time.Second)
 		starting.Listed([]objectapi.Object{{}}, At{}, false)
 		want := []VersionAge{{Model: "m", Version: 2, Age: 6 * time.Second}}
-		if told := peer.Recent(time.Now()); !slices.Equal(told, want) {
-			t.Fatalf("told %v, want %v", told, want)
+		if reported := peer.Recent(time.Now()); !slices.Equal(reported, want) {
+			t.Fatalf("reported %v, want %v", reported, want)
 		}
 		if left, _ := starting.Left("m", "1", time.Now()); left != 2700*time.Millisecond {
-			t.Fatalf("%v left by this VM's guess", left)
+			t.Fatalf("%v left by this VM's estimate", left)
 		}
 		starting.ApplyPeerAge(want[0], time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
@@ -82,13 +82,13 @@
 		}
 		starting.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
-			t.Fatalf("%v left after a peer that heard later", left)
+			t.Fatalf("%v left after a peer reported a smaller age", left)
 		}
 	})
 }
 
-// TestVersionFromPeers tells a VM whose watch of the store is silent of a version that
-// was named meanwhile: old weights are bounded from its naming on.
+// TestVersionFromPeers reports a new version to a VM whose watch of the store is unresponsive: the
+// time of old weights counts from the declaration of that version.
 func TestVersionFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: 1}, nil }}
@@ -98,7 +98,7 @@
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 3, Age: time.Second}, time.Now())
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: 4 * time.Second}, time.Now())
 		if newest := w.Newest("m"); newest != "1" {
-			t.Errorf("the newest is %q, which the store has not shown", newest)
+			t.Errorf("the newest is %q, which the store has not returned", newest)
 		}
 		if left, behind := w.Left("m", "1", time.Now()); left != 5*time.Second || !behind {
 			t.Errorf("%v left to version 1, behind %v", left, behind)
@@ -109,9 +109,9 @@
 	})
 }
 
-// TestNamedWhileOutOfTouch lists the store anew after a watch has gone silent: a version
-// that is new in the list counts from when this VM last knew everything.
-func TestNamedWhileOutOfTouch(t *testing.T) {
+// TestVersionDeclaredDuringOutage lists the store again after a watch became unresponsive: a version
+// that is new in the list counts as declared at the send time of the last response.
+func TestVersionDeclaredDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
@@ -125,20 +125,20 @@
 		if left, _ := w.Left("m", "1", time.Now()); left != 4*time.Second {
 			t.Errorf("%v left, want 4s", left)
 		}
-		if told := w.Recent(time.Now()); len(told) != 0 {
-			t.Errorf("told %v, which is a guess", told)
+		if reported := w.Recent(time.Now()); len(reported) != 0 {
+			t.Errorf("reported %v, which is an estimate", reported)
 		}
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := w.Left("m", "1", time.Now()); left != 8*time.Second {
-			t.Errorf("%v left, want 8s after a peer's word", left)
+			t.Errorf("%v left, want 8s after a peer's report", left)
 		}
 	})
 }
 
-// TestClockNarrowsTheGuess lets another key space's answers tell that a version was not
-// there yet, while this one's watch was silent: taking the last answer of this space, a
-// version that was 1 s old counted as 8 s old, and all engines were told at once.
-func TestClockNarrowsTheGuess(t *testing.T) {
+// TestClockNarrowsEstimate has responses for another key space prove that a version did not exist
+// yet while this one's watch was unresponsive. Based on the last response for this key space
+// alone, a version that was 1 s old counted as 8 s old, and all engines were updated at once.
+func TestClockNarrowsEstimate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Clock: &Clock{}, Decode: func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: version}, nil }}
@@ -153,7 +153,7 @@
 		time.Sleep(time.Second)
 		w.Listed([]objectapi.Object{{Version: 30}}, At{Revision: 31, Sent: time.Now()}, true)
 		if left, _ := w.Left("m", "1", time.Now()); left != 7*time.Second {
-			t.Errorf("%v left, want 7s: version 2 was not there 2 s ago", left)
+			t.Errorf("%v left, want 7s: version 2 did not exist 2 s ago", left)
 		}
 	})
 }
@@ -163,7 +163,7 @@
 	return func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: *v}, nil }
 }
 
-// TestClockBefore checks what answers tell of since when a revision can be there.
+// TestClockBefore checks the bound that responses set for the age of a revision.
 func TestClockBefore(t *testing.T) {
 	t0 := time.Now()
 	at := func(rev objectapi.Revision, seconds time.Duration) At {
@@ -172,19 +172,19 @@
 	c := &Clock{}
 	h := c.Wrap(noHandler{})
 	if got := c.Before(5); !got.IsZero() {
-		t.Errorf("nothing is known, and yet %v", got)
+		t.Errorf("%v without any response, want zero", got)
 	}
 	h.Listed(nil, at(10, 1), false)
 	h.Unchanged(at(20, 2))
-	h.Unchanged(at(0, 4)) // a store that tells no revision
+	h.Unchanged(at(0, 4)) // a store that returns no revision
 	for rev, want := range map[objectapi.Revision]time.Time{5: {}, 10: {}, 11: t0.Add(time.Second), 20: t0.Add(time.Second), 21: t0.Add(2 * time.Second), 30: t0.Add(2 * time.Second)} {
 		if got := c.Before(rev); !got.Equal(want) {
 			t.Errorf("revision %d: %v, want %v", rev, got.Sub(t0), want.Sub(t0))
 		}
 	}
-	h.Unchanged(at(22, 1)) // from a peer, older than what is known
+	h.Unchanged(at(22, 1)) // from a peer, older than the recorded responses
 	if got := c.Before(30); !got.Equal(t0.Add(2 * time.Second)) {
-		t.Errorf("an older answer went before a newer one: %v", got.Sub(t0))
+		t.Errorf("an older response replaced a newer one: %v", got.Sub(t0))
 	}
 	var none *Clock
 	if got := none.Before(5); !got.IsZero() {
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestListIsNotItsOwnProof lists a version whose revision is above that of the list, as
-// one of several pages may: that list does not tell since when it is there.
-func TestListIsNotItsOwnProof(t *testing.T) {
+// TestListDoesNotDateItsOwnVersions lists a version whose revision is above that of the list, as one
+// of several pages may have: the list does not bound the age of that version.
+func TestListDoesNotDateItsOwnVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Clock: &Clock{}, Decode: decoder(&version)}
@@ -210,9 +210,9 @@
 	})
 }
 
-// TestFirstListIsAGuess starts a VM that has read another key space shortly before it
-// reads the weights: what its first list brings may be old all the same.
-func TestFirstListIsAGuess(t *testing.T) {
+// TestFirstListIsEstimated starts a VM that reads another key space shortly before it reads the
+// weights: the versions of its first list may still be old.
+func TestFirstListIsEstimated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Clock: &Clock{}, Decode: decoder(&version)}
@@ -226,9 +226,9 @@
 	})
 }
 
-// TestChangeIsAProof lists the store anew after a change had come: what is new in the list
-// counts from the question that the change answered.
-func TestChangeIsAProof(t *testing.T) {
+// TestChangeUpdatesProvenTime lists the store again after a change: versions that are new in the list
+// count from the send time of the call that returned the change.
+func TestChangeUpdatesProvenTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Decode: decoder(&version)}
@@ -246,9 +246,9 @@
 	})
 }
 
-// TestOlderNeverNamedLater hears of a newer version that is older than what is known of
-// the ones before it: these were named before it, and it bounds them all.
-func TestOlderNeverNamedLater(t *testing.T) {
+// TestDeclarationTimesAreMonotonic receives a newer version with a greater age than recorded for the
+// versions before it: these were declared earlier, and it bounds them all.
+func TestDeclarationTimesAreMonotonic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Decode: decoder(&version)}
@@ -269,44 +269,44 @@
 	})
 }
 
-// TestWordsOfPeers checks which words of peers count, and are told on: one that makes a
-// version older, or one in place of a guess, which is no guess then.
-func TestWordsOfPeers(t *testing.T) {
+// TestAgesReportedByPeers checks which reports of peers are applied and reported further: one that
+// makes a version older, and one that replaces an estimate.
+func TestAgesReportedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
 		w := &Weights{Decode: decoder(&version)}
 		w.SetWithin(10 * time.Second)
 		w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false) // taken to be 7 s old
-		age := func(after string, want time.Duration, told int) {
+		age := func(after string, want time.Duration, reported int) {
 			t.Helper()
-			if got := w.Since("m", time.Now()); got != want || len(w.Recent(time.Now())) != told {
-				t.Errorf("%s: %v old and told %v; want %v, %d", after, got, w.Recent(time.Now()), want, told)
+			if got := w.Since("m", time.Now()); got != want || len(w.Recent(time.Now())) != reported {
+				t.Errorf("%s: %v old and reported %v; want %v, %d", after, got, w.Recent(time.Now()), want, reported)
 			}
 		}
-		age("a guess", 7*time.Second, 0)
+		age("an estimate", 7*time.Second, 0)
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: 2 * time.Second}, time.Now())
-		age("a younger word", 2*time.Second, 1)
+		age("a smaller age", 2*time.Second, 1)
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: time.Second}, time.Now())
-		age("a still younger word", 2*time.Second, 1)
+		age("a still smaller age", 2*time.Second, 1)
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 1, Age: 4 * time.Second}, time.Now())
-		age("an older word", 4*time.Second, 1)
+		age("a greater age", 4*time.Second, 1)
 		w.ApplyPeerAge(VersionAge{Model: "other", Version: 1, Age: 9 * time.Second}, time.Now())
-		age("a word of another model, which the store has not shown", 4*time.Second, 1)
+		age("a report on another model, which the store has not returned", 4*time.Second, 1)
 		time.Sleep(16 * time.Second)
-		age("twice the time", 20*time.Second, 0)
+		age("twice the limit", 20*time.Second, 0)
 	})
 }
 
-// TestManyVersions names more versions than are remembered: the newest ones are.
+// TestManyVersions declares more versions than are kept: the newest ones are kept.
 func TestManyVersions(t *testing.T) {
 	version := uint64(1)
 	w := &Weights{Decode: decoder(&version)}
 	w.SetWithin(9 * time.Second)
 	w.Listed(nil, At{Sent: time.Now()}, false)
-	for ; version <= 3*keepVersions; version++ {
+	for ; version <= 3*maxVersions; version++ {
 		w.Changed([]objectapi.Object{{}}, At{Answered: time.Now()})
 	}
-	if kept := len(w.models["m"]); kept != keepVersions || w.Newest("m") != FormatVersion(3*keepVersions) {
-		t.Errorf("%d are kept, the newest is %s", kept, w.Newest("m"))
+	if kept := len(w.models["m"]); kept != maxVersions || w.Newest("m") != FormatVersion(3*maxVersions) {
+		t.Errorf("%d versions are kept, the newest is %s", kept, w.Newest("m"))
 	}
 }
