--- a/internal/follow/health.go
+++ b/internal/follow/health.go
@@ -42,59 +42,59 @@
 
 // reportFailure records that a call of f has failed, and cancels all pending watches. unavailable
 // says that the store did not answer the call.
-func (d *StoreHealth) reportFailure(f *Follower, unavailable bool) {
-	if d == nil {
+func (h *StoreHealth) reportFailure(f *Follower, unavailable bool) {
+	if h == nil {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.excluded[f] {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.excluded[f] {
 		return
 	}
-	if unavailable && d.prober == nil {
-		d.setProber(f)
-		d.recovered = make(chan struct{})
+	if unavailable && h.prober == nil {
+		h.setProber(f)
+		h.recovered = make(chan struct{})
 	}
-	if clock.Since(d.failedAt) < minRelistInterval {
+	if clock.Since(h.failedAt) < minRelistInterval {
 		return
 	}
-	d.failedAt = clock.Now()
-	for cancel := range d.waiting {
+	h.failedAt = clock.Now()
+	for cancel := range h.waiting {
 		(*cancel)(errRelist)
 	}
 }
 
 // reportSuccess records that the store has answered f.
-func (d *StoreHealth) reportSuccess(f *Follower) {
-	if d == nil {
+func (h *StoreHealth) reportSuccess(f *Follower) {
+	if h == nil {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.excluded, f)
-	if d.prober == nil {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.excluded, f)
+	if h.prober == nil {
 		return
 	}
-	delete(d.probed, f)
-	d.excluded, d.probed = d.probed, nil // until the store answers these followers
-	d.prober = nil
-	close(d.recovered)
+	delete(h.probed, f)
+	h.excluded, h.probed = h.probed, nil // until the store answers these followers
+	h.prober = nil
+	close(h.recovered)
 }
 
 // setProber makes f the follower that probes the unavailable store. The caller holds the lock.
-func (d *StoreHealth) setProber(f *Follower) {
-	if d.probed == nil {
-		d.probed = map[*Follower]bool{}
+func (h *StoreHealth) setProber(f *Follower) {
+	if h.probed == nil {
+		h.probed = map[*Follower]bool{}
 	}
-	d.prober = f
-	d.probed[f] = true
+	h.prober = f
+	h.probed[f] = true
 }
 
 // awaitTurn waits until f may call the store: immediately, unless another follower probes it.
 // It returns whether the store was unavailable.
-func (d *StoreHealth) awaitTurn(ctx context.Context, f *Follower) (unavailable bool) {
+func (h *StoreHealth) awaitTurn(ctx context.Context, f *Follower) (unavailable bool) {
 	for ctx.Err() == nil {
-		prober, recovered := d.currentProber()
+		prober, recovered := h.currentProber()
 		if prober == nil || prober == f {
 			return unavailable
 		}
@@ -104,7 +104,7 @@
 		case <-ctx.Done():
 		case <-recovered:
 		case <-limit.C:
-			d.replaceProber(prober, f)
+			h.replaceProber(prober, f)
 		}
 		limit.Stop()
 	}
@@ -113,41 +113,41 @@
 
 // currentProber returns the follower that probes the store, and a channel that is closed when the
 // store is available again. The prober is nil if the store is available.
-func (d *StoreHealth) currentProber() (*Follower, chan struct{}) {
-	if d == nil {
+func (h *StoreHealth) currentProber() (*Follower, chan struct{}) {
+	if h == nil {
 		return nil, nil
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.prober, d.recovered
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.prober, h.recovered
 }
 
 // replaceProber makes f the prober in place of the given one, unless a third follower already is.
-func (d *StoreHealth) replaceProber(prober, f *Follower) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.prober == prober {
-		d.setProber(f)
+func (h *StoreHealth) replaceProber(prober, f *Follower) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.prober == prober {
+		h.setProber(f)
 	}
 }
 
 // watchContext returns a context that ends when a call of another follower fails. The caller must
 // call stop.
-func (d *StoreHealth) watchContext(ctx context.Context) (watch context.Context, stop func()) {
+func (h *StoreHealth) watchContext(ctx context.Context) (watch context.Context, stop func()) {
 	watch, cancel := context.WithCancelCause(ctx)
-	if d == nil {
+	if h == nil {
 		return watch, func() { cancel(nil) }
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.waiting == nil {
-		d.waiting = map[*context.CancelCauseFunc]struct{}{}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.waiting == nil {
+		h.waiting = map[*context.CancelCauseFunc]struct{}{}
 	}
-	d.waiting[&cancel] = struct{}{}
+	h.waiting[&cancel] = struct{}{}
 	return watch, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		delete(d.waiting, &cancel)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		delete(h.waiting, &cancel)
 		cancel(nil)
 	}
 }
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -182,8 +182,8 @@
 	n.outbox.Fill(update, maxUpdateBytes)
 	senders := n.updateSenders(ctx)
 	update.Suspects = suspectsProto(n.Crashes.DueReports(len(senders)))
-	for _, t := range senders {
-		t.ring.TryPut(update)
+	for _, s := range senders {
+		s.ring.TryPut(update)
 	}
 }
 
--- a/internal/peers/sender.go
+++ b/internal/peers/sender.go
@@ -47,30 +47,30 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []*sender
-	for vm, t := range n.senders {
-		if wanted[vm] != t.addr {
-			t.stop()
+	for vm, s := range n.senders {
+		if wanted[vm] != s.addr {
+			s.stop()
 			delete(n.senders, vm)
 		}
 	}
 	for vm, addr := range wanted {
-		t := n.senders[vm]
-		if t == nil {
+		s := n.senders[vm]
+		if s == nil {
 			tctx, stop := context.WithCancel(ctx)
-			t = &sender{n: n, vm: vm, addr: addr, ring: ring.New[*peerpb.News](senderQueueSize), stop: stop}
-			n.senders[vm] = t
-			go t.run(tctx)
+			s = &sender{n: n, vm: vm, addr: addr, ring: ring.New[*peerpb.News](senderQueueSize), stop: stop}
+			n.senders[vm] = s
+			go s.run(tctx)
 		}
-		out = append(out, t)
+		out = append(out, s)
 	}
 	return out
 }
 
 // run opens streams and sends the queued messages until ctx ends.
-func (t *sender) run(ctx context.Context) {
+func (s *sender) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if t.stream(ctx) != nil {
-			t.n.Failures.Add(1)
+		if s.stream(ctx) != nil {
+			s.n.Failures.Add(1)
 		}
 		timing.Sleep(ctx, reconnectDelay)
 	}
@@ -78,30 +78,30 @@
 
 // stream sends updates to one peer until the stream breaks. The first message names this VM, so
 // that later ones need not.
-func (t *sender) stream(ctx context.Context) error {
-	c, err := t.n.client(t.addr)
+func (s *sender) stream(ctx context.Context) error {
+	c, err := s.n.client(s.addr)
 	if err != nil {
 		return err
 	}
-	s, err := c.Tell(ctx)
+	stream, err := c.Tell(ctx)
 	if err != nil {
 		return err
 	}
 	hello := &peerpb.News{
-		Vm: string(t.n.VM), Incarnation: uint64(t.n.Incarnation),
-		Hlc: uint64(t.n.Events.Clock().Now()), Beat: t.n.beat(),
+		Vm: string(s.n.VM), Incarnation: uint64(s.n.Incarnation),
+		Hlc: uint64(s.n.Events.Clock().Now()), Beat: s.n.beat(),
 	}
 	for m := hello; ; {
-		if err := s.Send(m); err != nil {
+		if err := stream.Send(m); err != nil {
 			return err
 		}
-		t.n.Messages.Add(1)
+		s.n.Messages.Add(1)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.Context().Done():
-			return s.Context().Err()
-		case m = <-t.ring.Out():
+		case <-stream.Context().Done():
+			return stream.Context().Err()
+		case m = <-s.ring.Out():
 		}
 	}
 }
