--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -33,7 +33,7 @@
 // since. The engine must keep receiving calls.
 func TestOrderToFormerIncarnation(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
 	d.onOrder(news.Order{Target: "e1", Weights: "2", Incarnation: 100})
 	if d.Fleet.Members.Targets(time.Now())[0].BreakerOpen {
 		t.Error("calls are withheld for an order to a former incarnation")
@@ -48,7 +48,7 @@
 // that has restarted at another address. The restarted replica must stay in service.
 func TestEndedIncarnation(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 200}}, time.Now())
 	d.onReplicaEnded("e1", 100)
 	if got := d.Fleet.StateOf("e1"); got == routing.Leaving {
 		t.Error("the replica is leaving because of its former incarnation")
@@ -63,7 +63,7 @@
 // while the order lasts, and calls again as soon as it is done.
 func TestOrderWithholdsCalls(t *testing.T) {
 	d := newDaemon(t, settings.Edge{})
-	d.Fleet.Members.Platform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 1}}, time.Now())
+	d.Fleet.Members.ApplyPlatform([]platform.Record{{ID: "e1", Role: platform.RoleEngine, Model: "m", Incarnation: 1}}, time.Now())
 	open := func(at time.Time) bool { return d.Fleet.Members.Targets(at)[0].BreakerOpen }
 	if open(time.Now()) {
 		t.Fatal("the replica gets no calls before an order")
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -75,7 +75,7 @@
 
 	DecodeConfig  func(value []byte) (catalog.Declaration, error)
 	DecodeReplica func(o objectapi.Object) (platform.Record, error)
-	DecodeWeights func(value []byte) (follow.NamedWeights, error)
+	DecodeWeights func(value []byte) (follow.DesiredWeights, error)
 
 	// DecodeOrder decodes an operator's order for a version of a service's software, and
 	// EncodeOrderStatus encodes its result.
@@ -220,10 +220,10 @@
 		d.adapter.Meter.CrossDomain = d.crossDomain
 	}
 	d.Replicas = &follow.Replicas{
-		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, Gone: d.forgetReplica(client), Named: d.hasService, ReturnGrace: regainGrace, Log: d.Log,
-		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Most: edge.Subset},
+		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, OnGone: d.forgetReplica(client), Configured: d.hasService, ReturnGrace: regainGrace, Log: d.Log,
+		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Max: edge.Subset},
 	}
-	d.Fleet.KnownFraction = d.Replicas.Part
+	d.Fleet.KnownFraction = d.Replicas.KnownFraction
 	d.Fleet.MaxSnapshotAge = refreshEvery
 	d.Weights = &follow.Weights{Decode: d.adapter.DecodeWeights, Clock: &follow.Clock{}, Log: d.Log}
 	d.Weights.SetWithin(edge.WeightsWithin.D() - weightsMargin)
@@ -231,7 +231,7 @@
 	d.Forward = &forward.Forwarder{
 		VM: s.VM, Domain: s.FailureDomain, Catalog: d.Catalog, Fleet: d.Fleet, Upstream: client,
 		Dialect: d.adapter.Dialect, Budgets: d.budgets, KV: planner, Weights: d.Weights, Log: d.Log,
-		AddRendezvousTargets: d.Replicas.Visit,
+		AddRendezvousTargets: d.Replicas.AddRendezvousTargets,
 		ObserveWeights:       func(id ids.Target, w ids.WeightsVersion) { d.Replicas.SetWeights(id, w, "answer") },
 		Tuning: forward.Tuning{
 			MaxBodyMemory:     int64(float64(edge.MemoryMB<<20) * bodyShare),
@@ -268,10 +268,10 @@
 		VM: s.VM, FailureDomain: s.FailureDomain, Listen: s.PeerListen, TreeFrom: s.Edge.TreeFleet, Load: d.Fleet.Load, OnOrder: d.onOrder, Meter: d.adapter.Meter,
 		Unresponsive: d.feeds.Unresponsive, RecentWeights: d.recentWeights,
 		OnRecentWeights: func(n news.RecentWeights) {
-			d.Weights.Heard(follow.Age{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
+			d.Weights.ApplyPeerAge(follow.VersionAge{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
 		OnUnresponsive: func(peer ids.VM, silent []ids.Target) {
-			d.Fleet.Members.PeerLost(peer, silent, clock.Now())
+			d.Fleet.Members.SetLostByPeer(peer, silent, clock.Now())
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.leaseLapse, OnLeaseLapse: d.onLeaseLapse, Crashes: d.crashes, Allowances: d.allowances,
@@ -306,7 +306,7 @@
 func (d *Daemon) onContact(s kvfeed.Source, alive bool) {
 	now := clock.Now()
 	if !s.Store {
-		d.Fleet.Members.Contact(s.ID, alive, now)
+		d.Fleet.Members.SetReachable(s.ID, alive, now)
 		return
 	}
 	d.Forward.KV.StoreDown(s.Addr, !alive, now)
@@ -321,7 +321,7 @@
 	if inc < d.Fleet.Members.Incarnation(id) {
 		return
 	}
-	d.Fleet.Members.Leaves(id, inc)
+	d.Fleet.Members.MarkLeaving(id, inc)
 	d.Forward.Upstream.Drop(id)
 	d.Fleet.MarkDirty()
 	d.Log.State("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -78,7 +78,7 @@
 	for _, s := range out {
 		read = append(read, s.ID)
 	}
-	d.Replicas.Hold(read)
+	d.Replicas.Pin(read)
 	for _, kv := range c.KVStores {
 		if id := forward.StoreTarget(kv.Addr); d.readsFeed(id, kv.FailureDomain) {
 			out = append(out, kvfeed.Source{ID: id, Addr: kv.Addr, Store: true})
@@ -175,7 +175,7 @@
 func (d *Daemon) checkReaders() {
 	now := clock.Now()
 	within := max(suspectAfter, suspectAfterRounds*d.news.RoundInterval())
-	for _, r := range d.Replicas.Working() {
+	for _, r := range d.Replicas.Active() {
 		if r.Role != platform.RoleEngine {
 			continue
 		}
@@ -188,9 +188,9 @@
 		}
 		switch {
 		case !responsive:
-			d.Fleet.Members.Doubt(ids.Target(r.ID), now.Add(suspectFor))
+			d.Fleet.Members.SuspectUntil(ids.Target(r.ID), now.Add(suspectFor))
 		case sameDomain: // a reader in its own failure domain is responsive again
-			d.Fleet.Members.Doubt(ids.Target(r.ID), now)
+			d.Fleet.Members.SuspectUntil(ids.Target(r.ID), now)
 		}
 	}
 }
--- a/internal/edge/feeds_test.go
+++ b/internal/edge/feeds_test.go
@@ -120,7 +120,7 @@
 // 985 other VMs that had started at the same time.
 func TestFeedsWithoutLivePeers(t *testing.T) {
 	d, _ := newDaemonInFleet(t, nil)
-	d.Replicas.Subset.Most = 256
+	d.Replicas.Subset.Max = 256
 	d.started = time.Now().Add(-time.Minute)
 	d.Catalog.Adopt(catalog.New(catalog.Declaration{Version: 1, Services: []catalog.Service{{Name: "s", Engine: &catalog.Engine{}}}}))
 	var objects []objectapi.Object
@@ -138,7 +138,7 @@
 	if again := d.feedSources(); !slices.Equal(first, again) {
 		t.Error("repeated calls return different feeds")
 	}
-	if n := len(d.Replicas.Working()); n > 256+maxFeeds {
+	if n := len(d.Replicas.Active()); n > 256+maxFeeds {
 		t.Errorf("the VM works with %d replicas", n)
 	}
 }
