--- a/internal/yardstick/moves.go
+++ b/internal/yardstick/moves.go
@@ -26,38 +26,38 @@
 // queues is exact. It models no batches, preemption, faults or rollouts: it tells policies
 // of moves apart, and not how many calls are late.
 
-// MoveLoad is a load with its fleet, as a file says it.
-type MoveLoad struct {
-	Seconds      float64     `json:"seconds" validate:"gt=0"`
-	Engines      int         `json:"engines" validate:"min=1"`
-	Domains      int         `json:"domains" validate:"min=1"`
-	EngineTokens int         `json:"engine_tokens" validate:"min=1"`
-	PrefillPerS  float64     `json:"prefill_per_s" validate:"gt=0"` // tokens
-	TokenBytes   float64     `json:"token_bytes" validate:"gt=0"`
-	LinkGbitS    float64     `json:"link_gbit_s" validate:"gt=0"`
-	StoreTokens  int         `json:"store_tokens" validate:"min=0"`
-	Routes       []MoveRoute `json:"routes" validate:"min=1,dive"`
+// TransferWorkload is a load with its fleet, as a file says it.
+type TransferWorkload struct {
+	Seconds      float64         `json:"seconds" validate:"gt=0"`
+	Engines      int             `json:"engines" validate:"min=1"`
+	Domains      int             `json:"domains" validate:"min=1"`
+	EngineTokens int             `json:"engine_tokens" validate:"min=1"`
+	PrefillPerS  float64         `json:"prefill_per_s" validate:"gt=0"` // tokens
+	TokenBytes   float64         `json:"token_bytes" validate:"gt=0"`
+	LinkGbitS    float64         `json:"link_gbit_s" validate:"gt=0"`
+	StoreTokens  int             `json:"store_tokens" validate:"min=0"`
+	Routes       []TransferRoute `json:"routes" validate:"min=1,dive"`
 }
 
-// MoveRoute is one kind of prompt.
-type MoveRoute struct {
-	Name     string      `json:"name" validate:"required"`
-	PerS     float64     `json:"per_s" validate:"gt=0"`
-	Levels   []MoveLevel `json:"levels" validate:"dive"`
-	Own      float64     `json:"own" validate:"gt=0"`           // mean tokens
-	Spread   float64     `json:"spread" validate:"min=0"`       // of their logarithm
-	OutputMs float64     `json:"output_ms" validate:"required"` // for which a run stays in memory
+// TransferRoute is one kind of prompt.
+type TransferRoute struct {
+	Name     string          `json:"name" validate:"required"`
+	PerS     float64         `json:"per_s" validate:"gt=0"`
+	Levels   []TransferLevel `json:"levels" validate:"dive"`
+	Suffix   float64         `json:"own" validate:"gt=0"`           // mean tokens
+	Spread   float64         `json:"spread" validate:"min=0"`       // of their logarithm
+	OutputMs float64         `json:"output_ms" validate:"required"` // for which a run stays in memory
 }
 
-// MoveLevel is a part that prompts share: one of so many things of so many tokens.
-type MoveLevel struct {
-	Tokens int32 `json:"tokens" validate:"min=1"`
-	Things int   `json:"things" validate:"min=1"`
+// TransferLevel is a part that prompts share: one of so many things of so many tokens.
+type TransferLevel struct {
+	Tokens   int32 `json:"tokens" validate:"min=1"`
+	Distinct int   `json:"things" validate:"min=1"`
 }
 
-// ReadMoveLoad reads and checks a load: JSON with comments.
-func ReadMoveLoad(path string) (MoveLoad, error) {
-	var l MoveLoad
+// ReadTransferWorkload reads and checks a load: JSON with comments.
+func ReadTransferWorkload(path string) (TransferWorkload, error) {
+	var l TransferWorkload
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return l, eris.Wrap(err, "read load")
@@ -74,23 +74,23 @@
 	return l, eris.Wrapf(validator.New(validator.WithRequiredStructEnabled()).Struct(l), "load %s", path)
 }
 
-// MovePolicy plans what moves along with a prompt.
-type MovePolicy func(verdict.Prompt, verdict.Locations) verdict.TransferPlan
+// TransferPolicy plans what moves along with a prompt.
+type TransferPolicy func(verdict.Prompt, verdict.Locations) verdict.TransferPlan
 
-// MoveResult is what became of a load.
-type MoveResult struct {
-	Prompts   int
-	Computed  float64                    // tokens
-	Again     float64                    // of them, shared ones that an engine had computed before
-	Moved     float64                    // tokens over links
-	Saves     int                        // that reached the store
-	SavesLost int                        // that found the link taken for too long
-	Waits     map[string][]time.Duration // until the first token, by route, sorted
+// TransferResult is what became of a load.
+type TransferResult struct {
+	Prompts          int
+	Computed         float64                    // tokens
+	RecomputedShared float64                    // of them, shared ones that an engine had computed before
+	Transferred      float64                    // tokens over links
+	Saves            int                        // that reached the store
+	SavesSkipped     int                        // that found the link taken for too long
+	TTFT             map[string][]time.Duration // until the first token, by route, sorted
 }
 
 // Quantile returns a quantile of a route's waits.
-func (r *MoveResult) Quantile(route string, q float64) time.Duration {
-	w := r.Waits[route]
+func (r *TransferResult) Quantile(route string, q float64) time.Duration {
+	w := r.TTFT[route]
 	if len(w) == 0 {
 		return 0
 	}
@@ -99,15 +99,15 @@
 
 // moveWorld is one run. Times are seconds since its start.
 type moveWorld struct {
-	l       MoveLoad
-	policy  MovePolicy
+	l       TransferWorkload
+	policy  TransferPolicy
 	router  *routing.Router
 	rnd     *rand.Rand
 	engines []*moveEngine
 	store   *moveEngine
 	view    routing.View
 	done    map[prefix.ID]bool // shared parts that were computed before
-	res     *MoveResult
+	res     *TransferResult
 	scratch routing.Scratch
 	seq     uint64
 }
@@ -137,11 +137,11 @@
 // linkWait is the longest wait for a link with which a transfer is begun, in seconds.
 const linkWait = 2
 
-// ReplayMoves plays a load under a policy.
-func ReplayMoves(l MoveLoad, policy MovePolicy, seed uint64) *MoveResult {
+// ReplayTransfers plays a load under a policy.
+func ReplayTransfers(l TransferWorkload, policy TransferPolicy, seed uint64) *TransferResult {
 	w := &moveWorld{
 		l: l, policy: policy, router: routing.NewFetching(), rnd: rand.New(rand.NewPCG(seed, 7)), done: map[prefix.ID]bool{},
-		res: &MoveResult{Waits: map[string][]time.Duration{}}, store: newMoveEngine(storeAddr, "d0", l.StoreTokens),
+		res: &TransferResult{TTFT: map[string][]time.Duration{}}, store: newMoveEngine(storeAddr, "d0", l.StoreTokens),
 	}
 	for i := range l.Engines {
 		e := newMoveEngine(fmt.Sprint("e", i), ids.FailureDomain(fmt.Sprint("d", i%l.Domains)), l.EngineTokens)
@@ -155,7 +155,7 @@
 	for now := w.rnd.ExpFloat64() / rate; now < l.Seconds; now += w.rnd.ExpFloat64() / rate {
 		w.serve(now, w.draw(rate))
 	}
-	for _, waits := range w.res.Waits {
+	for _, waits := range w.res.TTFT {
 		slices.Sort(waits)
 	}
 	return w.res
@@ -167,7 +167,7 @@
 
 // movePrompt is one drawn prompt.
 type movePrompt struct {
-	route  *MoveRoute
+	route  *TransferRoute
 	levels []prefix.Level // of shared parts, with their ends
 	own    prefix.ID
 	tokens int32
@@ -185,12 +185,12 @@
 	}
 	for i, level := range p.route.Levels {
 		p.tokens += level.Tokens
-		id := prefix.ID(uint64(at+1)<<40 | uint64(i+1)<<32 | uint64(w.rnd.IntN(level.Things)+1))
+		id := prefix.ID(uint64(at+1)<<40 | uint64(i+1)<<32 | uint64(w.rnd.IntN(level.Distinct)+1))
 		p.levels = append(p.levels, prefix.Level{ID: id, Tokens: p.tokens})
 	}
 	w.seq++
 	p.own = prefix.ID(1<<60 | w.seq)
-	p.tokens += max(int32(p.route.Own*math.Exp(p.route.Spread*w.rnd.NormFloat64()-p.route.Spread*p.route.Spread/2)), 1)
+	p.tokens += max(int32(p.route.Suffix*math.Exp(p.route.Spread*w.rnd.NormFloat64()-p.route.Spread*p.route.Spread/2)), 1)
 	return p
 }
 
@@ -260,7 +260,7 @@
 	for _, l := range p.levels {
 		if l.Tokens > held {
 			if w.done[l.ID] {
-				w.res.Again += float64(l.Tokens - max(last, held))
+				w.res.RecomputedShared += float64(l.Tokens - max(last, held))
 			}
 			w.done[l.ID] = true
 		}
@@ -269,7 +269,7 @@
 	}
 	e.put(p.own, int(p.tokens-last), now, end, end+p.route.OutputMs/1000)
 	e.ends = append(e.ends, end+p.route.OutputMs/1000)
-	w.res.Waits[p.route.Name] = append(w.res.Waits[p.route.Name], time.Duration((end-now)*float64(time.Second)))
+	w.res.TTFT[p.route.Name] = append(w.res.TTFT[p.route.Name], time.Duration((end-now)*float64(time.Second)))
 	if m.Save {
 		w.save(end, e, p)
 	}
@@ -292,7 +292,7 @@
 	}
 	end, ok := w.transfer(now, e, w.store, float64(lacks))
 	if !ok {
-		w.res.SavesLost++
+		w.res.SavesSkipped++
 		return
 	}
 	w.res.Saves++
@@ -325,7 +325,7 @@
 	}
 	end = begin + took
 	from.link, to.link = end, end
-	w.res.Moved += tokens
+	w.res.Transferred += tokens
 	return end, true
 }
 
--- a/internal/yardstick/moves_test.go
+++ b/internal/yardstick/moves_test.go
@@ -33,16 +33,16 @@
 // compare plays the load with shared prompts under two policies, seed by seed, and returns
 // the mean of a figure's difference, without minus with the product's policy, and its
 // standard error.
-func compare(t *testing.T, without MovePolicy, figure func(*MoveResult) float64) (mean, se float64) {
+func compare(t *testing.T, without TransferPolicy, figure func(*TransferResult) float64) (mean, se float64) {
 	t.Helper()
-	l, err := ReadMoveLoad("testdata/shared-prompts.json")
+	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seeds = 8
 	var d [seeds]float64
 	for seed := range d {
-		d[seed] = figure(ReplayMoves(l, without, uint64(seed+1))) - figure(ReplayMoves(l, verdict.PlanTransfer, uint64(seed+1)))
+		d[seed] = figure(ReplayTransfers(l, without, uint64(seed+1))) - figure(ReplayTransfers(l, verdict.PlanTransfer, uint64(seed+1)))
 		mean += d[seed] / seeds
 	}
 	for _, x := range d {
@@ -54,19 +54,19 @@
 // TestSavesWithLittleBesides replays the load for which own parts bar a save: with a save
 // along with every prompt the store fills with parts that nobody asks for.
 func TestSavesWithLittleBesides(t *testing.T) {
-	moved, se := compare(t, saveAlways, func(r *MoveResult) float64 { return r.Moved / 1000 })
+	moved, se := compare(t, saveAlways, func(r *TransferResult) float64 { return r.Transferred / 1000 })
 	t.Logf("moved without the bar, beyond what is with it: %.0f thousand tokens, standard error %.0f", moved, se)
 	if moved < 3*se || moved < 100 {
 		t.Errorf("the bar on saves spares %.0f thousand moved tokens, standard error %.0f", moved, se)
 	}
-	lost, se := compare(t, saveAlways, func(r *MoveResult) float64 { return float64(r.SavesLost) })
+	lost, se := compare(t, saveAlways, func(r *TransferResult) float64 { return float64(r.SavesSkipped) })
 	t.Logf("saves lost: %.1f more, standard error %.1f", lost, se)
 }
 
 // TestShortPromptsDontWaitForLinks replays the load for which small moves are left out: with
 // them short prompts wait behind transfers of long ones.
 func TestShortPromptsDontWaitForLinks(t *testing.T) {
-	wait, se := compare(t, moveAnything, func(r *MoveResult) float64 { return r.Quantile("short", 0.95).Seconds() * 1000 })
+	wait, se := compare(t, moveAnything, func(r *TransferResult) float64 { return r.Quantile("short", 0.95).Seconds() * 1000 })
 	t.Logf("the wait of 95 in 100 short prompts: %.1f ms more, standard error %.1f", wait, se)
 	if wait < 3*se || wait < 1 {
 		t.Errorf("leaving small moves out spares 95 in 100 short prompts %.1f ms, standard error %.1f", wait, se)
@@ -75,12 +75,12 @@
 
 // TestReplayRepeats checks that a seed gives the same figures each time.
 func TestReplayRepeats(t *testing.T) {
-	l, err := ReadMoveLoad("testdata/shared-prompts.json")
+	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := ReplayMoves(l, verdict.PlanTransfer, 3), ReplayMoves(l, verdict.PlanTransfer, 3)
-	if a.Moved != b.Moved || a.Again != b.Again || a.Quantile("long", 0.9) != b.Quantile("long", 0.9) {
+	a, b := ReplayTransfers(l, verdict.PlanTransfer, 3), ReplayTransfers(l, verdict.PlanTransfer, 3)
+	if a.Transferred != b.Transferred || a.RecomputedShared != b.RecomputedShared || a.Quantile("long", 0.9) != b.Quantile("long", 0.9) {
 		t.Errorf("%+v and %+v of one seed", a, b)
 	}
 	if a.Prompts < 1500 || a.Quantile("long", 0.5) <= 0 || a.Quantile("none", 0.5) != time.Duration(0) {
@@ -97,7 +97,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ReadMoveLoad(path); err == nil {
+		if _, err := ReadTransferWorkload(path); err == nil {
 			t.Errorf("%s: it was taken", name)
 		}
 	}
--- a/internal/yardstick/policies.go
+++ b/internal/yardstick/policies.go
@@ -65,8 +65,8 @@
 	return []Policy{
 		{Name: "cost, exact cache", Router: routing.NewCost, ExactCache: true},
 		{Name: "cost, exact load", Router: routing.NewCost, ExactLoad: true},
-		{Name: "cost, no feed", Router: routing.NewCost, Knowledge: Knowledge{NoFeed: true}},
-		{Name: "cost, no peers", Router: routing.NewCost, Knowledge: Knowledge{NoPeers: true}},
-		{Name: "cost, no expect", Router: routing.NewCost, Knowledge: Knowledge{NoExpect: true}},
+		{Name: "cost, no feed", Router: routing.NewCost, Ablation: Ablation{NoFeed: true}},
+		{Name: "cost, no peers", Router: routing.NewCost, Ablation: Ablation{NoPeers: true}},
+		{Name: "cost, no expect", Router: routing.NewCost, Ablation: Ablation{NoExpect: true}},
 	}
 }
--- a/internal/yardstick/report.go
+++ b/internal/yardstick/report.go
@@ -34,8 +34,8 @@
 // answered: 1 when all fare alike.
 func (r *Result) Fairness() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
-	for ws, asked := range r.Asked {
-		part := float64(r.ByWorkspace[ws]) / float64(max(asked, 1))
+	for ws, asked := range r.RequestsByWorkspace {
+		part := float64(r.CompletedByWorkspace[ws]) / float64(max(asked, 1))
 		sum += part
 		squares += part * part
 		n++
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -25,12 +25,12 @@
 	Exact bool
 	// ExactCache and ExactLoad give the true state of one of the two only.
 	ExactCache, ExactLoad bool
-	// Variant changes what a decider knows; see the fields of Knowledge.
-	Knowledge Knowledge
+	// Variant changes what a decider knows; see the fields of Ablation.
+	Ablation Ablation
 }
 
-// Knowledge switches sources of knowledge off, to measure what each is worth.
-type Knowledge struct {
+// Ablation switches sources of knowledge off, to measure what each is worth.
+type Ablation struct {
 	NoExpect bool // a dispatched prompt counts as cached only once answered
 	NoPeers  bool // beliefs are not told to peers
 	NoFeed   bool // engines' cache events are not read
@@ -53,13 +53,13 @@
 // Result is one policy's figures on one workload.
 type Result struct {
 	Workload, Policy               string
-	Requests, Whole, Failed        int
+	Requests, Completed, Failed    int
 	Refused, Attempts              int
-	Told                           int   // beliefs that deciders told their peers
+	SentEntries                    int   // beliefs that deciders told their peers
 	Prompt, Recomputed, Wasted     int64 // tokens
 	TTFT                           *hdrhistogram.Histogram
-	ByWorkspace                    map[ids.Workspace]int // whole answers
-	Asked                          map[ids.Workspace]int
+	CompletedByWorkspace           map[ids.Workspace]int // whole answers
+	RequestsByWorkspace            map[ids.Workspace]int
 	WindowHit                      []float64 // hit rate by second
 	WindowTTFT                     []float64 // mean seconds, by second
 	windowPrompt, windowRecomputed []int64
@@ -107,7 +107,7 @@
 		end: start.Add(w.Duration), oracle: p.Router(),
 		res: &Result{
 			Workload: w.Name, Policy: p.Name, TTFT: hdrhistogram.New(1, ttftMax, ttftDigits),
-			ByWorkspace: map[ids.Workspace]int{}, Asked: map[ids.Workspace]int{},
+			CompletedByWorkspace: map[ids.Workspace]int{}, RequestsByWorkspace: map[ids.Workspace]int{},
 		},
 	}
 	x.build()
@@ -134,7 +134,7 @@
 		})
 	}
 	x.records = records
-	for i := range x.w.Deciders {
+	for i := range x.w.VMs {
 		x.deciders = append(x.deciders, x.newDecider(i, records))
 	}
 	for i, e := range x.engines {
@@ -161,7 +161,7 @@
 		budget: retry.NewBudget(retry.DefaultRatio, retry.DefaultBurst, retry.DefaultWindow, x.now),
 		domain: x.w.domain(i),
 	}
-	if x.w.Gate != nil && !x.p.Knowledge.NoGate {
+	if x.w.Gate != nil && !x.p.Ablation.NoGate {
 		d.gate = x.w.Gate(x.now)
 	}
 	d.f.Members.Platform(records, x.now())
@@ -178,7 +178,7 @@
 		x.report(e)
 		x.clk.every(reportEvery, x.end, func() { x.report(e) })
 	})
-	if !x.p.Knowledge.NoFeed {
+	if !x.p.Ablation.NoFeed {
 		reader := x.deciders[i%len(x.deciders)]
 		x.clk.every(feedEvery, x.end, func() { x.readFeed(e, reader) })
 	}
@@ -213,8 +213,8 @@
 func (x *world) tellPeers() {
 	for i, d := range x.deciders {
 		fresh := d.f.Cache.TakeNewEntries()
-		x.res.Told += len(fresh)
-		if x.p.Knowledge.NoPeers {
+		x.res.SentEntries += len(fresh)
+		if x.p.Ablation.NoPeers {
 			continue
 		}
 		x.clk.after(tellLag, func() {
@@ -262,7 +262,7 @@
 func (x *world) ask(p prompt) {
 	r := &request{prompt: p, d: x.deciders[x.callers.IntN(len(x.deciders))], came: x.now()}
 	x.res.Requests++
-	x.res.Asked[p.workspace]++
+	x.res.RequestsByWorkspace[p.workspace]++
 	r.d.budget.Deposit()
 	x.attempt(r)
 }
@@ -332,7 +332,7 @@
 
 func (x *world) dispatch(r *request, e *fakeEngine, dec routing.Decision) {
 	var prior cacheview.Prior
-	if !x.p.Knowledge.NoExpect {
+	if !x.p.Ablation.NoExpect {
 		prior = r.d.f.Cache.Expect(e.id, r.prompt.levels, int32(r.prompt.tokens)-dec.Cached)
 	}
 	r.d.f.Members.Trying(e.id, x.now())
@@ -370,8 +370,8 @@
 		r.d.f.Members.Succeeded(t)
 		r.d.f.Load.ObserveResponse(int32(r.prompt.tokens), int32(cached))
 		r.d.f.Cache.ApplyResponse(t, life, r.prompt.levels, prior, int32(cached))
-		x.res.Whole++
-		x.res.ByWorkspace[r.prompt.workspace]++
+		x.res.Completed++
+		x.res.CompletedByWorkspace[r.prompt.workspace]++
 		return
 	}
 	r.d.f.Members.Failed(t, x.now())
--- a/internal/yardstick/workloads.go
+++ b/internal/yardstick/workloads.go
@@ -20,7 +20,7 @@
 	Seed            uint64
 	Duration        time.Duration
 	Engines         int
-	Deciders        int
+	VMs             int
 	Domains         int
 	Models          int
 	Workspaces      int
@@ -154,16 +154,16 @@
 // Workloads returns the workloads of docs/design/routing.md.
 func Workloads(seed uint64) []Workload {
 	solano := Workload{
-		Name: "solano", Seed: seed, Duration: 60 * time.Second, Engines: 9, Deciders: 8, Domains: 4, Workspaces: 8, Engine: yardEngine,
+		Name: "solano", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: yardEngine,
 		Rate: 28, Burst: 1.8, Levels: []int{6000, 1200, 900}, Items: 40, Output: 60, RecomputeWeight: 0.05, EventLoss: 0.05,
 	}
 	barreras := Workload{
-		Name: "barreras", Seed: seed, Duration: 60 * time.Second, Engines: 9, Deciders: 8, Domains: 4, Workspaces: 8, Engine: plannerEngine,
+		Name: "barreras", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: plannerEngine,
 		Rate: 30, Levels: []int{5000, 1000, 9000}, Items: 48, HotItems: 4, ShiftEvery: 20 * time.Second, Output: 60,
 		RecomputeWeight: 0.8, EventLoss: 0.05,
 	}
 	domain := Workload{
-		Name: "domain", Seed: seed, Duration: 30 * time.Second, Engines: 153, Deciders: 22, Domains: 1, Models: 3, Workspaces: 34,
+		Name: "domain", Seed: seed, Duration: 30 * time.Second, Engines: 153, VMs: 22, Domains: 1, Models: 3, Workspaces: 34,
 		Engine: plannerEngine, Rate: 450, Levels: []int{5000, 1200, 3000}, Items: 60, HotItems: 6, ShiftEvery: 10 * time.Second,
 		Output: 60, RecomputeWeight: 0.2, EventLoss: 0.05,
 	}
--- a/internal/yardstick/yardstick_test.go
+++ b/internal/yardstick/yardstick_test.go
@@ -67,7 +67,7 @@
 func TestSameSeedSameFigures(t *testing.T) {
 	w := workload(t, "solano")
 	a, b := Run(w, Product()), Run(w, Product())
-	if a.Recomputed != b.Recomputed || a.Quantile(99) != b.Quantile(99) || a.Whole != b.Whole {
+	if a.Recomputed != b.Recomputed || a.Quantile(99) != b.Quantile(99) || a.Completed != b.Completed {
 		t.Fatalf("%d %d, %v %v", a.Recomputed, b.Recomputed, a.Quantile(99), b.Quantile(99))
 	}
 }
