--- a/internal/yardstick/engine.go
+++ b/internal/yardstick/engine.go
@@ -1,7 +1,8 @@
-// Package yardstick measures routing policies in virtual time, with seeds, so
-// that every run gives the same figures. The decision code is the product's own
-// (packages fleet, routing, cacheview, loadview, membership, retry); only engines
-// and clock are fakes. It models no network, process or membership protocol.
+// Package yardstick compares routing policies by simulation. Runs are in virtual
+// time and seeded, so a seed always gives the same figures. The decision code is
+// the production code (packages fleet, routing, cacheview, loadview, membership,
+// retry); only the engines and the clock are emulated. The network, processes and
+// the membership protocol are not modeled.
 package yardstick
 
 import (
@@ -17,13 +18,14 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// clock is virtual time with a queue of things to do.
+// clock is a virtual clock with a queue of scheduled events.
 type clock struct {
 	now   time.Time
 	queue events
 	seq   uint64
 }
 
+// event is a scheduled function; events at the same time run in the order of seq.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -67,44 +69,45 @@
 	}
 }
 
-// EngineSpec sets up the fake engines.
+// EngineSpec describes the emulated engines.
 type EngineSpec struct {
 	PrefillRate float64       // tokens/s
-	Overhead    time.Duration // of each prefill, whatever its length
-	Slots       int           // answers generated at once
-	TokenEvery  time.Duration // between tokens
+	Overhead    time.Duration // fixed time of each prefill
+	Slots       int           // responses generated concurrently
+	TokenEvery  time.Duration // time between output tokens
 	CacheTokens int
 }
 
-// blockTokens is the size of a fake engine's cache block. It is coarser than a
-// real one's, which only costs precision at the level boundaries.
+// blockTokens is the size of a cache block of an emulated engine. It is larger
+// than that of a real engine, which only reduces precision at the level boundaries.
 const blockTokens = 128
 
-// job is one attempt on an engine.
+// job is one attempt at an engine.
 type job struct {
 	number   uint64
 	blocks   []prefix.ID
 	tokens   int
 	output   int
 	priority int
-	uncached int // once prefill began
+	uncached int // set when the prefill begins
 	started  func(cached int)
 	done     func(ok bool)
 }
 
-// fakeEngine prefills one job after another and generates answers in slots.
+// fakeEngine prefills one job at a time and generates responses in a limited
+// number of slots.
 type fakeEngine struct {
-	id      ids.Target
-	spec    EngineSpec
-	clk     *clock
-	cache   *blockcache.Cache
-	life    ids.Incarnation
-	up      bool
-	queue   []*job
-	busy    *job
-	busyEnd time.Time
-	running map[*job]bool
-	feed    []cacheview.Event // since the last read
+	id          ids.Target
+	spec        EngineSpec
+	clk         *clock
+	cache       *blockcache.Cache
+	incarnation ids.Incarnation
+	up          bool
+	queue       []*job
+	prefilling  *job
+	prefillEnd  time.Time
+	running     map[*job]bool
+	feed        []cacheview.Event // cache events since the last read
 }
 
 func newEngine(id ids.Target, spec EngineSpec, clk *clock) *fakeEngine {
@@ -113,27 +116,27 @@
 	return e
 }
 
-func (e *fakeEngine) restart(life ids.Incarnation) {
-	e.life, e.up, e.feed = life, true, nil
+func (e *fakeEngine) restart(incarnation ids.Incarnation) {
+	e.incarnation, e.up, e.feed = incarnation, true, nil
 	e.running = map[*job]bool{}
 	e.cache = blockcache.New(e.spec.CacheTokens/blockTokens, func(ev cacheview.Event) { e.feed = append(e.feed, ev) })
 }
 
-// crash loses everything; the jobs in hand fail.
+// crash clears the engine and fails all of its jobs.
 func (e *fakeEngine) crash() {
 	lost := e.queue
-	if e.busy != nil {
-		lost = append(lost, e.busy)
+	if e.prefilling != nil {
+		lost = append(lost, e.prefilling)
 	}
 	lost = append(lost, sortedJobs(e.running)...)
-	e.up, e.queue, e.busy, e.running = false, nil, nil, map[*job]bool{}
-	e.life++
+	e.up, e.queue, e.prefilling, e.running = false, nil, nil, map[*job]bool{}
+	e.incarnation++
 	for _, j := range lost {
 		j.done(false)
 	}
 }
 
-// sortedJobs gives a map's jobs an order that is the same on every run.
+// sortedJobs returns the jobs by number, so that runs are repeatable.
 func sortedJobs(m map[*job]bool) []*job {
 	return slices.SortedFunc(maps.Keys(m), func(a, b *job) int { return cmp.Compare(a.number, b.number) })
 }
@@ -148,30 +151,30 @@
 		at--
 	}
 	e.queue = append(e.queue[:at], append([]*job{j}, e.queue[at:]...)...)
-	e.next()
+	e.startPrefill()
 }
 
-// next begins the next prefill if there is a place in the batch.
-func (e *fakeEngine) next() {
-	if e.busy != nil || len(e.queue) == 0 || len(e.running) >= e.spec.Slots {
+// startPrefill starts the next prefill if the engine is idle and a slot is free.
+func (e *fakeEngine) startPrefill() {
+	if e.prefilling != nil || len(e.queue) == 0 || len(e.running) >= e.spec.Slots {
 		return
 	}
 	j := e.queue[0]
 	e.queue = e.queue[1:]
-	e.busy = j
+	e.prefilling = j
 	cached := min(e.cache.Use(j.blocks)*blockTokens, j.tokens)
 	j.uncached = j.tokens - cached
-	took := e.spec.Overhead + time.Duration(float64(j.uncached)/e.spec.PrefillRate*float64(time.Second))
-	e.busyEnd = e.clk.now.Add(took)
-	e.clk.after(took, func() {
-		if e.busy != j {
-			return // crashed meanwhile
+	duration := e.spec.Overhead + time.Duration(float64(j.uncached)/e.spec.PrefillRate*float64(time.Second))
+	e.prefillEnd = e.clk.now.Add(duration)
+	e.clk.after(duration, func() {
+		if e.prefilling != j {
+			return // the engine crashed
 		}
-		e.busy = nil
+		e.prefilling = nil
 		e.running[j] = true
 		j.started(cached)
 		e.clk.after(time.Duration(j.output)*e.spec.TokenEvery, func() { e.finish(j) })
-		e.next()
+		e.startPrefill()
 	})
 }
 
@@ -181,27 +184,27 @@
 	}
 	delete(e.running, j)
 	j.done(true)
-	e.next()
+	e.startPrefill()
 }
 
-// queuedTokens is what an engine reports: prompt tokens that wait, without
-// knowledge of what is cached of them.
+// queuedTokens returns the load that an engine reports: all prompt tokens of the
+// waiting jobs, whether cached or not, and the uncached ones of the current prefill.
 func (e *fakeEngine) queuedTokens() int {
 	n := 0
 	for _, j := range e.queue {
 		n += j.tokens
 	}
-	if e.busy != nil {
-		n += e.busy.uncached
+	if e.prefilling != nil {
+		n += e.prefilling.uncached
 	}
 	return n
 }
 
-// exactWait is the true time until a job that came now would begin.
+// exactWait returns the time until the prefill of a job submitted now would start.
 func (e *fakeEngine) exactWait() time.Duration {
 	wait := time.Duration(0)
-	if e.busy != nil {
-		wait = e.busyEnd.Sub(e.clk.now)
+	if e.prefilling != nil {
+		wait = e.prefillEnd.Sub(e.clk.now)
 	}
 	for _, j := range e.queue {
 		uncached := j.tokens - min(e.cache.Holds(j.blocks)*blockTokens, j.tokens)
--- a/internal/yardstick/moves.go
+++ b/internal/yardstick/moves.go
@@ -20,20 +20,20 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// The model of moves replays prompts that share parts on engines with little memory, whose
-// KV cache moves over links that serve one transfer after the other. Placement is package
-// routing's, moves are package verdict's or a variant of them; what is known of caches and
-// queues is exact. It models no batches, preemption, faults or rollouts: it tells policies
-// of moves apart, and not how many calls are late.
+// The transfer model replays prompts with shared prefixes on engines with little memory. KV
+// cache is transferred over links that serve one transfer at a time. Package routing picks the
+// targets; package verdict, or a variant of it, plans the transfers; the state of caches and
+// queues that they use is exact. Batches, preemption, faults and rollouts are not modeled, so
+// the model can compare transfer policies but can't predict how many calls are late.
 
-// TransferWorkload is a load with its fleet, as a file says it.
+// TransferWorkload is a workload and its fleet, in the format of a workload file.
 type TransferWorkload struct {
 	Seconds      float64         `json:"seconds" validate:"gt=0"`
 	Engines      int             `json:"engines" validate:"min=1"`
 	Domains      int             `json:"domains" validate:"min=1"`
-	EngineTokens int             `json:"engine_tokens" validate:"min=1"`
-	PrefillPerS  float64         `json:"prefill_per_s" validate:"gt=0"` // tokens
-	TokenBytes   float64         `json:"token_bytes" validate:"gt=0"`
+	EngineTokens int             `json:"engine_tokens" validate:"min=1"` // KV cache of one engine
+	PrefillPerS  float64         `json:"prefill_per_s" validate:"gt=0"`  // tokens/s
+	TokenBytes   float64         `json:"token_bytes" validate:"gt=0"`    // KV cache of one token
 	LinkGbitS    float64         `json:"link_gbit_s" validate:"gt=0"`
 	StoreTokens  int             `json:"store_tokens" validate:"min=0"`
 	Routes       []TransferRoute `json:"routes" validate:"min=1,dive"`
@@ -44,51 +44,52 @@
 	Name     string          `json:"name" validate:"required"`
 	PerS     float64         `json:"per_s" validate:"gt=0"`
 	Levels   []TransferLevel `json:"levels" validate:"dive"`
-	Suffix   float64         `json:"own" validate:"gt=0"`           // mean tokens
-	Spread   float64         `json:"spread" validate:"min=0"`       // of their logarithm
-	OutputMs float64         `json:"output_ms" validate:"required"` // for which a run stays in memory
+	Suffix   float64         `json:"own" validate:"gt=0"`           // mean length of the unshared suffix, in tokens
+	Spread   float64         `json:"spread" validate:"min=0"`       // standard deviation of the logarithm of the suffix length
+	OutputMs float64         `json:"output_ms" validate:"required"` // time for which the run occupies memory after the prefill
 }
 
-// TransferLevel is a part that prompts share: one of so many things of so many tokens.
+// TransferLevel is a section of the shared prefix: one of a number of distinct texts of the
+// same length.
 type TransferLevel struct {
 	Tokens   int32 `json:"tokens" validate:"min=1"`
 	Distinct int   `json:"things" validate:"min=1"`
 }
 
-// ReadTransferWorkload reads and checks a load: JSON with comments.
+// ReadTransferWorkload reads and validates a workload file, which is JSON with comments.
 func ReadTransferWorkload(path string) (TransferWorkload, error) {
 	var l TransferWorkload
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return l, eris.Wrap(err, "read load")
+		return l, eris.Wrap(err, "read workload")
 	}
 	std, err := hujson.Standardize(data)
 	if err != nil {
-		return l, eris.Wrapf(err, "load %s", path)
+		return l, eris.Wrapf(err, "workload %s", path)
 	}
 	dec := json.NewDecoder(bytes.NewReader(std))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&l); err != nil {
-		return l, eris.Wrapf(err, "load %s", path)
+		return l, eris.Wrapf(err, "workload %s", path)
 	}
-	return l, eris.Wrapf(validator.New(validator.WithRequiredStructEnabled()).Struct(l), "load %s", path)
+	return l, eris.Wrapf(validator.New(validator.WithRequiredStructEnabled()).Struct(l), "workload %s", path)
 }
 
-// TransferPolicy plans what moves along with a prompt.
+// TransferPolicy plans the transfers of a prompt.
 type TransferPolicy func(verdict.Prompt, verdict.Locations) verdict.TransferPlan
 
-// TransferResult is what became of a load.
+// TransferResult holds the figures of a replay.
 type TransferResult struct {
 	Prompts          int
 	Computed         float64                    // tokens
-	RecomputedShared float64                    // of them, shared ones that an engine had computed before
-	Transferred      float64                    // tokens over links
-	Saves            int                        // that reached the store
-	SavesSkipped     int                        // that found the link taken for too long
-	TTFT             map[string][]time.Duration // until the first token, by route, sorted
+	RecomputedShared float64                    // tokens of shared prefixes that had been computed before
+	Transferred      float64                    // tokens sent over links
+	Saves            int                        // saves that were sent to the store
+	SavesSkipped     int                        // saves that were given up since the link was busy for more than maxLinkWait
+	TTFT             map[string][]time.Duration // by route, sorted
 }
 
-// Quantile returns a quantile of a route's waits.
+// Quantile returns a quantile (0 to 1) of the TTFT of a route; 0 if the route has no prompts.
 func (r *TransferResult) Quantile(route string, q float64) time.Duration {
 	w := r.TTFT[route]
 	if len(w) == 0 {
@@ -97,54 +98,56 @@
 	return w[min(int(q*float64(len(w))), len(w)-1)]
 }
 
-// moveWorld is one run. Times are seconds since its start.
-type moveWorld struct {
-	l       TransferWorkload
-	policy  TransferPolicy
-	router  *routing.Router
-	rnd     *rand.Rand
-	engines []*moveEngine
-	store   *moveEngine
-	view    routing.View
-	done    map[prefix.ID]bool // shared parts that were computed before
-	res     *TransferResult
-	scratch routing.Scratch
-	seq     uint64
+// transferSimulation is the state of one run. Times are in seconds since its start.
+type transferSimulation struct {
+	l        TransferWorkload
+	policy   TransferPolicy
+	router   *routing.Router
+	rnd      *rand.Rand
+	engines  []*node
+	store    *node
+	view     routing.View
+	computed map[prefix.ID]bool // sections of shared prefixes that were computed before
+	res      *TransferResult
+	scratch  routing.Scratch
+	seq      uint64
 }
 
-// moveEngine is an engine's or the store's memory and link.
-type moveEngine struct {
-	addr   string
-	domain ids.FailureDomain
-	room   int
-	used   int
-	parts  map[prefix.ID]*movePart
-	free   float64 // when its prefill is free
-	link   float64 // when its link is free
-	ends   []float64
+// node is the memory and link of an engine or of the store.
+type node struct {
+	addr        string
+	domain      ids.FailureDomain
+	capacity    int
+	used        int
+	entries     map[prefix.ID]*cacheEntry
+	prefillFree float64 // time at which the queue of prefills ends
+	linkFree    float64 // time at which the last transfer ends
+	runEnds     []float64
 }
 
-type movePart struct {
-	tokens int
-	last   float64 // use
-	ready  float64 // from when others find it
-	busy   float64 // until when a run keeps it
+// cacheEntry is a section of a prompt in the memory of a node.
+type cacheEntry struct {
+	tokens      int
+	lastUse     float64 // time of the last use
+	ready       float64 // time from which it can be used and fetched
+	pinnedUntil float64 // a run uses it until then
 }
 
-// storeAddr names the store of the model.
+// storeAddr is the address of the store.
 const storeAddr = "store"
 
-// linkWait is the longest wait for a link with which a transfer is begun, in seconds.
-const linkWait = 2
+// maxLinkWait is the longest wait for a link, in seconds. A transfer that would wait longer is
+// not started.
+const maxLinkWait = 2
 
-// ReplayTransfers plays a load under a policy.
+// ReplayTransfers simulates a workload under a policy. A seed always gives the same result.
 func ReplayTransfers(l TransferWorkload, policy TransferPolicy, seed uint64) *TransferResult {
-	w := &moveWorld{
-		l: l, policy: policy, router: routing.NewFetching(), rnd: rand.New(rand.NewPCG(seed, 7)), done: map[prefix.ID]bool{},
-		res: &TransferResult{TTFT: map[string][]time.Duration{}}, store: newMoveEngine(storeAddr, "d0", l.StoreTokens),
+	w := &transferSimulation{
+		l: l, policy: policy, router: routing.NewFetching(), rnd: rand.New(rand.NewPCG(seed, 7)), computed: map[prefix.ID]bool{},
+		res: &TransferResult{TTFT: map[string][]time.Duration{}}, store: newNode(storeAddr, "d0", l.StoreTokens),
 	}
 	for i := range l.Engines {
-		e := newMoveEngine(fmt.Sprint("e", i), ids.FailureDomain(fmt.Sprint("d", i%l.Domains)), l.EngineTokens)
+		e := newNode(fmt.Sprint("e", i), ids.FailureDomain(fmt.Sprint("d", i%l.Domains)), l.EngineTokens)
 		w.engines = append(w.engines, e)
 		w.view.Targets = append(w.view.Targets, routing.Target{ID: ids.Target(e.addr), FailureDomain: e.domain, Service: "s", Addr: e.addr, Hash: routing.HashTarget(ids.Target(e.addr))})
 	}
@@ -161,21 +164,21 @@
 	return w.res
 }
 
-func newMoveEngine(addr string, domain ids.FailureDomain, room int) *moveEngine {
-	return &moveEngine{addr: addr, domain: domain, room: room, parts: map[prefix.ID]*movePart{}}
+func newNode(addr string, domain ids.FailureDomain, capacity int) *node {
+	return &node{addr: addr, domain: domain, capacity: capacity, entries: map[prefix.ID]*cacheEntry{}}
 }
 
-// movePrompt is one drawn prompt.
-type movePrompt struct {
+// transferPrompt is the prompt of one request.
+type transferPrompt struct {
 	route  *TransferRoute
-	levels []prefix.Level // of shared parts, with their ends
-	own    prefix.ID
+	levels []prefix.Level // sections of the shared prefix
+	suffix prefix.ID
 	tokens int32
 }
 
-func (w *moveWorld) draw(rate float64) movePrompt {
+func (w *transferSimulation) draw(rate float64) transferPrompt {
 	x := w.rnd.Float64() * rate
-	p := movePrompt{route: &w.l.Routes[len(w.l.Routes)-1]}
+	p := transferPrompt{route: &w.l.Routes[len(w.l.Routes)-1]}
 	at := 0
 	for i := range w.l.Routes {
 		if x -= w.l.Routes[i].PerS; x < 0 {
@@ -189,119 +192,122 @@
 		p.levels = append(p.levels, prefix.Level{ID: id, Tokens: p.tokens})
 	}
 	w.seq++
-	p.own = prefix.ID(1<<60 | w.seq)
+	p.suffix = prefix.ID(1<<60 | w.seq)
 	p.tokens += max(int32(p.route.Suffix*math.Exp(p.route.Spread*w.rnd.NormFloat64()-p.route.Spread*p.route.Spread/2)), 1)
 	return p
 }
 
-// serve decides for one prompt and lets an engine compute it.
-func (w *moveWorld) serve(now float64, p movePrompt) {
+// serve routes one prompt, plans its transfers and runs it.
+func (w *transferSimulation) serve(now float64, p transferPrompt) {
 	in := make([]routing.Input, len(w.engines))
 	for i, e := range w.engines {
 		in[i] = routing.Input{
 			State: routing.Live, SlowStart: 1, PrefillRate: float32(w.l.PrefillPerS), Cached: e.holds(p.levels, now), Slots: 64,
-			QueueTokens: float32(max(e.free-now, 0) * w.l.PrefillPerS), InFlight: int32(e.running(now)),
+			QueueTokens: float32(max(e.prefillFree-now, 0) * w.l.PrefillPerS), InFlight: int32(e.running(now)),
 		}
 	}
 	req := routing.Request{
 		Service: "s", FailureDomain: w.engines[w.rnd.IntN(len(w.engines))].domain, Levels: p.levels, Tokens: p.tokens,
-		FetchRate: moveFetchRate, Seed: w.seq,
+		FetchRate: fetchRate, Seed: w.seq,
 	}
 	d := w.router.Decide(&req, &w.view, in, &w.scratch)
 	e := w.engines[d.Index]
-	m := w.policy(verdict.Prompt{Tokens: p.tokens, Shared: shared(p.levels)}, w.places(d.Index, in, p.levels, now))
-	w.run(now, e, p, m)
+	plan := w.policy(verdict.Prompt{Tokens: p.tokens, Shared: sharedTokens(p.levels)}, w.locations(d.Index, in, p.levels, now))
+	w.run(now, e, p, plan)
 }
 
-// moveFetchRate is what routing is told of moves, in tokens/s: the daemon's.
-const moveFetchRate = 40_000
+// fetchRate is the rate of fetches, in tokens/s, that routing assumes: the same as in package
+// edge.
+const fetchRate = 40_000
 
-func shared(levels []prefix.Level) int32 {
+func sharedTokens(levels []prefix.Level) int32 {
 	if len(levels) == 0 {
 		return 0
 	}
 	return levels[len(levels)-1].Tokens
 }
 
-func (w *moveWorld) places(chosen int, in []routing.Input, levels []prefix.Level, now float64) verdict.Locations {
+// locations returns where the prefix of a prompt is cached, apart from the chosen engine.
+func (w *transferSimulation) locations(chosen int, in []routing.Input, levels []prefix.Level, now float64) verdict.Locations {
 	at := verdict.Locations{Held: in[chosen].Cached, Store: verdict.Source{Addr: storeAddr, Tokens: w.store.holds(levels, now)}}
 	for i, e := range w.engines {
 		if i != chosen && in[i].Cached > at.Holder.Tokens {
 			at.Holder = verdict.Source{Addr: e.addr, Tokens: in[i].Cached}
 		}
 	}
-	if home := w.scratch.Rendezvous(); home >= 0 && home != chosen {
-		at.Rendezvous = w.engines[home].addr
+	if rendezvousTarget := w.scratch.Rendezvous(); rendezvousTarget >= 0 && rendezvousTarget != chosen {
+		at.Rendezvous = w.engines[rendezvousTarget].addr
 	}
 	return at
 }
 
-// run moves, computes and saves.
-func (w *moveWorld) run(now float64, e *moveEngine, p movePrompt, m verdict.TransferPlan) {
+// run carries out the fetch of a plan, the prefill and the save.
+func (w *transferSimulation) run(now float64, e *node, p transferPrompt, plan verdict.TransferPlan) {
 	begin, held := now, e.holds(p.levels, now)
-	if src := w.source(m.Fetch); src != nil {
+	if src := w.source(plan.Fetch); src != nil {
 		if found := src.holds(p.levels, now); found > held {
 			if end, ok := w.transfer(now, src, e, float64(found-held)); ok {
 				begin, held = end, found
 			}
 		}
 	}
-	start := max(begin, e.free)
-	for _, l := range p.levels { // what came meanwhile is found, too
-		if part := e.parts[l.ID]; part != nil && part.ready <= start {
+	start := max(begin, e.prefillFree)
+	for _, l := range p.levels { // sections that arrived during the wait count as cached, too
+		if entry := e.entries[l.ID]; entry != nil && entry.ready <= start {
 			held = max(held, l.Tokens)
 		}
 	}
 	end := start + float64(p.tokens-held)/w.l.PrefillPerS
-	e.free = end
+	e.prefillFree = end
 	w.res.Prompts++
 	w.res.Computed += float64(p.tokens - held)
 	last := int32(0)
 	for _, l := range p.levels {
 		if l.Tokens > held {
-			if w.done[l.ID] {
+			if w.computed[l.ID] {
 				w.res.RecomputedShared += float64(l.Tokens - max(last, held))
 			}
-			w.done[l.ID] = true
+			w.computed[l.ID] = true
 		}
 		e.put(l.ID, int(l.Tokens-last), now, end, end+p.route.OutputMs/1000)
 		last = l.Tokens
 	}
-	e.put(p.own, int(p.tokens-last), now, end, end+p.route.OutputMs/1000)
-	e.ends = append(e.ends, end+p.route.OutputMs/1000)
+	e.put(p.suffix, int(p.tokens-last), now, end, end+p.route.OutputMs/1000)
+	e.runEnds = append(e.runEnds, end+p.route.OutputMs/1000)
 	w.res.TTFT[p.route.Name] = append(w.res.TTFT[p.route.Name], time.Duration((end-now)*float64(time.Second)))
-	if m.Save {
+	if plan.Save {
 		w.save(end, e, p)
 	}
 }
 
-// save sends what the store lacks of a prompt, its own part included.
-func (w *moveWorld) save(now float64, e *moveEngine, p movePrompt) {
-	last, lacks := int32(0), 0
-	type piece struct {
+// save sends the sections of a prompt that the store lacks, including the unshared suffix.
+func (w *transferSimulation) save(now float64, e *node, p transferPrompt) {
+	last, missing := int32(0), 0
+	type chunk struct {
 		id     prefix.ID
 		tokens int
 	}
-	var pieces []piece
-	for _, l := range append(slices.Clone(p.levels), prefix.Level{ID: p.own, Tokens: p.tokens}) {
-		if w.store.parts[l.ID] == nil {
-			pieces = append(pieces, piece{l.ID, int(l.Tokens - last)})
-			lacks += int(l.Tokens - last)
+	var chunks []chunk
+	for _, l := range append(slices.Clone(p.levels), prefix.Level{ID: p.suffix, Tokens: p.tokens}) {
+		if w.store.entries[l.ID] == nil {
+			chunks = append(chunks, chunk{l.ID, int(l.Tokens - last)})
+			missing += int(l.Tokens - last)
 		}
 		last = l.Tokens
 	}
-	end, ok := w.transfer(now, e, w.store, float64(lacks))
+	end, ok := w.transfer(now, e, w.store, float64(missing))
 	if !ok {
 		w.res.SavesSkipped++
 		return
 	}
 	w.res.Saves++
-	for _, x := range pieces {
+	for _, x := range chunks {
 		w.store.put(x.id, x.tokens, now, end, end)
 	}
 }
 
-func (w *moveWorld) source(addr string) *moveEngine {
+// source returns the node with an address, or nil.
+func (w *transferSimulation) source(addr string) *node {
 	if addr == storeAddr {
 		return w.store
 	}
@@ -313,61 +319,64 @@
 	return nil
 }
 
-// transfer moves tokens over both links, behind what they carry.
-func (w *moveWorld) transfer(now float64, from, to *moveEngine, tokens float64) (end float64, ok bool) {
-	begin := max(now, from.link, to.link)
-	if begin-now > linkWait {
+// transfer sends tokens over the links of both nodes, after the transfers queued there. Between
+// failure domains it takes twice as long. It returns false if the wait exceeds maxLinkWait.
+func (w *transferSimulation) transfer(now float64, from, to *node, tokens float64) (end float64, ok bool) {
+	begin := max(now, from.linkFree, to.linkFree)
+	if begin-now > maxLinkWait {
 		return 0, false
 	}
-	took := tokens * w.l.TokenBytes * 8 / (w.l.LinkGbitS * 1e9)
+	duration := tokens * w.l.TokenBytes * 8 / (w.l.LinkGbitS * 1e9)
 	if from.domain != to.domain {
-		took *= 2
+		duration *= 2
 	}
-	end = begin + took
-	from.link, to.link = end, end
+	end = begin + duration
+	from.linkFree, to.linkFree = end, end
 	w.res.Transferred += tokens
 	return end, true
 }
 
-// holds returns how many tokens of the levels are there, without a gap.
-func (e *moveEngine) holds(levels []prefix.Level, now float64) int32 {
+// holds returns the length, in tokens, of the longest prefix of the levels that the node has
+// ready, and marks it as used.
+func (e *node) holds(levels []prefix.Level, now float64) int32 {
 	held := int32(0)
 	for _, l := range levels {
-		part := e.parts[l.ID]
-		if part == nil || part.ready > now {
+		entry := e.entries[l.ID]
+		if entry == nil || entry.ready > now {
 			break
 		}
-		part.last = now
+		entry.lastUse = now
 		held = l.Tokens
 	}
 	return held
 }
 
-// put keeps a part; the least recently used ones give way to it.
-func (e *moveEngine) put(id prefix.ID, tokens int, now, ready, busy float64) {
-	if part := e.parts[id]; part != nil {
-		part.last, part.busy = now, max(part.busy, busy)
+// put adds a section, and evicts the least recently used ones that no run uses if the capacity
+// is exceeded.
+func (e *node) put(id prefix.ID, tokens int, now, ready, pinnedUntil float64) {
+	if entry := e.entries[id]; entry != nil {
+		entry.lastUse, entry.pinnedUntil = now, max(entry.pinnedUntil, pinnedUntil)
 		return
 	}
 	e.used += tokens
-	e.parts[id] = &movePart{tokens: tokens, last: now, ready: ready, busy: busy}
-	for e.used > e.room {
+	e.entries[id] = &cacheEntry{tokens: tokens, lastUse: now, ready: ready, pinnedUntil: pinnedUntil}
+	for e.used > e.capacity {
 		var oldest prefix.ID
-		for other, part := range e.parts {
-			if part.busy <= now && (oldest == 0 || part.last < e.parts[oldest].last || part.last == e.parts[oldest].last && other < oldest) {
+		for other, entry := range e.entries {
+			if entry.pinnedUntil <= now && (oldest == 0 || entry.lastUse < e.entries[oldest].lastUse || entry.lastUse == e.entries[oldest].lastUse && other < oldest) {
 				oldest = other
 			}
 		}
 		if oldest == 0 {
-			return // all of it is in use
+			return // all entries are in use
 		}
-		e.used -= e.parts[oldest].tokens
-		delete(e.parts, oldest)
+		e.used -= e.entries[oldest].tokens
+		delete(e.entries, oldest)
 	}
 }
 
-// running returns how many runs are there.
-func (e *moveEngine) running(now float64) int {
-	e.ends = slices.DeleteFunc(e.ends, func(end float64) bool { return end <= now })
-	return len(e.ends)
+// running returns the number of runs that have not ended.
+func (e *node) running(now float64) int {
+	e.runEnds = slices.DeleteFunc(e.runEnds, func(end float64) bool { return end <= now })
+	return len(e.runEnds)
 }
--- a/internal/yardstick/moves_test.go
+++ b/internal/yardstick/moves_test.go
@@ -10,16 +10,16 @@
 	"github.com/threadwall/threadwall/internal/verdict"
 )
 
-// saveAlways is verdict.PlanTransfer with a save along with every prompt of which the store lacks
-// anything.
+// saveAlways is verdict.PlanTransfer with a save for every prompt whose shared prefix is not
+// wholly in the store, whatever the length of the unshared suffix.
 func saveAlways(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
 	m := verdict.PlanTransfer(p, at)
 	m.Save = p.Shared >= verdict.MinTransfer && at.Store.Tokens < p.Shared
 	return m
 }
 
-// moveAnything is verdict.PlanTransfer with moves of whatever little is held elsewhere.
-func moveAnything(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
+// transferAnything is verdict.PlanTransfer without the minimum size of a transfer.
+func transferAnything(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
 	m := verdict.PlanTransfer(p, at)
 	if m.Fetch == "" && at.Holder.Tokens > at.Held {
 		m.Fetch = at.Holder.Addr
@@ -30,66 +30,67 @@
 	return m
 }
 
-// compare plays the load with shared prompts under two policies, seed by seed, and returns
-// the mean of a figure's difference, without minus with the product's policy, and its
-// standard error.
-func compare(t *testing.T, without TransferPolicy, figure func(*TransferResult) float64) (mean, se float64) {
+// compare simulates the workload of shared prompts under a variant and under
+// verdict.PlanTransfer, with the same seeds. It returns the mean of the difference of a figure
+// (variant minus PlanTransfer) and its standard error.
+func compare(t *testing.T, variant TransferPolicy, figure func(*TransferResult) float64) (mean, se float64) {
 	t.Helper()
 	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seeds = 8
-	var d [seeds]float64
-	for seed := range d {
-		d[seed] = figure(ReplayTransfers(l, without, uint64(seed+1))) - figure(ReplayTransfers(l, verdict.PlanTransfer, uint64(seed+1)))
-		mean += d[seed] / seeds
+	var diffs [seeds]float64
+	for seed := range diffs {
+		diffs[seed] = figure(ReplayTransfers(l, variant, uint64(seed+1))) - figure(ReplayTransfers(l, verdict.PlanTransfer, uint64(seed+1)))
+		mean += diffs[seed] / seeds
 	}
-	for _, x := range d {
+	for _, x := range diffs {
 		se += (x - mean) * (x - mean) / (seeds - 1) / seeds
 	}
 	return mean, math.Sqrt(se)
 }
 
-// TestSavesWithLittleBesides replays the load for which own parts bar a save: with a save
-// along with every prompt the store fills with parts that nobody asks for.
-func TestSavesWithLittleBesides(t *testing.T) {
-	moved, se := compare(t, saveAlways, func(r *TransferResult) float64 { return r.Transferred / 1000 })
-	t.Logf("moved without the bar, beyond what is with it: %.0f thousand tokens, standard error %.0f", moved, se)
-	if moved < 3*se || moved < 100 {
-		t.Errorf("the bar on saves spares %.0f thousand moved tokens, standard error %.0f", moved, se)
+// TestSaveRuleReducesTransfers guards the rule that a prompt with a long unshared suffix is not
+// saved. If every prompt is saved, the store fills with suffixes that are never fetched, and
+// more tokens have to be transferred.
+func TestSaveRuleReducesTransfers(t *testing.T) {
+	transferred, se := compare(t, saveAlways, func(r *TransferResult) float64 { return r.Transferred / 1000 })
+	t.Logf("tokens transferred, without the rule minus with it: %.0f thousand, standard error %.0f", transferred, se)
+	if transferred < 3*se || transferred < 100 {
+		t.Errorf("the rule on saves avoids the transfer of %.0f thousand tokens, standard error %.0f; want at least 100 and 3 standard errors", transferred, se)
 	}
-	lost, se := compare(t, saveAlways, func(r *TransferResult) float64 { return float64(r.SavesSkipped) })
-	t.Logf("saves lost: %.1f more, standard error %.1f", lost, se)
+	skipped, se := compare(t, saveAlways, func(r *TransferResult) float64 { return float64(r.SavesSkipped) })
+	t.Logf("saves skipped, without the rule minus with it: %.1f, standard error %.1f", skipped, se)
 }
 
-// TestShortPromptsDontWaitForLinks replays the load for which small moves are left out: with
-// them short prompts wait behind transfers of long ones.
-func TestShortPromptsDontWaitForLinks(t *testing.T) {
-	wait, se := compare(t, moveAnything, func(r *TransferResult) float64 { return r.Quantile("short", 0.95).Seconds() * 1000 })
-	t.Logf("the wait of 95 in 100 short prompts: %.1f ms more, standard error %.1f", wait, se)
-	if wait < 3*se || wait < 1 {
-		t.Errorf("leaving small moves out spares 95 in 100 short prompts %.1f ms, standard error %.1f", wait, se)
+// TestMinTransferReducesTTFTOfShortPrompts guards the minimum size of a transfer. Without it
+// short prompts fetch small prefixes and wait on the links behind transfers of long prompts.
+func TestMinTransferReducesTTFTOfShortPrompts(t *testing.T) {
+	ttft, se := compare(t, transferAnything, func(r *TransferResult) float64 { return r.Quantile("short", 0.95).Seconds() * 1000 })
+	t.Logf("TTFT p95 of short prompts, without the minimum minus with it: %.1f ms, standard error %.1f", ttft, se)
+	if ttft < 3*se || ttft < 1 {
+		t.Errorf("the minimum size of a transfer reduces the TTFT p95 of short prompts by %.1f ms, standard error %.1f; want at least 1 ms and 3 standard errors", ttft, se)
 	}
 }
 
-// TestReplayRepeats checks that a seed gives the same figures each time.
-func TestReplayRepeats(t *testing.T) {
+// TestReplayIsDeterministic checks that a seed always gives the same figures.
+func TestReplayIsDeterministic(t *testing.T) {
 	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, b := ReplayTransfers(l, verdict.PlanTransfer, 3), ReplayTransfers(l, verdict.PlanTransfer, 3)
 	if a.Transferred != b.Transferred || a.RecomputedShared != b.RecomputedShared || a.Quantile("long", 0.9) != b.Quantile("long", 0.9) {
-		t.Errorf("%+v and %+v of one seed", a, b)
+		t.Errorf("two replays with the same seed differ: %+v and %+v", a, b)
 	}
 	if a.Prompts < 1500 || a.Quantile("long", 0.5) <= 0 || a.Quantile("none", 0.5) != time.Duration(0) {
-		t.Errorf("%d prompts, the median of long ones waits %v", a.Prompts, a.Quantile("long", 0.5))
+		t.Errorf("%d prompts, want at least 1500; median TTFT of long prompts is %v, want more than 0", a.Prompts, a.Quantile("long", 0.5))
 	}
 }
 
-// TestBadLoadsAreRefused reads loads that say something wrong.
-func TestBadLoadsAreRefused(t *testing.T) {
+// TestReadTransferWorkloadRejectsInvalidInput reads invalid workload files.
+func TestReadTransferWorkloadRejectsInvalidInput(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON": "{", "unknown field": `{"secnds": 1}`, "no engines": `{"seconds": 1, "domains": 1, "engine_tokens": 1, "prefill_per_s": 1, "token_bytes": 1, "link_gbit_s": 1, "routes": []}`,
 	} {
@@ -98,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadTransferWorkload(path); err == nil {
-			t.Errorf("%s: it was taken", name)
+			t.Errorf("%s: workload file was accepted", name)
 		}
 	}
 }
--- a/internal/yardstick/policies.go
+++ b/internal/yardstick/policies.go
@@ -4,13 +4,14 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// rendezvous is a baseline: the highest rendezvous weight of the prompt's prefix
-// whose queue is within a bound of the mean. It needs no knowledge of caches.
+// rendezvous is a baseline that uses no cache state: of the targets whose queue wait
+// is at most bound times the mean (plus boundSlack), it picks the one with the
+// highest rendezvous weight for the prefix of the prompt.
 type rendezvous struct{ bound float32 }
 
 var _ routing.Picker = rendezvous{}
 
-// Pick implements routing.Picker; costs are queue waits.
+// Pick implements routing.Picker. The costs are queue waits in seconds.
 func (p rendezvous) Pick(r *routing.Request, v *routing.View, _ *routing.Eligible, costs []float32) int {
 	sum, n := float32(0), float32(0)
 	for _, c := range costs {
@@ -37,11 +38,11 @@
 }
 
 const (
-	maxCost    = 1e30
-	boundSlack = 0.25 // seconds, so that an idle fleet keeps its affinity
+	maxCost    = 1e30 // targets with this cost or more are not eligible
+	boundSlack = 0.25 // seconds; keeps the affinity when the fleet is idle
 )
 
-// Baselines are the policies that the product is measured against.
+// Baselines returns the policies that the product is compared with.
 func Baselines() []Policy {
 	queue := []routing.Scorer{routing.QueueScorer{}}
 	return []Policy{
@@ -56,11 +57,11 @@
 	}
 }
 
-// Product is the product's policy.
+// Product returns the policy of the product.
 func Product() Policy { return Policy{Name: "cost", Router: routing.NewCost} }
 
-// Variants are the product's policy with one part of its knowledge made exact, or
-// taken away.
+// Variants returns the policy of the product with one source of information replaced
+// by the actual state, or turned off.
 func Variants() []Policy {
 	return []Policy{
 		{Name: "cost, exact cache", Router: routing.NewCost, ExactCache: true},
--- a/internal/yardstick/report.go
+++ b/internal/yardstick/report.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 )
 
-// Print writes results as a table; ratios are against the oracle's row of the
-// same workload, if there is one.
+// Print writes results as a table. Ratios are relative to the result of the oracle
+// on the same workload, or to the result itself if there is none.
 func Print(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "workload\tpolicy\trequests\trefused\tfailed\tattempts/req\thit rate\t/oracle\twasted ktok\trecomputed ktok\t/oracle\tTTFT p50\tp95\tp99 ms\tp99/oracle\tfairness\t")
@@ -21,6 +21,7 @@
 	return t.Flush()
 }
 
+// oracleOf returns the result of the oracle on the workload of r, or r if there is none.
 func oracleOf(results []*Result, r *Result) *Result {
 	for _, o := range results {
 		if o.Workload == r.Workload && o.Policy == "oracle" {
@@ -30,14 +31,14 @@
 	return r
 }
 
-// Fairness is Jain's index of the part of each workspace's requests that was
-// answered: 1 when all fare alike.
+// Fairness returns Jain's fairness index of the fractions of requests that were
+// completed, by workspace: 1 if they are equal, 0 if no request was completed.
 func (r *Result) Fairness() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
-	for ws, asked := range r.RequestsByWorkspace {
-		part := float64(r.CompletedByWorkspace[ws]) / float64(max(asked, 1))
-		sum += part
-		squares += part * part
+	for ws, requests := range r.RequestsByWorkspace {
+		fraction := float64(r.CompletedByWorkspace[ws]) / float64(max(requests, 1))
+		sum += fraction
+		squares += fraction * fraction
 		n++
 	}
 	if squares == 0 {
@@ -46,8 +47,8 @@
 	return sum * sum / (n * squares)
 }
 
-// Span returns the mean hit rate and time to first token, in milliseconds, of the
-// seconds from one up to another.
+// Span returns the means of the hit rate and of the TTFT in milliseconds, over the
+// seconds from (inclusive) to to (exclusive) of the run.
 func (r *Result) Span(from, to int) (hit, ttft float64) {
 	n := 0.0
 	for i := from; i < to && i < len(r.WindowHit); i++ {
@@ -58,7 +59,8 @@
 	return hit / max(n, 1), ttft / max(n, 1)
 }
 
-// PrintRestarts compares the ten seconds before and after the restart.
+// PrintRestarts writes a table that compares the ten seconds before RestartAt with
+// the ten seconds after it.
 func PrintRestarts(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "workload\thit rate 10 s before\t10 s after\tmean TTFT before\tafter ms\t")
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -17,83 +17,85 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Policy is one way to decide, made of the product's parts.
+// Policy is a routing policy to measure.
 type Policy struct {
 	Name   string
 	Router func() *routing.Router
-	// Exact gives decisions the true state of all engines: the oracle.
+	// Exact makes decisions from the actual state of all engines (the oracle).
 	Exact bool
-	// ExactCache and ExactLoad give the true state of one of the two only.
+	// ExactCache and ExactLoad use the actual caches or the actual load only.
 	ExactCache, ExactLoad bool
-	// Variant changes what a decider knows; see the fields of Ablation.
+	// Ablation turns off sources of information.
 	Ablation Ablation
 }
 
-// Ablation switches sources of knowledge off, to measure what each is worth.
+// Ablation turns off sources of information of the VMs, to measure the value of
+// each.
 type Ablation struct {
-	NoExpect bool // a dispatched prompt counts as cached only once answered
-	NoPeers  bool // beliefs are not told to peers
-	NoFeed   bool // engines' cache events are not read
-	NoGate   bool // no refusals in overload
+	NoExpect bool // prompts count as cached only after the response
+	NoPeers  bool // estimated cache entries are not sent to peers
+	NoFeed   bool // cache events of the engines are not read
+	NoGate   bool // no admission control
 }
 
-// decider is one VM: the product's decision code and its picture of the engines.
-type decider struct {
+// vm is one VM: the production decision code and its view of the engines.
+type vm struct {
 	f      *fleet.Fleet
 	budget *retry.Budget
 	gate   gate
 	domain ids.FailureDomain
 }
 
-// gate is the product's admission, or none.
+// gate is the admission control of a VM.
 type gate interface {
 	Check(ws ids.Workspace, priority int, tokens int32, predicted time.Duration) *outcome.Error
 }
 
-// Result is one policy's figures on one workload.
+// Result holds the figures of one policy on one workload.
 type Result struct {
 	Workload, Policy               string
 	Requests, Completed, Failed    int
 	Refused, Attempts              int
-	SentEntries                    int   // beliefs that deciders told their peers
-	Prompt, Recomputed, Wasted     int64 // tokens
+	SentEntries                    int   // cache entries that VMs sent to their peers
+	Prompt, Recomputed, Wasted     int64 // tokens; Wasted: recomputed although an eligible engine had them cached
 	TTFT                           *hdrhistogram.Histogram
-	CompletedByWorkspace           map[ids.Workspace]int // whole answers
+	CompletedByWorkspace           map[ids.Workspace]int // complete responses
 	RequestsByWorkspace            map[ids.Workspace]int
-	WindowHit                      []float64 // hit rate by second
-	WindowTTFT                     []float64 // mean seconds, by second
+	WindowHit                      []float64 // hit rate, by second
+	WindowTTFT                     []float64 // mean TTFT in seconds, by second
 	windowPrompt, windowRecomputed []int64
-	windowWait                     []float64
+	windowTTFTSum                  []float64
 	windowCount                    []int
 }
 
-// HitRate is the part of prompt tokens that were cached.
+// HitRate returns the fraction of prompt tokens that were cached.
 func (r *Result) HitRate() float64 { return 1 - float64(r.Recomputed)/float64(max(r.Prompt, 1)) }
 
-// Quantile returns a quantile of the time to first token, in milliseconds.
+// Quantile returns a percentile (0 to 100) of the time to first token, in
+// milliseconds.
 func (r *Result) Quantile(q float64) float64 { return float64(r.TTFT.ValueAtQuantile(q)) / 1000 }
 
-// world is one run.
-type world struct {
-	w        Workload
-	p        Policy
-	clk      *clock
-	rnd      *rand.Rand // of lags and losses
-	callers  *rand.Rand // of requests: the same under every policy
-	engines  []*fakeEngine
-	byID     map[ids.Target]*fakeEngine
-	deciders []*decider
-	records  []platform.Record
-	oracle   *routing.Router
-	res      *Result
-	end      time.Time
-	jobs     uint64
+// simulation is the state of one run.
+type simulation struct {
+	w          Workload
+	p          Policy
+	clk        *clock
+	rnd        *rand.Rand // draws delays and losses
+	arrivalRnd *rand.Rand // draws requests: the same ones under every policy
+	engines    []*fakeEngine
+	byID       map[ids.Target]*fakeEngine
+	vms        []*vm
+	records    []platform.Record
+	oracle     *routing.Router
+	res        *Result
+	end        time.Time
+	jobSeq     uint64
 }
 
-// start is the virtual time at which runs begin.
+// start is the virtual time at which every run begins.
 var start = time.Unix(1_700_000_000, 0)
 
-// histogram bounds of times to first token, in microseconds.
+// Range (in microseconds) and significant digits of the TTFT histogram.
 const (
 	ttftMax    = 600_000_000
 	ttftDigits = 3
@@ -101,9 +103,9 @@
 
 // Run measures one policy on one workload.
 func Run(w Workload, p Policy) *Result {
-	x := &world{
+	x := &simulation{
 		w: w, p: p, clk: &clock{now: start}, rnd: rand.New(rand.NewPCG(w.Seed, 1)),
-		callers: rand.New(rand.NewPCG(w.Seed, 2)), byID: map[ids.Target]*fakeEngine{},
+		arrivalRnd: rand.New(rand.NewPCG(w.Seed, 2)), byID: map[ids.Target]*fakeEngine{},
 		end: start.Add(w.Duration), oracle: p.Router(),
 		res: &Result{
 			Workload: w.Name, Policy: p.Name, TTFT: hdrhistogram.New(1, ttftMax, ttftDigits),
@@ -114,15 +116,15 @@
 	for _, f := range w.Faults {
 		x.clk.after(f.At, func() { f.Do(x) })
 	}
-	x.arrivals()
+	x.scheduleArrivals()
 	x.clk.run()
-	x.res.windows()
+	x.res.averageWindows()
 	return x.res
 }
 
-func (x *world) now() time.Time { return x.clk.now }
+func (x *simulation) now() time.Time { return x.clk.now }
 
-func (x *world) build() {
+func (x *simulation) build() {
 	var records []platform.Record
 	for i := range x.w.Engines {
 		e := newEngine(x.w.target(i), x.w.Engine, x.clk)
@@ -135,97 +137,98 @@
 	}
 	x.records = records
 	for i := range x.w.VMs {
-		x.deciders = append(x.deciders, x.newDecider(i, records))
+		x.vms = append(x.vms, x.newVM(i, records))
 	}
 	for i, e := range x.engines {
-		x.knowledge(i, e)
+		x.scheduleUpdates(i, e)
 	}
-	x.clk.every(tellEvery, x.end, x.tellPeers)
+	x.clk.every(peerSendInterval, x.end, x.sendToPeers)
 }
 
-// Rhythms of what deciders learn: the product's, with the platform's lags.
+// Intervals and delays of the updates that VMs receive. The intervals are those
+// of the product, the delays those of the platform.
 const (
-	refreshEvery = 50 * time.Millisecond
-	reportEvery  = time.Second
-	reportLag    = 300 * time.Millisecond // at least; as much again at random
-	feedEvery    = 500 * time.Millisecond
-	feedLag      = 300 * time.Millisecond
-	tellEvery    = 250 * time.Millisecond
-	tellLag      = 100 * time.Millisecond
+	refreshInterval  = 50 * time.Millisecond
+	reportInterval   = time.Second
+	reportLag        = 300 * time.Millisecond // minimum; up to as much again is added at random
+	feedInterval     = 500 * time.Millisecond
+	feedLag          = 300 * time.Millisecond
+	peerSendInterval = 250 * time.Millisecond
+	peerLag          = 100 * time.Millisecond
 )
 
-func (x *world) newDecider(i int, records []platform.Record) *decider {
-	d := &decider{
+func (x *simulation) newVM(i int, records []platform.Record) *vm {
+	v := &vm{
 		f: fleet.New(membership.New(ids.VM("vm"), membership.DefaultTuning), cacheview.New(64<<10, x.now),
 			loadview.New(), x.p.Router(), x.now),
 		budget: retry.NewBudget(retry.DefaultRatio, retry.DefaultBurst, retry.DefaultWindow, x.now),
 		domain: x.w.domain(i),
 	}
 	if x.w.Gate != nil && !x.p.Ablation.NoGate {
-		d.gate = x.w.Gate(x.now)
+		v.gate = x.w.Gate(x.now)
 	}
-	d.f.Members.Platform(records, x.now())
-	d.f.Refresh()
-	x.clk.every(refreshEvery, x.end, func() { d.f.Refresh() })
-	return d
+	v.f.Members.Platform(records, x.now())
+	v.f.Refresh()
+	x.clk.every(refreshInterval, x.end, func() { v.f.Refresh() })
+	return v
 }
 
-// knowledge sets up what deciders hear of one engine: lagging load reports, and
-// its cache feed, which one decider reads.
-func (x *world) knowledge(i int, e *fakeEngine) {
-	phase := time.Duration(x.rnd.Int64N(int64(reportEvery)))
+// scheduleUpdates schedules the updates that VMs receive of one engine: delayed load
+// reports, and its feed of cache events, which one VM reads.
+func (x *simulation) scheduleUpdates(i int, e *fakeEngine) {
+	phase := time.Duration(x.rnd.Int64N(int64(reportInterval)))
 	x.clk.after(phase, func() {
-		x.report(e)
-		x.clk.every(reportEvery, x.end, func() { x.report(e) })
+		x.sendReport(e)
+		x.clk.every(reportInterval, x.end, func() { x.sendReport(e) })
 	})
 	if !x.p.Ablation.NoFeed {
-		reader := x.deciders[i%len(x.deciders)]
-		x.clk.every(feedEvery, x.end, func() { x.readFeed(e, reader) })
+		reader := x.vms[i%len(x.vms)]
+		x.clk.every(feedInterval, x.end, func() { x.readFeed(e, reader) })
 	}
 }
 
-func (x *world) report(e *fakeEngine) {
+func (x *simulation) sendReport(e *fakeEngine) {
 	r := x.reportOf(e)
-	for i := range x.deciders {
+	for i := range x.vms {
 		lag := reportLag + time.Duration(x.rnd.Int64N(int64(reportLag)))
-		x.clk.after(lag, func() { x.deciders[i].f.Members.Probed(e.id, r, x.now().Add(-lag)) })
+		x.clk.after(lag, func() { x.vms[i].f.Members.Probed(e.id, r, x.now().Add(-lag)) })
 	}
 }
 
-func (x *world) reportOf(e *fakeEngine) membership.Report {
+func (x *simulation) reportOf(e *fakeEngine) membership.Report {
 	return membership.Report{
-		Incarnation: e.life, Seq: uint64(x.now().UnixMilli()), QueuedTokens: e.queuedTokens(), Running: len(e.running),
+		Incarnation: e.incarnation, Seq: uint64(x.now().UnixMilli()), QueuedTokens: e.queuedTokens(), Running: len(e.running),
 		Slots: e.spec.Slots, PrefillRate: e.spec.PrefillRate, Weights: "w", Silent: !e.up,
 	}
 }
 
-func (x *world) readFeed(e *fakeEngine, d *decider) {
+func (x *simulation) readFeed(e *fakeEngine, reader *vm) {
 	batch := e.feed
 	e.feed = nil
 	if len(batch) > 2 && x.rnd.Float64() < x.w.EventLoss {
-		batch = append(batch[:1:1], batch[2:]...) // an entry is lost
+		batch = append(batch[:1:1], batch[2:]...) // drop one event
 	}
-	life := cacheview.GenerationOf(e.life, "w")
-	x.clk.after(feedLag, func() { d.f.Cache.Feed(e.id, life, batch) })
+	generation := cacheview.GenerationOf(e.incarnation, "w")
+	x.clk.after(feedLag, func() { reader.f.Cache.Feed(e.id, generation, batch) })
 }
 
-// tellPeers passes each decider's fresh beliefs on to the others.
-func (x *world) tellPeers() {
-	for i, d := range x.deciders {
-		fresh := d.f.Cache.TakeNewEntries()
+// sendToPeers sends the new cache entries of each VM to the other VMs.
+func (x *simulation) sendToPeers() {
+	for i, v := range x.vms {
+		fresh := v.f.Cache.TakeNewEntries()
 		x.res.SentEntries += len(fresh)
 		if x.p.Ablation.NoPeers {
 			continue
 		}
-		x.clk.after(tellLag, func() {
-			for j, other := range x.deciders {
+		x.clk.after(peerLag, func() {
+			for j, other := range x.vms {
 				if i == j {
 					continue
 				}
 				for _, b := range fresh {
 					other.f.Cache.ApplyPeerEntry(b.Target, uint16(b.Generation), uint64(b.ID))
 					if b.Work > 0 {
-						other.f.Load.AddPeerWork(b.Target, b.Work, x.now().Add(-tellLag-tellEvery/2))
+						other.f.Load.AddPeerWork(b.Target, b.Work, x.now().Add(-peerLag-peerSendInterval/2))
 					}
 				}
 			}
@@ -233,53 +236,54 @@
 	}
 }
 
-// arrivals draws the workload's requests: a Poisson process whose rate may change.
-func (x *world) arrivals() {
+// scheduleArrivals draws the requests of the workload: a Poisson process whose rate
+// may change.
+func (x *simulation) scheduleArrivals() {
 	var next func()
 	next = func() {
 		at := x.now().Sub(start)
 		if at >= x.w.Duration {
 			return
 		}
-		x.ask(x.w.draw(x.callers, at))
-		gap := time.Duration(x.callers.ExpFloat64() / x.w.rate(at) * float64(time.Second))
+		x.startRequest(x.w.draw(x.arrivalRnd, at))
+		gap := time.Duration(x.arrivalRnd.ExpFloat64() / x.w.rate(at) * float64(time.Second))
 		x.clk.after(gap, next)
 	}
 	x.clk.after(0, next)
 }
 
-// request is one caller's request on its way.
+// request is a request in flight.
 type request struct {
 	prompt   prompt
-	d        *decider
-	came     time.Time
+	vm       *vm
+	arrived  time.Time
 	tried    []ids.Target
 	attempts int
 }
 
 const maxAttempts = 4
 
-func (x *world) ask(p prompt) {
-	r := &request{prompt: p, d: x.deciders[x.callers.IntN(len(x.deciders))], came: x.now()}
+func (x *simulation) startRequest(p prompt) {
+	r := &request{prompt: p, vm: x.vms[x.arrivalRnd.IntN(len(x.vms))], arrived: x.now()}
 	x.res.Requests++
 	x.res.RequestsByWorkspace[p.workspace]++
-	r.d.budget.Deposit()
+	r.vm.budget.Deposit()
 	x.attempt(r)
 }
 
-func (x *world) attempt(r *request) {
+func (x *simulation) attempt(r *request) {
 	req := routing.Request{
-		Model: r.prompt.model, FailureDomain: r.d.domain, Levels: r.prompt.levels, Tokens: int32(r.prompt.tokens),
-		RecomputeWeight: x.w.RecomputeWeight, Seed: r.d.f.Seed(),
+		Model: r.prompt.model, FailureDomain: r.vm.domain, Levels: r.prompt.levels, Tokens: int32(r.prompt.tokens),
+		RecomputeWeight: x.w.RecomputeWeight, Seed: r.vm.f.Seed(),
 	}
 	target, dec := x.decide(r, &req)
 	if target == "" {
 		x.res.Failed++
 		return
 	}
-	if r.attempts == 0 && r.d.gate != nil {
+	if r.attempts == 0 && r.vm.gate != nil {
 		predicted := time.Duration(float64(dec.PredictedTTFT) * float64(time.Second))
-		if r.d.gate.Check(r.prompt.workspace, r.prompt.priority, int32(r.prompt.tokens), predicted) != nil {
+		if r.vm.gate.Check(r.prompt.workspace, r.prompt.priority, int32(r.prompt.tokens), predicted) != nil {
 			x.res.Refused++
 			return
 		}
@@ -290,13 +294,14 @@
 	x.dispatch(r, x.byID[target], dec)
 }
 
-// decide asks the product, or the oracle.
-func (x *world) decide(r *request, req *routing.Request) (ids.Target, routing.Decision) {
-	sc := r.d.f.Acquire()
-	defer r.d.f.Release(sc)
-	snap, dec := r.d.f.Decide(req, r.tried, sc)
+// decide picks a target with the policy, from the actual state if the policy asks
+// for it. The target is empty if none is eligible.
+func (x *simulation) decide(r *request, req *routing.Request) (ids.Target, routing.Decision) {
+	sc := r.vm.f.Acquire()
+	defer r.vm.f.Release(sc)
+	snap, dec := r.vm.f.Decide(req, r.tried, sc)
 	if x.p.Exact || x.p.ExactCache || x.p.ExactLoad {
-		x.exact(r, sc.Inputs)
+		x.applyExactState(r, sc.Inputs)
 		dec = x.oracle.Decide(req, &snap.View, sc.Inputs, &sc.Routing)
 	}
 	if dec.Index < 0 {
@@ -305,15 +310,15 @@
 	return snap.View.Targets[dec.Index].ID, dec
 }
 
-// exact replaces what a decider believes by what is so.
-func (x *world) exact(r *request, in []routing.Input) {
+// applyExactState replaces the estimates of a VM by the actual state.
+func (x *simulation) applyExactState(r *request, in []routing.Input) {
 	for i, e := range x.engines {
 		in[i].State, in[i].SlowStart, in[i].BreakerOpen = routing.Live, 1, false
 		if !e.up {
 			in[i].State = routing.Dead
 		}
 		if x.p.Exact || x.p.ExactLoad {
-			x.exactLoad(e, &in[i])
+			x.applyExactLoad(e, &in[i])
 		}
 		if x.p.Exact || x.p.ExactCache {
 			in[i].Cached = int32(min(e.cache.Holds(r.prompt.blocks)*blockTokens, r.prompt.tokens))
@@ -321,7 +326,7 @@
 	}
 }
 
-func (x *world) exactLoad(e *fakeEngine, in *routing.Input) {
+func (x *simulation) applyExactLoad(e *fakeEngine, in *routing.Input) {
 	in.PrefillRate = float32(e.spec.PrefillRate)
 	in.QueueTokens = float32(e.exactWait().Seconds() * e.spec.PrefillRate)
 	in.SlotWait = 0
@@ -330,80 +335,82 @@
 	}
 }
 
-func (x *world) dispatch(r *request, e *fakeEngine, dec routing.Decision) {
+func (x *simulation) dispatch(r *request, e *fakeEngine, dec routing.Decision) {
 	var prior cacheview.Prior
 	if !x.p.Ablation.NoExpect {
-		prior = r.d.f.Cache.Expect(e.id, r.prompt.levels, int32(r.prompt.tokens)-dec.Cached)
+		prior = r.vm.f.Cache.Expect(e.id, r.prompt.levels, int32(r.prompt.tokens)-dec.Cached)
 	}
-	r.d.f.Members.Trying(e.id, x.now())
-	work := r.d.f.Load.Sent(e.id, int32(r.prompt.tokens)-dec.Cached, x.now())
-	best := x.bestHeld(r.prompt)
-	life, cachedTokens := e.life, 0
-	x.jobs++
+	r.vm.f.Members.Trying(e.id, x.now())
+	work := r.vm.f.Load.Sent(e.id, int32(r.prompt.tokens)-dec.Cached, x.now())
+	maxCached := x.maxCached(r.prompt)
+	incarnation, cachedTokens := e.incarnation, 0
+	x.jobSeq++
 	e.submit(&job{
-		number: x.jobs, blocks: r.prompt.blocks, tokens: r.prompt.tokens, output: x.w.Output, priority: r.prompt.priority,
+		number: x.jobSeq, blocks: r.prompt.blocks, tokens: r.prompt.tokens, output: x.w.Output, priority: r.prompt.priority,
 		started: func(cached int) {
 			work.FirstToken()
 			cachedTokens = cached
-			x.res.first(x.now().Sub(start), x.now().Sub(r.came), r.prompt.tokens, cached, best)
+			x.res.recordFirstToken(x.now().Sub(start), x.now().Sub(r.arrived), r.prompt.tokens, cached, maxCached)
 		},
 		done: func(ok bool) {
 			work.End()
-			x.ended(r, e.id, ok, cacheview.GenerationOf(life, "w"), prior, cachedTokens)
+			x.onAttemptEnd(r, e.id, ok, cacheview.GenerationOf(incarnation, "w"), prior, cachedTokens)
 		},
 	})
 }
 
-// bestHeld is the deepest prefix that any eligible engine holds, in tokens.
-func (x *world) bestHeld(p prompt) int {
-	best := 0
+// maxCached returns the longest prefix, in tokens, that any eligible engine has cached.
+func (x *simulation) maxCached(p prompt) int {
+	tokens := 0
 	for i, e := range x.engines {
 		if e.up && x.w.model(i) == p.model {
-			best = max(best, min(e.cache.Holds(p.blocks)*blockTokens, p.tokens))
+			tokens = max(tokens, min(e.cache.Holds(p.blocks)*blockTokens, p.tokens))
 		}
 	}
-	return best
+	return tokens
 }
 
-func (x *world) ended(r *request, t ids.Target, ok bool, life cacheview.Generation, prior cacheview.Prior, cached int) {
+func (x *simulation) onAttemptEnd(r *request, t ids.Target, ok bool, generation cacheview.Generation, prior cacheview.Prior, cached int) {
 	if ok {
-		r.d.f.Members.Succeeded(t)
-		r.d.f.Load.ObserveResponse(int32(r.prompt.tokens), int32(cached))
-		r.d.f.Cache.ApplyResponse(t, life, r.prompt.levels, prior, int32(cached))
+		r.vm.f.Members.Succeeded(t)
+		r.vm.f.Load.ObserveResponse(int32(r.prompt.tokens), int32(cached))
+		r.vm.f.Cache.ApplyResponse(t, generation, r.prompt.levels, prior, int32(cached))
 		x.res.Completed++
 		x.res.CompletedByWorkspace[r.prompt.workspace]++
 		return
 	}
-	r.d.f.Members.Failed(t, x.now())
-	r.d.f.MarkDirty()
-	if r.attempts < maxAttempts && r.d.budget.Withdraw() {
+	r.vm.f.Members.Failed(t, x.now())
+	r.vm.f.MarkDirty()
+	if r.attempts < maxAttempts && r.vm.budget.Withdraw() {
 		x.attempt(r)
 		return
 	}
 	x.res.Failed++
 }
 
-// first records a first token.
-func (r *Result) first(at, ttft time.Duration, tokens, cached, best int) {
+// recordFirstToken records the first token of a response, at the given time since
+// the start of the run.
+func (r *Result) recordFirstToken(at, ttft time.Duration, tokens, cached, maxCached int) {
 	_ = r.TTFT.RecordValue(min(ttft.Microseconds(), ttftMax))
 	recomputed := tokens - cached
 	r.Prompt += int64(tokens)
 	r.Recomputed += int64(recomputed)
-	r.Wasted += int64(max(best-cached, 0))
+	r.Wasted += int64(max(maxCached-cached, 0))
 	sec := int(at / time.Second)
 	for len(r.windowPrompt) <= sec {
 		r.windowPrompt, r.windowRecomputed = append(r.windowPrompt, 0), append(r.windowRecomputed, 0)
-		r.windowWait, r.windowCount = append(r.windowWait, 0), append(r.windowCount, 0)
+		r.windowTTFTSum, r.windowCount = append(r.windowTTFTSum, 0), append(r.windowCount, 0)
 	}
 	r.windowPrompt[sec] += int64(tokens)
 	r.windowRecomputed[sec] += int64(recomputed)
-	r.windowWait[sec] += ttft.Seconds()
+	r.windowTTFTSum[sec] += ttft.Seconds()
 	r.windowCount[sec]++
 }
 
-func (r *Result) windows() {
+// averageWindows computes the figures by second from their sums.
+func (r *Result) averageWindows() {
 	for i := range r.windowPrompt {
 		r.WindowHit = append(r.WindowHit, 1-float64(r.windowRecomputed[i])/float64(max(r.windowPrompt[i], 1)))
-		r.WindowTTFT = append(r.WindowTTFT, r.windowWait[i]/float64(max(r.windowCount[i], 1)))
+		r.WindowTTFT = append(r.WindowTTFT, r.windowTTFTSum[i]/float64(max(r.windowCount[i], 1)))
 	}
 }
--- a/internal/yardstick/workloads.go
+++ b/internal/yardstick/workloads.go
@@ -14,7 +14,7 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Workload is what callers bring, and the engines that serve them.
+// Workload describes the requests of a run and the fleet that serves them.
 type Workload struct {
 	Name            string
 	Seed            uint64
@@ -25,26 +25,26 @@
 	Models          int
 	Workspaces      int
 	Engine          EngineSpec
-	Rate            float64 // requests/s
-	Burst           float64 // factor of the rate in the middle third
-	Levels          []int   // tokens of common, tenant and item level
-	Items           int     // items (contracts, barriers) of each workspace
-	HotItems        int     // of them, how many are hot at a time; 0: all alike
-	ShiftEvery      time.Duration
-	Output          int // tokens
+	Rate            float64       // requests/s
+	Burst           float64       // factor on the rate in the middle third of the run; 0: none
+	Levels          []int         // tokens of the common, workspace and item level
+	Items           int           // items (contracts, barriers) per workspace
+	HotItems        int           // number of items that are hot at a time; 0: none
+	ShiftEvery      time.Duration // time until other items are hot; 0: never
+	Output          int           // output tokens of each request
 	RecomputeWeight float32
-	EventLoss       float64 // chance that a batch of cache events loses an entry
+	EventLoss       float64 // probability that a batch of cache events loses one event
 	Faults          []Fault
 	Gate            func(now func() time.Time) gate
 }
 
-// Fault is something that happens to the world.
+// Fault is a fault that is injected at a time since the start of the run.
 type Fault struct {
 	At time.Duration
-	Do func(*world)
+	Do func(*simulation)
 }
 
-// prompt is one drawn request.
+// prompt is the prompt of one request.
 type prompt struct {
 	workspace ids.Workspace
 	model     ids.Model
@@ -69,11 +69,11 @@
 	return w.Rate
 }
 
-// questionTokens is the part of a prompt that no other shares.
-const questionTokens = 60
+// suffixTokens is the length of the unshared suffix of a prompt, in tokens.
+const suffixTokens = 60
 
-// draw draws a request: a few workspaces are large, a few items are hot, and
-// which items are hot moves on.
+// draw draws a prompt. Few workspaces get most requests, few items are hot, and the
+// set of hot items changes every ShiftEvery.
 func (w *Workload) draw(r *rand.Rand, at time.Duration) prompt {
 	ws := skewed(r, w.Workspaces)
 	item := skewed(r, w.Items)
@@ -97,11 +97,12 @@
 		}
 		p.levels = append(p.levels, prefix.Level{ID: prefix.ID(hash), Tokens: int32(p.tokens)})
 	}
-	p.tokens += questionTokens
+	p.tokens += suffixTokens
 	return p
 }
 
-// skewed draws 0..n-1, small numbers more often: Zipf-like with exponent 1.
+// skewed draws from 0 to n-1, small numbers more often: approximately a Zipf
+// distribution with exponent 1.
 func skewed(r *rand.Rand, n int) int {
 	if n <= 1 {
 		return 0
@@ -109,62 +110,63 @@
 	return min(int(math.Pow(float64(n), r.Float64()))-1, n-1)
 }
 
-// crash takes a part of the engines down, and back empty some time later.
-func crash(part float64, back time.Duration) func(*world) {
-	return func(x *world) {
-		n := int(float64(len(x.engines)) * part)
+// crash crashes a fraction of the engines and restarts them with empty caches after
+// the downtime.
+func crash(fraction float64, downtime time.Duration) func(*simulation) {
+	return func(x *simulation) {
+		n := int(float64(len(x.engines)) * fraction)
 		for i := range n {
 			e := x.engines[i*len(x.engines)/n]
 			e.crash()
-			x.clk.after(back, func() { e.restart(e.life) })
+			x.clk.after(downtime, func() { e.restart(e.incarnation) })
 		}
 	}
 }
 
-// restartDeciders lets all VMs begin a new life at once. From survivors they are
-// given the beliefs of one that stays; without, they know nothing.
-func restartDeciders(survivor bool) func(*world) {
-	return func(x *world) {
-		known := x.deciders[0].f.Cache.Entries(1 << 20)
-		for i := range x.deciders {
+// restartVMs restarts all VMs at once, or all but one if there is a survivor. The
+// restarted VMs receive the cache entries of the survivor, or start with none.
+func restartVMs(survivor bool) func(*simulation) {
+	return func(x *simulation) {
+		known := x.vms[0].f.Cache.Entries(1 << 20)
+		for i := range x.vms {
 			if survivor && i == 0 {
 				continue
 			}
-			d := x.newDecider(i, x.records)
+			v := x.newVM(i, x.records)
 			for _, e := range x.engines {
-				d.f.Members.Probed(e.id, x.reportOf(e), x.now())
+				v.f.Members.Probed(e.id, x.reportOf(e), x.now())
 			}
-			d.f.Refresh()
+			v.f.Refresh()
 			if survivor {
 				for _, b := range known {
-					d.f.Cache.ApplyPeerEntry(b.Target, uint16(b.Generation), uint64(b.ID))
+					v.f.Cache.ApplyPeerEntry(b.Target, uint16(b.Generation), uint64(b.ID))
 				}
 			}
-			x.deciders[i] = d
+			x.vms[i] = v
 		}
 	}
 }
 
-// Solano's engine and Barreras's engine.
+// Engines of the solano and of the other workloads. They differ in cache size only.
 var (
-	yardEngine    = EngineSpec{PrefillRate: 12_000, Overhead: 8 * time.Millisecond, Slots: 32, TokenEvery: 20 * time.Millisecond, CacheTokens: 90_000}
-	plannerEngine = EngineSpec{PrefillRate: 12_000, Overhead: 8 * time.Millisecond, Slots: 32, TokenEvery: 20 * time.Millisecond, CacheTokens: 160_000}
+	solanoEngine   = EngineSpec{PrefillRate: 12_000, Overhead: 8 * time.Millisecond, Slots: 32, TokenEvery: 20 * time.Millisecond, CacheTokens: 90_000}
+	barrerasEngine = EngineSpec{PrefillRate: 12_000, Overhead: 8 * time.Millisecond, Slots: 32, TokenEvery: 20 * time.Millisecond, CacheTokens: 160_000}
 )
 
-// Workloads returns the workloads of docs/design/routing.md.
+// Workloads returns the workloads that docs/design/routing.md describes.
 func Workloads(seed uint64) []Workload {
 	solano := Workload{
-		Name: "solano", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: yardEngine,
+		Name: "solano", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: solanoEngine,
 		Rate: 28, Burst: 1.8, Levels: []int{6000, 1200, 900}, Items: 40, Output: 60, RecomputeWeight: 0.05, EventLoss: 0.05,
 	}
 	barreras := Workload{
-		Name: "barreras", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: plannerEngine,
+		Name: "barreras", Seed: seed, Duration: 60 * time.Second, Engines: 9, VMs: 8, Domains: 4, Workspaces: 8, Engine: barrerasEngine,
 		Rate: 30, Levels: []int{5000, 1000, 9000}, Items: 48, HotItems: 4, ShiftEvery: 20 * time.Second, Output: 60,
 		RecomputeWeight: 0.8, EventLoss: 0.05,
 	}
 	domain := Workload{
 		Name: "domain", Seed: seed, Duration: 30 * time.Second, Engines: 153, VMs: 22, Domains: 1, Models: 3, Workspaces: 34,
-		Engine: plannerEngine, Rate: 450, Levels: []int{5000, 1200, 3000}, Items: 60, HotItems: 6, ShiftEvery: 10 * time.Second,
+		Engine: barrerasEngine, Rate: 450, Levels: []int{5000, 1200, 3000}, Items: 60, HotItems: 6, ShiftEvery: 10 * time.Second,
 		Output: 60, RecomputeWeight: 0.2, EventLoss: 0.05,
 	}
 	crashed := barreras
@@ -173,35 +175,37 @@
 	return []Workload{solano, barreras, domain, crashed}
 }
 
-// RestartAt is when the VMs of the restart workloads begin a new life.
+// RestartAt is the time, since the start of the run, at which the VMs of the
+// workloads of Restarts restart.
 const RestartAt = 30 * time.Second
 
-// Restarts returns workloads in which all VMs, or all but one, restart at once.
+// Restarts returns workloads in which no VM restarts, all but one VM restart at once,
+// and all restart at once.
 func Restarts(seed uint64) []Workload {
 	base := Workloads(seed)[0]
 	base.Burst, base.Rate = 0, 40
-	herd, bare := base, base
+	allButOne, all := base, base
 	base.Name = "no restart"
-	herd.Name, herd.Faults = "all but one restart", []Fault{{At: RestartAt, Do: restartDeciders(true)}}
-	bare.Name, bare.Faults = "all restart, nobody left", []Fault{{At: RestartAt, Do: restartDeciders(false)}}
-	return []Workload{base, herd, bare}
+	allButOne.Name, allButOne.Faults = "all but one restart", []Fault{{At: RestartAt, Do: restartVMs(true)}}
+	all.Name, all.Faults = "all restart, nobody left", []Fault{{At: RestartAt, Do: restartVMs(false)}}
+	return []Workload{base, allButOne, all}
 }
 
-// listed returns a limiter of a VM that is the only one.
-func listed(l *allowance.Limiter) *allowance.Limiter {
+// withoutPeers sets up the limiter for a VM without peers and returns it.
+func withoutPeers(l *allowance.Limiter) *allowance.Limiter {
 	l.SetVMs(nil)
 	return l
 }
 
-// Overload returns a workload that asks for more than the engines can compute,
-// with and without admission's overload gate.
+// Overload returns a workload that exceeds the capacity of the engines, without and
+// with the overload control of package admission.
 func Overload(seed uint64) []Workload {
 	w := Workloads(seed)[1]
 	w.Name, w.Rate, w.ShiftEvery, w.Items, w.HotItems = "overload, no gate", 55, 0, 400, 0
 	gated := w
 	gated.Name = "overload, gate"
 	gated.Gate = func(now func() time.Time) gate {
-		return admission.New(admission.DefaultTuning, listed(allowance.New("", now)), now)
+		return admission.New(admission.DefaultTuning, withoutPeers(allowance.New("", now)), now)
 	}
 	return []Workload{w, gated}
 }
