--- a/spec/config.pml
+++ b/spec/config.pml
@@ -6,7 +6,7 @@
  *
  *   here          in the code
  *   list, delta   confsync.Store.Offer with Base zero or not
- *   floor         confsync.Store.Hear
+ *   floor         confsync.Store.RaiseFloor
  *   serves        daemon.lacking, readiness
  *
  * Content is a bit for each revision written: what a VM holds must be exactly the
