--- a/internal/edge/duties_test.go
+++ b/internal/edge/duties_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// sendNews sends a message of the VM from to the address to.
+// sendNews sends a message to the address "to" as the VM "from".
 func sendNews(t *testing.T, to string, from ids.VM) {
 	t.Helper()
 	c, err := net.Dial("udp4", to)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -168,12 +168,12 @@
 	keyMargin = 300 * time.Millisecond
 	// weightsMargin is subtracted from the time in which older weights may be used.
 	weightsMargin = time.Second
-	// throttleShare is the fraction of the time in which older weights may be used during which a
-	// rollout takes one engine at a time.
+	// throttleShare is the first fraction of the time in which older weights may be used. In it a
+	// rollout in a fully loaded fleet takes the fewest engines out of service at a time.
 	throttleShare = 0.3
-	// regainGrace is how long after an outage of the store replicas whose entries expired during
-	// it may register again.
-	regainGrace = 2 * time.Second
+	// returnGrace is how long after an outage of the store replicas may register again whose
+	// entries expired during the outage.
+	returnGrace = 2 * time.Second
 	// noProbeGrace keeps membership from treating targets as unresponsive: this daemon does not
 	// probe targets.
 	noProbeGrace = 10_000 * time.Hour
@@ -220,7 +220,7 @@
 		d.adapter.Meter.CrossDomain = d.crossDomain
 	}
 	d.Replicas = &follow.Replicas{
-		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, OnGone: d.forgetReplica(client), Configured: d.hasService, ReturnGrace: regainGrace, Log: d.Log,
+		Fleet: d.Fleet, Decode: d.adapter.DecodeReplica, OnGone: d.forgetReplica(client), Configured: d.hasService, ReturnGrace: returnGrace, Log: d.Log,
 		Subset: follow.Subset{VM: s.VM, Domain: s.FailureDomain, Max: edge.Subset},
 	}
 	d.Fleet.KnownFraction = d.Replicas.KnownFraction
@@ -270,8 +270,8 @@
 		OnRecentWeights: func(n news.RecentWeights) {
 			d.Weights.ApplyPeerAge(follow.VersionAge{Model: n.Model, Version: n.Version, Age: time.Duration(n.AgeMs) * time.Millisecond}, clock.Now())
 		},
-		OnUnresponsive: func(peer ids.VM, silent []ids.Target) {
-			d.Fleet.Members.SetLostByPeer(peer, silent, clock.Now())
+		OnUnresponsive: func(peer ids.VM, unresponsive []ids.Target) {
+			d.Fleet.Members.SetLostByPeer(peer, unresponsive, clock.Now())
 		},
 		OnStoreDown: func(addr string) { d.Forward.KV.StoreDown(addr, true, clock.Now()) },
 		LeaseLapse:  d.leaseLapse, OnLeaseLapse: d.onLeaseLapse, Crashes: d.crashes, Allowances: d.allowances,
--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -26,20 +26,20 @@
 
 const (
 	// relayWait is the longest wait of the configuration watch at a VM that reads the store for
-	// others: they stop using a VM whose last contact with the store is a second old. A proof
-	// gets as old as two waits at the store reader and two requests more at the other VMs; all
-	// four together stay within twice ProofEvery, the general limit.
+	// others, since they stop using a VM whose last contact with the store is a second old. A
+	// proof gets as old as two waits at the store reader and two requests more at the other VMs;
+	// all four together stay within twice ProofEvery, the general limit.
 	relayWait = 600 * time.Millisecond
 	// watchWait is the wait of watches that serve no proof. It bounds how long a dead watch stays
 	// undetected.
 	watchWait = 5 * time.Second
-	// gatherPerVM is how long changes of replicas are batched, per entry VM: changes come in
-	// bursts, and each wakes up a watch.
-	gatherPerVM = 8 * time.Millisecond
-	// maxGather bounds the batching time; a leaving replica must be noticed within two seconds.
-	maxGather = 300 * time.Millisecond
-	// regainAfter is the age of the data from the store above which the store counts as lost.
-	regainAfter = 2 * time.Second
+	// coalescePerVM is the delay per entry VM for which changes of replicas are coalesced: changes
+	// come in bursts, and each wakes up a watch.
+	coalescePerVM = 8 * time.Millisecond
+	// maxCoalesce bounds that delay; a leaving replica must be noticed within two seconds.
+	maxCoalesce = 300 * time.Millisecond
+	// storeLostAfter is the age of the data from the store above which the store counts as lost.
+	storeLostAfter = 2 * time.Second
 )
 
 // buildReader creates the reader of the store and the server that mirrors it to peers.
@@ -62,14 +62,14 @@
 
 // readStore follows the store until ctx ends.
 func (d *Daemon) readStore(ctx context.Context) {
-	var doubt follow.StoreHealth
+	var health follow.StoreHealth
 	var all sync.WaitGroup
 	defer all.Wait()
 	for _, s := range d.mirrors.Spaces {
 		at, known := s.At()
 		f := &follow.Follower{
-			Store: d.store, Prefix: s.Prefix, Handler: s, Log: d.Log, Health: &doubt,
-			Wait: d.wait(s.Prefix), CoalesceDelay: d.gatherer(s.Prefix), Reconnecting: known && clock.Since(at.Sent) > regainAfter,
+			Store: d.store, Prefix: s.Prefix, Handler: s, Log: d.Log, Health: &health,
+			Wait: d.wait(s.Prefix), CoalesceDelay: d.coalesceDelay(s.Prefix), Reconnecting: known && clock.Since(at.Sent) > storeLostAfter,
 		}
 		all.Go(func() { f.Run(ctx) })
 	}
@@ -89,13 +89,13 @@
 	}
 }
 
-// gatherer returns a function that gives the batching time for changes of a key space, or nil for
-// the key spaces whose changes take effect at once, such as the configuration and the weights.
-func (d *Daemon) gatherer(prefix string) func() time.Duration {
+// coalesceDelay returns a function that gives the delay for changes of a key space, or nil for the
+// key spaces whose changes take effect at once, such as the configuration and the weights.
+func (d *Daemon) coalesceDelay(prefix string) func() time.Duration {
 	if prefix != d.adapter.PrefixReplicas && prefix != prefixVMs {
 		return nil
 	}
-	return func() time.Duration { return min(time.Duration(d.vms.count())*gatherPerVM, maxGather) }
+	return func() time.Duration { return min(time.Duration(d.vms.count())*coalescePerVM, maxCoalesce) }
 }
 
 // upstreamPeers returns the VMs that this VM may read the store through, in order of preference:
@@ -167,8 +167,8 @@
 )
 
 // listVMs lists the entry VMs, since a starting VM reads all other data from its peers. It accepts a
-// stale list, which costs a tenth; a peer missing from it appears later. Without a list this VM
-// reads the store itself.
+// stale list, which costs a tenth of a current one; a peer missing from it appears later. Without
+// a list this VM reads the store itself.
 func (d *Daemon) listVMs(ctx context.Context) {
 	for range listAttempts {
 		sent := clock.Now()
