--- a/internal/fleet/transit.go
+++ b/internal/fleet/transit.go
@@ -36,36 +36,36 @@
 
 // ratePerTarget estimates how many calls per second each of a service's targets gets from
 // all VMs.
-func (c *transit) ratePerTarget(service string, targets int, now time.Time) float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := c.calls[service]
+func (t *transit) ratePerTarget(service string, targets int, now time.Time) float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.calls[service]
 	if r == nil || targets == 0 {
 		return 0
 	}
-	return r.now(now) / rateTimeConstant.Seconds() * float64(c.peers+1) / float64(targets)
+	return r.valueAt(now) / rateTimeConstant.Seconds() * float64(t.peers+1) / float64(targets)
 }
 
-// now returns the count decayed to the time t.
-func (r *callRate) now(t time.Time) float64 {
+// valueAt returns the count decayed to the time t.
+func (r *callRate) valueAt(t time.Time) float64 {
 	return r.sum * math.Exp(-t.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
 
 // countSent counts a call of this VM to the service. It returns the estimated number of calls
 // that the other VMs have sent to the service since they last reported their loads.
-func (c *transit) countSent(service string, loads *loadview.Tracker, now time.Time) float32 {
+func (t *transit) countSent(service string, loads *loadview.Tracker, now time.Time) float32 {
 	age := loads.MeanPeerAge(now)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.calls == nil {
-		c.calls = map[string]*callRate{}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.calls == nil {
+		t.calls = map[string]*callRate{}
 	}
-	r := c.calls[service]
+	r := t.calls[service]
 	if r == nil {
 		r = &callRate{}
-		c.calls[service] = r
+		t.calls[service] = r
 	}
-	r.sum = r.now(now) + 1
+	r.sum = r.valueAt(now) + 1
 	r.at = now
-	return float32(r.sum / rateTimeConstant.Seconds() * float64(c.peers) * age.Seconds())
+	return float32(r.sum / rateTimeConstant.Seconds() * float64(t.peers) * age.Seconds())
 }
