--- a/internal/routing/sampling.go
+++ b/internal/routing/sampling.go
@@ -7,9 +7,9 @@
 // that look idle.
 //
 // The size of the sample depends on the number of calls in transit, those that other VMs have
-// sent but this VM has not received a report of. All of these calls whose sample contains the
-// target that looks best go there; the sample is sized so that this happens to MaxHerd of
-// them. If reports are recent, calls are few or the VM has no peers, a decision considers all
+// sent but this VM has not received a report of. Every such call whose sample contains the
+// target that looks best goes there; the sample is sized so that this is the case for MaxHerd
+// of them. If reports are recent, calls are few or the VM has no peers, a decision considers all
 // targets.
 type Sampling struct {
 	MinTargets int     // least size of a sample; zero disables sampling
@@ -24,9 +24,9 @@
 
 // apply marks the targets outside the sample as ineligible in costs. If the sample has no
 // eligible target, it leaves costs unchanged.
-func (d Sampling) apply(r *Request, v *View, in []Input, e *Eligible, costs []float32) {
-	size := max(float32(d.MinTargets), d.MaxHerd*float32(e.Count)/max(r.InTransit, minInTransit))
-	if d.MinTargets == 0 || float32(e.Count) <= size {
+func (s Sampling) apply(r *Request, v *View, in []Input, e *Eligible, costs []float32) {
+	size := max(float32(s.MinTargets), s.MaxHerd*float32(e.Count)/max(r.InTransit, minInTransit))
+	if s.MinTargets == 0 || float32(e.Count) <= size {
 		return
 	}
 	chance := uint64(size / float32(e.Count) * sampleScale)
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -120,7 +120,7 @@
 	if r.FetchRate <= 0 {
 		return prefillTime(r, in)
 	}
-	moved := float32(max(e.Best-in.Cached, 0))
+	fetched := float32(max(e.Best-in.Cached, 0))
 	computed := float32(max(r.Tokens-max(e.Best, in.Cached), 0))
-	return moved/r.FetchRate + computed/rate(in)
+	return fetched/r.FetchRate + computed/rate(in)
 }
