--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -17,8 +17,8 @@
 
 // WantedWeights reports which weights of a model operators want.
 type WantedWeights interface {
-	// Wanted returns the newest version, the time since operators named it, and how much
-	// longer older versions may be used. The version is empty if none was named.
+	// Wanted returns the newest version, the time since operators declared it, and how much
+	// longer older versions may be used. The version is empty if none was declared.
 	Wanted(m ids.Model, now time.Time) (newest ids.WeightsVersion, since time.Duration, old []routing.WeightsBound)
 	// Left reports whether weights are older than the newest version, and how much longer
 	// they may be used. The time is negative once they may no longer be used.
@@ -46,7 +46,7 @@
 // this VM notices that a replica is back.
 const noTargetRetryAfter = 200 * time.Millisecond
 
-// newWeightsGrace is the time after new weights are named during which engines that have them
+// newWeightsGrace is the time after new weights are declared during which engines that have them
 // are not preferred. Operators allow that time, and without it the first engines with the new
 // weights would get the requests of all VMs at once.
 const newWeightsGrace = time.Second
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -64,7 +64,7 @@
 }
 
 // maxUnreadBlamed is the longest time that a caller may leave a response unread for a broken
-// stream still to count against the target. Targets cut off responses that stay unread.
+// stream still to count against the target. Targets abort responses that stay unread.
 const maxUnreadBlamed = 500 * time.Millisecond
 
 // brokeOffUnread reports whether the response broke off after the caller had left it unread for too
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -82,7 +82,7 @@
 	Mismatch bool               // the replica has other weights, or another identity, than requested
 	Replica  ids.Target         // the replica that answered; empty: not given
 	Weights  ids.WeightsVersion // the weights that the replica has; empty: not given
-	Signals  membership.Signals // rests, limits and leaving that the replica announces
+	Signals  membership.Signals // rests, rate limits and leaving that the replica announces
 }
 
 // Dialect translates between headers and this package's types. It makes no decisions.
@@ -102,7 +102,7 @@
 	// Withdrawn counts sends that were cancelled because the replica had not begun them when
 	// its weights became too old.
 	Withdrawn atomic.Int64
-	// Unread counts calls that were cut off because their callers did not read.
+	// Unread counts calls that were aborted because their callers did not read.
 	Unread                 atomic.Int64
 	Fetches, Saves, Events atomic.Int64
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -30,17 +30,17 @@
 	service   string
 	body      []byte
 
-	tried    []ids.Target
-	sends    int  // sends so far, with any outcome
-	attempts int  // sends that may have run
-	mayRan   bool // an attempt ended with another outcome than not-run
-	begun    bool // a part of the response was passed on
-	status   int  // of the response that was passed on
-	stream   streamState
-	progress progress
-	proofAge time.Duration // of the catalog, when it was applied to the call
-	guard    quarantine.Call
-	charge   charge
+	tried      []ids.Target
+	sends      int  // sends so far, with any outcome
+	attempts   int  // sends that may have run
+	mayHaveRun bool // an attempt ended with another outcome than not-run
+	begun      bool // a part of the response was passed on
+	status     int  // of the response that was passed on
+	stream     streamState
+	progress   progress
+	proofAge   time.Duration // of the catalog, when it was applied to the call
+	guard      quarantine.Call
+	charge     charge
 }
 
 // vmRetryAfter is the Retry-After of a VM that lacks something it needs to serve the call.
@@ -163,7 +163,7 @@
 		return refusal
 	}
 	if !t.r.superseded(t.c) && t.r.f.Fleet.Members.Declines(t.c.target.ID, clock.Now()) {
-		return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica has asked for a rest or is leaving since it was chosen")
+		return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica has asked for a rest or started to leave since it was chosen")
 	}
 	return nil
 }
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -86,14 +86,14 @@
 
 // newFakeReplica starts a replica that calls respond for each request. respond returns false to
 // close the connection.
-func newFakeReplica(t *testing.T, id ids.Target, answer func(c net.Conn, r *http.Request) bool) *fakeReplica {
+func newFakeReplica(t *testing.T, id ids.Target, respond func(c net.Conn, r *http.Request) bool) *fakeReplica {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &fakeReplica{id: id, addr: l.Addr().String(), respond: answer, stop: func() { _ = l.Close() }}
+	s := &fakeReplica{id: id, addr: l.Addr().String(), respond: respond, stop: func() { _ = l.Close() }}
 	go func() {
 		for {
 			c, err := l.Accept()
--- a/internal/forward/kv.go
+++ b/internal/forward/kv.go
@@ -88,9 +88,9 @@
 	if store != nil {
 		at.Store = verdict.Source{Addr: store.Addr, Tokens: p.storedTokens(store, c.salt, m, parts)}
 	}
-	moves := verdict.PlanTransfer(prompt, at)
-	c.fetch, c.work = moves.Fetch, moves.Work
-	if moves.Save && p.maySave(c.salt, m, parts) {
+	transfer := verdict.PlanTransfer(prompt, at)
+	c.fetch, c.work = transfer.Fetch, transfer.Work
+	if transfer.Save && p.maySave(c.salt, m, parts) {
 		c.save = store.Addr
 	}
 }
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -87,9 +87,9 @@
 	p.ages[ageBucketOf(age)].Observe(ratio)
 }
 
-// errorRatio returns measured/predicted. It adds FirstTokenFloor, the time of a first event
-// besides queue and prompt, to the prediction: decisions omit it because it is the same for all
-// targets.
+// errorRatio returns measured/predicted. It adds loadview.MinTTFT, the part of the time
+// to the first event that neither queue nor prompt causes, to the prediction: decisions omit it
+// because it is the same for all targets.
 func errorRatio(predicted, measured time.Duration) float64 {
 	return float64(measured) / float64(max(predicted, 0)+loadview.MinTTFT)
 }
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -83,10 +83,10 @@
 // TestPredictionErrorIsCounted checks that a served prompt counts once, in the bucket that matches
 // its target's delay.
 func TestPredictionErrorIsCounted(t *testing.T) {
-	answer := ok("fine")
+	respond := ok("fine")
 	s := newFakeReplica(t, "a", func(c net.Conn, r *http.Request) bool {
 		time.Sleep(4 * loadview.MinTTFT)
-		return answer(c, r)
+		return respond(c, r)
 	})
 	r := route(catalog.Idempotent, 2)
 	r.Prompts, r.Objective = true, time.Second
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -118,9 +118,9 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 	}
 	for _, c := range []struct {
-		name   string
-		answer func(s *fakeReplica) func(net.Conn, *http.Request) bool
-		blamed int
+		name    string
+		respond func(s *fakeReplica) func(net.Conn, *http.Request) bool
+		blamed  int
 	}{
 		{"stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
@@ -167,7 +167,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newFakeReplica(t, "a", hangUp)
-			s.respond = c.answer(s)
+			s.respond = c.respond(s)
 			tf = newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			if _, _, err := tf.ask(t); err != nil {
@@ -184,7 +184,7 @@
 // dropped, unless the response reports a failure of the replica or does not mark its own end.
 func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer  func(net.Conn, *http.Request) bool
+		respond func(net.Conn, *http.Request) bool
 		cleared bool
 	}{
 		"answered": {ok("fine"), true},
@@ -195,7 +195,7 @@
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newFakeReplica(t, "a", c.answer)
+			s := newFakeReplica(t, "a", c.respond)
 			tf := newFleet(t, route(catalog.Once, 1), s)
 			ledger := tf.watchCrashes()
 			quarantineHello(ledger, 2)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -76,7 +76,7 @@
 // finalError returns the error of a failed call, given that of its last attempt.
 func (r *run) finalError(ctx context.Context, err *outcome.Error) *outcome.Error {
 	e := err
-	if e.Outcome == outcome.NotRun && r.mayRan {
+	if e.Outcome == outcome.NotRun && r.mayHaveRun {
 		// The last attempt did not run; an earlier one may have.
 		e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message)
 	}
@@ -165,7 +165,7 @@
 	stall     *stallTimer
 	weights   weightsWatch
 	sent      time.Time
-	answering bool          // the replica's first event, or its response, has arrived
+	responded bool          // the replica's first event, or its response, has arrived
 	kvSent    bool          // the planner counts this send as computing shared parts
 	framed    bool          // the response marks its own end
 	unread    time.Duration // total time that writes to the caller took
@@ -223,10 +223,10 @@
 // firstOutput records the replica's first event, or its response. It shows that the replica is
 // live, and its delay is compared with the predicted one.
 func (t *try) firstOutput() {
-	if t.answering {
+	if t.responded {
 		return
 	}
-	t.answering = true
+	t.responded = true
 	t.stopWeightsWatch()
 	now := clock.Now()
 	t.work.FirstToken()
@@ -343,7 +343,7 @@
 	if err.Outcome == outcome.NotRun {
 		r.attempts--
 	} else {
-		r.mayRan = true
+		r.mayHaveRun = true
 	}
 	if r.superseded(c) {
 		r.logFailed(c, err)
--- a/internal/forward/shed.go
+++ b/internal/forward/shed.go
@@ -13,7 +13,7 @@
 
 // shed refuses a call that would be late (package verdict), or returns nil.
 func (r *run) shed(c *choice) *outcome.Error {
-	if r.call.Prompt == nil || !r.route.Prompts || r.mayRan || r.begun {
+	if r.call.Prompt == nil || !r.route.Prompts || r.mayHaveRun || r.begun {
 		return nil
 	}
 	a := verdict.Arrival{
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// pieces returns the ids of the events in a stream.
-func pieces(body string) string {
+// eventIDs returns the ids of the events in a stream.
+func eventIDs(body string) string {
 	var out []string
 	for ev := range strings.SplitSeq(body, "\n\n") {
 		id, data, ok := strings.Cut(ev, "\n")
@@ -54,7 +54,7 @@
 func TestStreamComplete(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 0, false)))
 	resp, body, err := tf.ask(t)
-	if err != nil || resp.Header.Get("Signed") != "yes" || pieces(body) != "1 2 3 4 5" {
+	if err != nil || resp.Header.Get("Signed") != "yes" || eventIDs(body) != "1 2 3 4 5" {
 		t.Fatalf("got %v, %q, %v", resp, body, err)
 	}
 }
@@ -69,8 +69,8 @@
 			tf := newFleet(t, route(catalog.Stream, 2), a, b)
 			for range 10 {
 				resp, body, err := tf.ask(t)
-				if err != nil || pieces(body) != "1 2 3 4 5" {
-					t.Fatalf("torn %v, break at %d: got %q, %v", torn, breakAt, pieces(body), err)
+				if err != nil || eventIDs(body) != "1 2 3 4 5" {
+					t.Fatalf("torn %v, break at %d: got %q, %v", torn, breakAt, eventIDs(body), err)
 				}
 				if len(a.requests()) > 0 && breakAt > 1 && resp.Header.Get("By") != "a" {
 					t.Fatalf("the headers are those of %s", resp.Header.Get("By"))
@@ -89,8 +89,8 @@
 	for _, torn := range []bool{false, true} {
 		tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 3, torn)))
 		_, body, err := tf.ask(t)
-		if err == nil || pieces(body) != "1 2" {
-			t.Fatalf("torn %v: got %q, %v", torn, pieces(body), err)
+		if err == nil || eventIDs(body) != "1 2" {
+			t.Fatalf("torn %v: got %q, %v", torn, eventIDs(body), err)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(nil, event1+event2+rest)))
-			if _, body, err := tf.ask(t); err == nil || pieces(body) != "1 2" {
-				t.Fatalf("got %q, %v", pieces(body), err)
+			if _, body, err := tf.ask(t); err == nil || eventIDs(body) != "1 2" {
+				t.Fatalf("got %q, %v", eventIDs(body), err)
 			}
 		})
 	}
@@ -174,8 +174,8 @@
 	}
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 4, false)), newFakeReplica(t, "b", fromStart))
 	for range 10 {
-		if _, body, err := tf.ask(t); err != nil || pieces(body) != "1 2 3 4 5" {
-			t.Fatalf("got %q, %v", pieces(body), err)
+		if _, body, err := tf.ask(t); err != nil || eventIDs(body) != "1 2 3 4 5" {
+			t.Fatalf("got %q, %v", eventIDs(body), err)
 		}
 	}
 }
@@ -190,8 +190,8 @@
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", stalled), newFakeReplica(t, "b", events(5, 0, false)))
 	for range 4 {
 		began := time.Now()
-		if _, body, err := tf.ask(t); err != nil || pieces(body) != "1 2 3 4 5" || time.Since(began) > 1500*time.Millisecond {
-			t.Fatalf("got %q, %v after %v", pieces(body), err, time.Since(began))
+		if _, body, err := tf.ask(t); err != nil || eventIDs(body) != "1 2 3 4 5" || time.Since(began) > 1500*time.Millisecond {
+			t.Fatalf("got %q, %v after %v", eventIDs(body), err, time.Since(began))
 		}
 	}
 }
@@ -199,8 +199,8 @@
 // TestCallerResumes checks that a caller's own request to resume after an event is passed on.
 func TestCallerResumes(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 0, false)))
-	if _, body, err := tf.ask(t, "After", "3"); err != nil || pieces(body) != "4 5" {
-		t.Fatalf("got %q, %v", pieces(body), err)
+	if _, body, err := tf.ask(t, "After", "3"); err != nil || eventIDs(body) != "4 5" {
+		t.Fatalf("got %q, %v", eventIDs(body), err)
 	}
 }
 
--- a/internal/forward/suspend.go
+++ b/internal/forward/suspend.go
@@ -22,28 +22,28 @@
 }
 
 // add adds a call and returns a function that removes it.
-func (u *activeCalls) add(ends time.Time, cancel context.CancelFunc) (remove func()) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.all == nil {
-		u.all = map[uint64]activeCall{}
+func (a *activeCalls) add(ends time.Time, cancel context.CancelFunc) (remove func()) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.all == nil {
+		a.all = map[uint64]activeCall{}
 	}
-	u.next++
-	id := u.next
-	u.all[id] = activeCall{ends, cancel}
+	a.next++
+	id := a.next
+	a.all[id] = activeCall{ends, cancel}
 	return func() {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		delete(u.all, id)
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		delete(a.all, id)
 	}
 }
 
 // cancelOverdue cancels the calls whose deadline has passed and returns their number.
-func (u *activeCalls) cancelOverdue() int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (a *activeCalls) cancelOverdue() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	n := 0
-	for _, c := range u.all {
+	for _, c := range a.all {
 		if clock.Until(c.deadline) <= 0 {
 			c.cancel()
 			n++
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -17,19 +17,19 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// twoVersions are weights whose version 2 was named at a given time.
+// twoVersions are weights whose version 2 was declared at a given time.
 type twoVersions struct {
-	named  time.Time
-	within time.Duration
+	declared time.Time
+	within   time.Duration
 }
 
 func (w twoVersions) Wanted(_ ids.Model, now time.Time) (ids.WeightsVersion, time.Duration, []routing.WeightsBound) {
-	since := now.Sub(w.named)
+	since := now.Sub(w.declared)
 	return "2", since, []routing.WeightsBound{{OlderThan: 2, StartWithin: float32((w.within - since).Seconds())}}
 }
 
 func (w twoVersions) Left(_ ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
-	return w.within - now.Sub(w.named), has != "2"
+	return w.within - now.Sub(w.declared), has != "2"
 }
 
 // setWeights sets the fleet's replicas and their weights.
@@ -54,15 +54,15 @@
 const loadSlack = time.Second
 
 // TestWithdrawnOnTime checks in virtual time when a send is withdrawn: when its replica's weights
-// become too old, also if the newer version is named while it waits, and never once it has begun or
-// ended.
+// become too old, also if the newer version is declared while it waits, and never once it has begun
+// or ended.
 func TestWithdrawnOnTime(t *testing.T) {
 	const within = 9 * time.Second
 	for _, c := range []struct {
-		name  string
-		named time.Duration // after the send
-		begun time.Duration // zero: never
-		want  time.Duration // zero: never
+		name     string
+		declared time.Duration // after the send
+		begun    time.Duration // zero: never
+		want     time.Duration // zero: never
 	}{
 		{"old when sent", -2 * time.Second, 0, 7 * time.Second},
 		{"named while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
@@ -76,7 +76,7 @@
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
 				send := &try{
-					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{named: sent.Add(c.named), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
+					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{declared: sent.Add(c.declared), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
 				}
@@ -104,7 +104,7 @@
 // TestWithdrawnFromOldWeightsInTime lets a call wait at a replica with old weights until these may
 // no longer be used: it is withdrawn before the replica begins it, and goes to a replica with the
 // new weights. It guards against a fault in which the call stayed and began 10.5 s after the new
-// weights were named (incident inc1).
+// weights were declared (incident inc1).
 func TestWithdrawnFromOldWeightsInTime(t *testing.T) {
 	const within = 400 * time.Millisecond
 	left := make(chan time.Time, 1)
@@ -114,8 +114,8 @@
 		return false
 	})
 	tf := newFleet(t, promptRoute(), old, fresh)
-	named := time.Now()
-	tf.f.Weights = twoVersions{named: named, within: within}
+	declared := time.Now()
+	tf.f.Weights = twoVersions{declared: declared, within: within}
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	time.AfterFunc(within/2, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
 	resp, body, err := tf.ask(t, "Model", "m")
@@ -124,7 +124,7 @@
 	}
 	select {
 	case at := <-left:
-		if late := at.Sub(named) - within; late < 0 || late > loadSlack {
+		if late := at.Sub(declared) - within; late < 0 || late > loadSlack {
 			t.Errorf("the call left the replica with old weights %v after these had become too old", late)
 		}
 	case <-time.After(time.Second):
@@ -145,7 +145,7 @@
 	r := promptRoute()
 	r.MaxEventGap = time.Second
 	tf := newFleet(t, r, old)
-	tf.f.Weights = twoVersions{named: time.Now(), within: within}
+	tf.f.Weights = twoVersions{declared: time.Now(), within: within}
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "data: y") || tf.f.Stats.Withdrawn.Load() != 0 {
@@ -173,19 +173,19 @@
 	r.Attempts, r.Resumable = 1, false
 	tf := newFleet(t, r, old, fresh)
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
-	named := time.Now()
+	declared := time.Now()
 	time.AfterFunc(50*time.Millisecond, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
-	tf.f.Weights = unseenVersion{twoVersions{named: named, within: within}}
+	tf.f.Weights = unseenVersion{twoVersions{declared: declared, within: within}}
 	resp, _, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(fresh.requests()) != 0 || tf.f.Stats.Withdrawn.Load() != 1 {
 		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
 	}
-	if late := (<-left).Sub(named) - within; late < 0 || late > loadSlack {
+	if late := (<-left).Sub(declared) - within; late < 0 || late > loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
 	}
 }
 
-// unseenVersion are weights whose newest version is named while calls wait, so that decisions do
+// unseenVersion are weights whose newest version is declared while calls wait, so that decisions do
 // not know it.
 type unseenVersion struct{ twoVersions }
 
@@ -193,17 +193,17 @@
 	return "1", time.Hour, nil
 }
 
-// futureVersion are weights whose version 2 is named at a future time.
+// futureVersion are weights whose version 2 is declared at a future time.
 type futureVersion struct{ twoVersions }
 
 func (w futureVersion) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (time.Duration, bool) {
-	if now.Before(w.named) {
+	if now.Before(w.declared) {
 		return 0, false
 	}
 	return w.twoVersions.Left(m, has, now)
 }
 
-// TestWeightsNamedWhileCallWaits names a version while a call waits at a replica that had the
+// TestWeightsNamedWhileCallWaits declares a version while a call waits at a replica that had the
 // newest one when the call was sent: the call is withdrawn all the same.
 func TestWeightsNamedWhileCallWaits(t *testing.T) {
 	const within = 300 * time.Millisecond
@@ -212,13 +212,13 @@
 	r := promptRoute()
 	r.Timeout = 5 * time.Second
 	tf := newFleet(t, r, old)
-	named := time.Now().Add(200 * time.Millisecond)
-	tf.f.Weights = futureVersion{twoVersions{named: named, within: within}}
+	declared := time.Now().Add(200 * time.Millisecond)
+	tf.f.Weights = futureVersion{twoVersions{declared: declared, within: within}}
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	if resp, _, err := tf.ask(t, "Model", "m"); err != nil || resp.StatusCode == http.StatusOK {
 		t.Errorf("got %v, %v", resp, err)
 	}
-	if late := (<-left).Sub(named) - within; late < 0 || late > weightsCheckInterval+loadSlack {
+	if late := (<-left).Sub(declared) - within; late < 0 || late > weightsCheckInterval+loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
 	}
 }
@@ -242,7 +242,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
 				send := &try{
-					r:   &run{f: &Forwarder{Weights: twoVersions{named: time.Now(), within: time.Second}}, call: Call{Prompt: c.prompt}, route: &c.route},
+					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: c.prompt}, route: &c.route},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
 				}
@@ -270,7 +270,7 @@
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
 				send := &try{
-					r:   &run{f: &Forwarder{Weights: twoVersions{named: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
+					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
 				}
@@ -300,7 +300,7 @@
 		t.Run(name, func(t *testing.T) {
 			old := newFakeReplica(t, "old", events(2, 0, false))
 			tf := newFleet(t, c.route, old)
-			tf.f.Weights = twoVersions{named: time.Now(), within: 1800 * time.Millisecond}
+			tf.f.Weights = twoVersions{declared: time.Now(), within: 1800 * time.Millisecond}
 			tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 			if _, _, err := tf.ask(t, "Model", "m"); err != nil {
 				t.Fatal(err)
@@ -325,7 +325,7 @@
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
 		t.Errorf("the replica counts as %+v", status)
 	}
-	if !call.mayRan {
+	if !call.mayHaveRun {
 		t.Error("the calls are recorded as not run")
 	}
 }
@@ -337,7 +337,7 @@
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
 		send := &try{
-			r:   &run{f: &Forwarder{Weights: twoVersions{named: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
+			r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
 		}
--- a/internal/forward/withdraw.go
+++ b/internal/forward/withdraw.go
@@ -24,12 +24,12 @@
 }
 
 // weightsCheckInterval is the longest interval between checks of how long the replica's weights
-// may still be used while a call waits. Newer weights may be named meanwhile, or a peer may report
-// that they were named earlier.
+// may still be used while a call waits. Newer weights may be declared meanwhile, or a peer may report
+// that they were declared earlier.
 const weightsCheckInterval = time.Second
 
 // watchWeights withdraws the call if it has not begun at the replica when the replica's weights
-// become too old, also due to versions that are named while it waits. Only streams show when they
+// become too old, also due to versions that are declared while it waits. Only streams show when they
 // begin; for other calls the decision bounds the time of sending.
 func (t *try) watchWeights() {
 	if t.r.call.Prompt == nil || !t.r.route.Prompts || t.r.route.Kind != streamKind {
