--- a/internal/news/limits.go
+++ b/internal/news/limits.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// limit is the inverse of wireLimits for one target. ratelimit.PerSecond marks a rate that is not
-// valid as garbled.
+// limit is the inverse of wireLimits for one target. ratelimit.PerSecond marks an invalid rate as
+// malformed.
 func (w *wireLimit) limit(t ids.Target) ratelimit.Report {
 	out := ratelimit.Report{Target: t, Incarnation: w.Incarnation, Age: time.Duration(w.AgeMs) * time.Millisecond}
 	if w.Limited {
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -5,7 +5,7 @@
 // A message is one datagram, sent to each peer and not acknowledged. A lost or late message
 // makes a decision slightly worse and never wrong: loads are sent again and decay, and an
 // engine that is loading weights refuses work by itself. So the exchange keeps no connections
-// and no order, and a VM that is cut off blocks no other VM.
+// and no order, and a partitioned VM blocks no other VM.
 //
 // The cost is bounded: the interval between two rounds grows with the number of peers, so
 // that a VM receives at most messagesPerSecond. Beyond Exchange.TreeFrom peers a tree of VMs
@@ -62,7 +62,7 @@
 	// CacheChanges are changes of the KV caches of targets.
 	CacheChanges []cacheview.Change
 	// LeaseLapse is set if this VM held the lease for orders, could not renew it and has
-	// stopped giving orders. Nil: it has not held the lease, or still holds it.
+	// stopped sending orders. Nil: it has not held the lease, or still holds it.
 	LeaseLapse *LeaseLapse
 	// Crashes are requests under which replicas crashed.
 	Crashes []quarantine.Report
@@ -77,7 +77,7 @@
 }
 
 // LeaseLapse identifies the state of the lease record under which the holder has stopped
-// giving orders (package lease).
+// sending orders (package lease).
 type LeaseLapse struct {
 	_                struct{} `cbor:",toarray"`
 	Instance         string
@@ -128,7 +128,7 @@
 	// orderCopies is the number of times an order is sent, since datagrams get lost.
 	orderCopies = 2
 	// maxSkippedRounds is the number of rounds with nothing to send that a VM skips before it
-	// sends an empty message: peers consider a VM that sends nothing as cut off.
+	// sends an empty message: peers take a VM that sends nothing for unresponsive.
 	maxSkippedRounds = 1
 	// maxCacheChanges bounds the cache changes in one message, in entries of about 9 bytes, so that
 	// the message fits in one packet. maxCacheMessages bounds the messages of one round.
@@ -172,7 +172,7 @@
 	// Crashes stores the requests under which replicas crashed. Nil: the exchange sends and
 	// receives none.
 	Crashes *quarantine.Ledger
-	// Allowances limits the use of workspaces over all VMs. Nil: nothing does.
+	// Allowances limits the use of workspaces over all VMs. Nil: the use is not limited.
 	Allowances *allowance.Limiter
 	// Limits returns the rate limits of targets to report to peers. OnLimit is called for each one
 	// that a peer reports.
@@ -180,7 +180,7 @@
 	OnLimit func(w ratelimit.Report)
 	// OnCanaryReports is called with the counts of a VM for canaries.
 	OnCanaryReports func(vm ids.VM, incarnation int64, r []canary.Report)
-	// Meter counts the bytes sent. Nil: nothing does.
+	// Meter counts the bytes sent. Nil: they are not counted.
 	Meter *traffic.Meter
 
 	mu            sync.Mutex
--- a/internal/news/tree.go
+++ b/internal/news/tree.go
@@ -14,8 +14,8 @@
 // In fleets of more than Exchange.TreeFrom VMs messages are aggregated over a tree, so that the
 // cost per VM does not grow with the number of VMs. Without it, messages went one by one to the
 // VMs of the own failure domain: each of 195 VMs received 200 datagrams per second (computed from
-// the round interval), knew of no load outside its domain, and read the cache feeds of all other
-// VMs with more readers than there were slots.
+// the round interval) and knew of no load outside its domain. Each domain also read the cache
+// feeds of all others, so that a feed had more readers than slots.
 //
 // The VMs of a failure domain are sorted, widest links first. Each VM reports to the first one
 // that responds, its parent; the VM without a parent is the root of the domain. Roots exchange
@@ -27,8 +27,8 @@
 // A VM subtracts its own share from the total: the total lists the round of each VM that it
 // includes. A VM skips a parent that sends no total for parentTimeout until that parent announces
 // itself. A parent always precedes its children in the order, so parents cannot form a cycle. A
-// VM that has children and is not a root forwards between the two. Domains that are cut off from
-// each other have a tree each, without the sums of the other.
+// VM that has children and is not a root forwards between the two. Domains on different
+// sides of a partition have separate trees, each without the sums of the other side.
 //
 // State that is sent once (orders, cache changes) travels as events of the VM that sent it;
 // events that must not be lost are sent twice.
@@ -42,10 +42,10 @@
 	reportTTL = 600 * time.Millisecond
 	// parentTimeout is the time without a total after which a VM skips its parent.
 	parentTimeout = 600 * time.Millisecond
-	// avoidSilent is the time for which a VM skips a parent that has not announced itself since.
+	// avoidUnannounced is the time for which a VM skips a parent that has not announced itself since.
 	// A parent that is back announces itself; each retry of one that is still down leaves a
 	// failure domain without updates for parentTimeout.
-	avoidSilent = 30 * time.Second
+	avoidUnannounced = 30 * time.Second
 	// avoidAnnounced is the same time for a parent that has announced itself.
 	avoidAnnounced = 3 * time.Second
 	// rootCandidates is the number of VMs of a domain with an unknown root that get reports at the
@@ -98,7 +98,7 @@
 	if a.announced {
 		return now.Sub(a.since) < avoidAnnounced
 	}
-	return now.Sub(a.since) < avoidSilent
+	return now.Sub(a.since) < avoidUnannounced
 }
 
 // compareTreeOrder sorts the VMs of a failure domain: widest links first, since a parent sends
@@ -278,7 +278,8 @@
 }
 
 // peerAnnounced records that a VM has announced itself. It may become the parent again
-// once it has been skipped for avoidAnnounced. A VM that can send but not receive announces itself, too.
+// once it has been skipped for avoidAnnounced: a VM that can send but not receive announces
+// itself, too.
 func (t *tree) peerAnnounced(vm ids.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -20,7 +20,7 @@
 	loads           map[ids.VM][]Load
 	stopped         map[ids.VM]bool
 	receivesNothing map[ids.VM]bool            // VMs that send but receive nothing
-	cut             map[ids.FailureDomain]bool // domains that are cut off from the others
+	partitioned     map[ids.FailureDomain]bool // from all other domains
 	inTransit       []treeDatagram
 	loss            float64
 	rng             *rand.Rand
@@ -42,7 +42,7 @@
 func newTreeFleet(t *testing.T, domains, perDomain int, loss float64) *treeFleet {
 	f := &treeFleet{
 		t: t, now: time.Unix(1_000_000, 0), trees: map[ids.VM]*tree{}, due: map[ids.VM]time.Time{}, loads: map[ids.VM][]Load{},
-		stopped: map[ids.VM]bool{}, receivesNothing: map[ids.VM]bool{}, cut: map[ids.FailureDomain]bool{}, loss: loss, rng: rand.New(rand.NewPCG(1, 2)),
+		stopped: map[ids.VM]bool{}, receivesNothing: map[ids.VM]bool{}, partitioned: map[ids.FailureDomain]bool{}, loss: loss, rng: rand.New(rand.NewPCG(1, 2)),
 		totals: map[ids.VM]map[ids.Target]int{}, orderReceived: map[ids.VM]bool{}, sent: map[ids.VM]int{},
 	}
 	for d := range domains {
@@ -129,7 +129,7 @@
 
 func (f *treeFleet) deliver(m treeDatagram) {
 	across := m.from.FailureDomain != m.to.FailureDomain
-	if f.stopped[m.to.VM] || f.receivesNothing[m.to.VM] || across && (f.cut[m.from.FailureDomain] || f.cut[m.to.FailureDomain]) || f.rng.Float64() < f.loss {
+	if f.stopped[m.to.VM] || f.receivesNothing[m.to.VM] || across && (f.partitioned[m.from.FailureDomain] || f.partitioned[m.to.FailureDomain]) || f.rng.Float64() < f.loss {
 		return
 	}
 	applies := f.trees[m.to.VM].receive(m.from, m.d, m.isTotal, !across, f.now)
@@ -175,7 +175,7 @@
 		}
 		want := map[ids.Target]int{}
 		for _, q := range f.all {
-			apart := q.FailureDomain != p.FailureDomain && (f.cut[q.FailureDomain] || f.cut[p.FailureDomain])
+			apart := q.FailureDomain != p.FailureDomain && (f.partitioned[q.FailureDomain] || f.partitioned[p.FailureDomain])
 			if q.VM == p.VM || f.stopped[q.VM] || apart {
 				continue
 			}
@@ -200,9 +200,9 @@
 	}
 }
 
-// TestTreeOf195VMs checks in a fleet of 195 VMs that each has the loads of all others: at rest, after
-// a root has failed, while a domain is cut off, and after both have recovered. The number of
-// datagrams that a VM sends must stay bounded.
+// TestTreeOf195VMs checks in a fleet of 195 VMs that each has the loads of all others: without
+// faults, after a root has failed, while a domain is partitioned, and after both have recovered.
+// The number of datagrams that a VM sends must stay bounded.
 func TestTreeOf195VMs(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.all = f.all[:195]
@@ -226,12 +226,12 @@
 	f.stopped[root] = true
 	f.run(1200 * time.Millisecond)
 	f.expect("1.2 s after the root of a domain has failed", 0)
-	f.cut["z2"] = true
+	f.partitioned["z2"] = true
 	f.run(1200 * time.Millisecond)
-	f.expect("1.2 s after a domain was cut off", 0)
-	f.cut["z2"] = false
+	f.expect("1.2 s after a domain was partitioned", 0)
+	f.partitioned["z2"] = false
 	f.run(1200 * time.Millisecond)
-	f.expect("1.2 s after the cut has healed", 0)
+	f.expect("1.2 s after the partition has healed", 0)
 	for _, p := range f.all {
 		if p.VM == root {
 			f.start(p)
