--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -102,8 +102,8 @@
 //
 // A VM with few responsive peers must not admit its first call whatever the call costs: 90 VMs that
 // were killed and restarted, each with a ninetieth of the limit, would admit 90 prompts, which
-// is the limit of four seconds. The call's own cost therefore counts as demand, in proportion
-// to the fraction of the limit that is reserved for other VMs.
+// use up the limit for four seconds. The call's own cost therefore counts as demand, in
+// proportion to the fraction of the limit that is reserved for other VMs.
 func (s State) admitProbability() float64 {
 	if s.DrainTime <= 0 {
 		if s.Level > 0 {
--- a/internal/allowance/bounds.go
+++ b/internal/allowance/bounds.go
@@ -18,8 +18,8 @@
 	toleranceUsed = 0.4
 	// immediateBurst is the fraction of a burst that may be used at once; the rest is spread over
 	// the window. A workspace with a burst of 3.6 s of its rate and a demand of 1.7 times its
-	// rate had 0.39 of its calls refused by a bucket that filled at its rate, though it came
-	// near what it was allowed in no window.
+	// rate had 0.39 of its calls refused by a bucket that filled at its rate, although in
+	// no window its use came near what is allowed.
 	immediateBurst = 0.5
 )
 
--- a/internal/allowance/fleet_test.go
+++ b/internal/allowance/fleet_test.go
@@ -195,7 +195,7 @@
 				continue // the VM is down
 			}
 			cost := x.scenario.meanCost * math.Exp(x.rng.NormFloat64()*0.8-0.32)
-			in := w.take(Call{Workspace: "w", Cost: cost})
+			admitted := w.take(Call{Workspace: "w", Cost: cost})
 			counts := x.at >= startupTime
 			if x.idealLevel > 0 {
 				x.idealLevel -= cost
@@ -203,13 +203,13 @@
 					x.out.ideal += cost
 				}
 			}
-			if in {
+			if admitted {
 				if counts {
 					x.out.admitted += cost
 				}
 				x.used[len(x.used)-1] += cost
 			}
-			x.calls = append(x.calls, callResult{cost, in})
+			x.calls = append(x.calls, callResult{cost, admitted})
 		}
 	}
 }
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -24,7 +24,7 @@
 	// intervalSamples is the number of reports over which the time between them is averaged.
 	intervalSamples = 32
 	// startPeriod is how long a VM keeps to an equal share after its start, unless its peers
-	// report that they have been serving: two rounds of reports of 100 VMs. When all VMs were
+	// report that they have been serving: two rounds of reports of 100 VMs. When all VMs are
 	// killed and restarted, none knows the others' demand, and each would admit a whole burst.
 	startPeriod = time.Second
 )
@@ -77,13 +77,13 @@
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	named := map[uint32]bool{}
+	limited := map[uint32]bool{}
 	for ws, limit := range limits {
-		named[HashOf(ws)] = true
+		limited[HashOf(ws)] = true
 		l.setLimit(ws, limit, now)
 	}
 	for hash, a := range l.accounts {
-		if !named[hash] {
+		if !limited[hash] {
 			a.setLimit(Limit{}, now)
 			a.name = ""
 		}
--- a/internal/allowance/limiter_test.go
+++ b/internal/allowance/limiter_test.go
@@ -44,7 +44,7 @@
 			l.SetVMs(names)
 			l.SetLimits(limits(Limit{1000, 1000}))
 		}
-		tell := func(rounds int, connected func(i, j int) bool) {
+		exchangeReports := func(rounds int, connected func(i, j int) bool) {
 			for range rounds {
 				clock.advance(SweepEvery)
 				for i, l := range vms {
@@ -63,17 +63,17 @@
 				}
 			}
 		}
-		tell(32, func(int, int) bool { return true })
-		tell(10, func(i, j int) bool { return sides[i] == sides[j] })
-		parts := map[int]float64{}
+		exchangeReports(32, func(int, int) bool { return true })
+		exchangeReports(10, func(i, j int) bool { return sides[i] == sides[j] })
+		shares := map[int]float64{}
 		for i, l := range vms {
-			part := 1 - l.accounts[HashOf("w")].reserved
-			if part <= 0 {
+			share := 1 - l.accounts[HashOf("w")].reserved
+			if share <= 0 {
 				rt.Fatalf("VM %d has no share of the limit", i)
 			}
-			parts[sides[i]] = max(parts[sides[i]], part)
+			shares[sides[i]] = max(shares[sides[i]], share)
 		}
-		if sum := parts[0] + parts[1]; sum > 1.001 {
+		if sum := shares[0] + shares[1]; sum > 1.001 {
 			rt.Fatalf("the sides of the partition use %.4f of the limit together", sum)
 		}
 	})
--- a/internal/allowance/ways_play_test.go
+++ b/internal/allowance/ways_play_test.go
@@ -161,9 +161,9 @@
 
 // partitionAt separates one VM in parts from the others for 5.5 s.
 func partitionAt(from time.Duration, parts int) func(int, time.Duration) int {
-	cut := between(from, from+5500*time.Millisecond)
+	partitioned := between(from, from+5500*time.Millisecond)
 	return func(vm int, t time.Duration) int {
-		if cut(t) && vm%parts == 0 {
+		if partitioned(t) && vm%parts == 0 {
 			return 1
 		}
 		return 0
