--- a/internal/cli/common/common.go
+++ b/internal/cli/common/common.go
@@ -115,8 +115,8 @@
 	return out, nil
 }
 
-// Ask reads JSON from a VM's admin interface.
-func Ask(ctx context.Context, vm VM, path string, into any) error {
+// GetJSON reads JSON from a VM's admin interface.
+func GetJSON(ctx context.Context, vm VM, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Admin+path, nil)
--- a/internal/cli/queries/vms.go
+++ b/internal/cli/queries/vms.go
@@ -40,7 +40,7 @@
 				wg.Go(func() {
 					var s daemon.Status
 					all[i].VM = vm.Name
-					if err := common.Ask(ctx, vm, "/status", &s); err != nil {
+					if err := common.GetJSON(ctx, vm, "/status", &s); err != nil {
 						all[i].Error = eris.Cause(err).Error()
 						return
 					}
@@ -88,7 +88,7 @@
 	failed := make([]bool, len(vms))
 	var wg sync.WaitGroup
 	for i, vm := range vms {
-		wg.Go(func() { failed[i] = common.Ask(ctx, vm, "/timeline?request="+request, &logs[i]) != nil })
+		wg.Go(func() { failed[i] = common.GetJSON(ctx, vm, "/timeline?request="+request, &logs[i]) != nil })
 	}
 	wg.Wait()
 	for i, vm := range vms {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -30,7 +30,7 @@
 	PendingClaims  int                       `json:"pending_claims"`
 	Peers          []membership.PeerStatus   `json:"peers"`
 	Targets        []membership.TargetStatus `json:"targets"`
-	Beliefs        cacheview.Stats           `json:"beliefs"`
+	CacheStats     cacheview.Stats           `json:"beliefs"`
 }
 
 // Status returns this VM's state at this moment.
@@ -43,7 +43,7 @@
 		ConfigRevision: uint64(d.Node.Config.Revision()), ConfigFloor: uint64(d.Node.Config.Floor()),
 		Rejected: d.Config.Get().Rejected, Watcher: d.Node.IsWatcher(now),
 		InFlight: d.Limiter.InFlight(), PendingClaims: d.Settler.Pending(),
-		Peers: d.Fleet.Members.Peers(now), Targets: d.Fleet.Members.Targets(now), Beliefs: d.Fleet.Cache.Stats(),
+		Peers: d.Fleet.Members.Peers(now), Targets: d.Fleet.Members.Targets(now), CacheStats: d.Fleet.Cache.Stats(),
 	}
 }
 
@@ -91,7 +91,7 @@
 	PeerBytesIn    int64 `json:"peer_bytes_in"`
 	PeerMessages   int64 `json:"peer_messages"`
 	PeerFailures   int64 `json:"peer_failures"`
-	NewsDropped    int64 `json:"news_dropped"`
+	UpdatesDropped int64 `json:"news_dropped"`
 	ClaimsPending  int   `json:"claims_pending"`
 	ClaimsDropped  int64 `json:"claims_dropped"`
 	ConfigRevision int64 `json:"config_revision"`
@@ -110,7 +110,7 @@
 		BudgetEmpty: s.BudgetEmpty.Load(), PromptTokens: s.PromptTokens.Load(), CachedTokens: s.CachedTokens.Load(),
 		OutputTokens: s.OutputTokens.Load(), StreamEvents: s.Events.Load(),
 		PeerBytesOut: d.Node.BytesOut.Load(), PeerBytesIn: d.Node.BytesIn.Load(), PeerMessages: d.Node.Messages.Load(),
-		PeerFailures: d.Node.Failures.Load(), NewsDropped: int64(d.Node.NewsDropped()),
+		PeerFailures: d.Node.Failures.Load(), UpdatesDropped: int64(d.Node.NewsDropped()),
 		ClaimsPending: d.Settler.Pending(), ClaimsDropped: int64(d.Settler.Dropped()),
 		ConfigRevision: int64(d.Node.Config.Revision()), HeapBytes: int64(mem.HeapAlloc), Goroutines: runtime.NumGoroutine(),
 	}
