--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -15,7 +15,7 @@
 	"github.com/threadwall/threadwall/internal/membership"
 )
 
-// Status is the admin interface's answer about one VM.
+// Status is one VM's state, as the admin interface returns it at /status.
 type Status struct {
 	VM             ids.VM                    `json:"vm"`
 	FailureDomain  ids.FailureDomain         `json:"failure_domain"`
@@ -33,7 +33,7 @@
 	CacheStats     cacheview.Stats           `json:"beliefs"`
 }
 
-// Status returns this VM's state at this moment.
+// Status returns a snapshot of this VM's state. Safe for concurrent use.
 func (d *Daemon) Status() Status {
 	now := clock.Now()
 	ready, reason := d.ready.Ready()
@@ -47,7 +47,7 @@
 	}
 }
 
-// adminHandler serves operators.
+// adminHandler returns the handler of the admin interface: status, timeline, metrics and profiles.
 func (d *Daemon) adminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -62,7 +62,7 @@
 	return e
 }
 
-// profile serves the runtime's profiles.
+// profile serves the runtime's pprof profiles.
 func profile(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/debug/pprof/profile":
@@ -99,7 +99,7 @@
 	Goroutines     int   `json:"goroutines"`
 }
 
-// Metrics returns the counters at this moment.
+// Metrics returns a snapshot of the counters. Safe for concurrent use.
 func (d *Daemon) Metrics() Metrics {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -118,8 +118,8 @@
 
 var publishMu sync.Mutex
 
-// publish registers the daemon's metrics. A daemon of the same name in the same
-// process (the lab) replaces its predecessor.
+// publish registers the daemon's metrics with expvar. If the process already published
+// metrics for the same VM, as the lab does after a restart, they now come from d.
 func publish(d *Daemon) {
 	publishMu.Lock()
 	defer publishMu.Unlock()
@@ -132,7 +132,7 @@
 	current.set(d)
 }
 
-// metricsVar is an expvar whose daemon can be replaced.
+// metricsVar is an expvar.Var whose daemon can be replaced, since expvar can't unregister a name.
 type metricsVar struct {
 	mu sync.Mutex
 	d  *Daemon
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts threadwalld together: it builds the parts, runs one
-// goroutine per duty, and starts and stops them in order.
+// Package daemon assembles threadwalld. It builds the components from the settings, runs
+// each background task in a goroutine of its own, and starts and stops everything in order.
 package daemon
 
 import (
@@ -47,45 +47,46 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// beliefCapacity is how many cache beliefs a VM holds: 2 MB of table, room for
-// the 94,000 (prefix, replica) pairs of a failure domain at full size.
-const beliefCapacity = 128 << 10
+// cacheViewCapacity is the number of entries in a VM's cache view. The table takes 2 MB and
+// has room for the 94,000 (prefix, replica) pairs of a failure domain at full size.
+const cacheViewCapacity = 128 << 10
 
-// Daemon is one threadwalld.
+// Daemon is one threadwalld instance, created by New.
 type Daemon struct {
-	Settings settings.Settings
-	Log      zerolog.Logger
-	Store    objectapi.Store
-	Config   *confsync.Current
-	Events   *timeline.Log
-	Fleet    *fleet.Fleet
-	Node     *peers.Node
-	Engine   *engine.Client
-	Settler  *claims.Settler
-	Limiter  *admission.Limiter
-	allowed  *allowance.Limiter
-	Gateway  *gateway.Gateway
-	Lease    *lease.Lease
-	Orders   *orders.Reconciler
+	Settings   settings.Settings
+	Log        zerolog.Logger
+	Store      objectapi.Store
+	Config     *confsync.Current
+	Events     *timeline.Log
+	Fleet      *fleet.Fleet
+	Node       *peers.Node
+	Engine     *engine.Client
+	Settler    *claims.Settler
+	Limiter    *admission.Limiter
+	allowances *allowance.Limiter
+	Gateway    *gateway.Gateway
+	Lease      *lease.Lease
+	Orders     *orders.Reconciler
 
-	events   *eventlog.Log // what is decided about requests that crash targets
-	crashes  *quarantine.Ledger
-	ready    readiness
-	probes   probeState
-	callers  *http.Server
-	admin    *http.Server
-	peerSrv  *grpc.Server
-	cancel   context.CancelFunc
-	duties   sync.WaitGroup
-	shutdown func()
+	eventLog  *eventlog.Log // log of decisions about requests that crash targets
+	crashes   *quarantine.Ledger
+	ready     readiness
+	probes    probeState
+	callerSrv *http.Server
+	adminSrv  *http.Server
+	peerSrv   *grpc.Server
+	cancel    context.CancelFunc
+	taskGroup sync.WaitGroup
+	shutdown  func()
 }
 
-// Options are what tests and the lab replace.
+// Options are dependencies that tests and the lab replace.
 type Options struct {
-	LogTo io.Writer // default: standard error
+	LogTo io.Writer // receives the log; nil discards it
 }
 
-// Module wires a daemon for fx. The settings and options must be supplied.
+// Module provides a Daemon to fx and ties it to the application's lifecycle. The application
+// must supply settings.Settings and Options.
 var Module = fx.Module("threadwalld",
 	fx.Provide(New),
 	fx.Invoke(func(lc fx.Lifecycle, d *Daemon, sd fx.Shutdowner) {
@@ -94,11 +95,11 @@
 	}),
 )
 
-// New builds a daemon. Nothing runs before Start.
+// New builds a daemon. It starts no goroutine and opens no listener; Start does.
 func New(s settings.Settings, o Options) (*Daemon, error) {
 	level, err := zerolog.ParseLevel(s.LogLevel)
 	if err != nil {
-		return nil, eris.Wrap(err, "log level")
+		return nil, eris.Wrap(err, "parse log level")
 	}
 	logger := zerolog.New(o.LogTo).Level(level).With().Timestamp().Str("vm", string(s.VM)).Logger()
 	store := objectapi.NewClient(s.Store, s.StoreTimeout.D(), objectapi.Budget{
@@ -113,25 +114,25 @@
 		Config: confsync.NewCurrent(),
 		Events: timeline.NewLog(s.VM, hlc.New(nil), s.TimelineEvents),
 		Fleet: fleet.New(membership.New(s.VM, membership.DefaultTuning),
-			cacheview.New(beliefCapacity, nil), loadview.New(), policy, nil),
-		Engine:  engine.NewClient(s.DialTimeout.D()),
-		Settler: claims.NewSettler(store),
-		events:  eventlog.New(cmp.Or[io.Writer](o.LogTo, io.Discard), map[string]string{"vm": string(s.VM)}),
+			cacheview.New(cacheViewCapacity, nil), loadview.New(), policy, nil),
+		Engine:   engine.NewClient(s.DialTimeout.D()),
+		Settler:  claims.NewSettler(store),
+		eventLog: eventlog.New(cmp.Or[io.Writer](o.LogTo, io.Discard), map[string]string{"vm": string(s.VM)}),
 	}
-	d.crashes = quarantine.NewLedger(d.events, nil)
+	d.crashes = quarantine.NewLedger(d.eventLog, nil)
 	d.build()
 	return d, nil
 }
 
 func (d *Daemon) build() {
 	s := d.Settings
-	d.allowed = allowance.New(s.VM, nil)
+	d.allowances = allowance.New(s.VM, nil)
 	tuning := admission.DefaultTuning
 	tuning.MaxInFlight = s.MaxInFlight
-	d.Limiter = admission.New(tuning, d.allowed, nil)
+	d.Limiter = admission.New(tuning, d.allowances, nil)
 	d.Node = &peers.Node{
 		VM: s.VM, Domain: s.FailureDomain, Incarnation: ids.Incarnation(time.Now().UnixMilli()),
-		Fleet: d.Fleet, Allowances: d.allowed, Events: d.Events,
+		Fleet: d.Fleet, Allowances: d.allowances, Events: d.Events,
 		Config: confsync.New(d.adopt), Crashes: d.crashes,
 	}
 	guard := &quarantine.Guard{Rank: d.Node.FleetRank, Detector: &quarantine.Detector{
@@ -158,24 +159,25 @@
 	}
 	d.Lease = lease.New(d.Store, "orders/"+string(s.FailureDomain), s.VM, lease.DefaultTuning, nil)
 	d.Orders = orders.NewReconciler(d.Store, d.Lease, d, d.Events, s.WeightLoadsPerMinute)
-	d.probes = probeState{last: map[ids.Target]probed{}}
+	d.probes = probeState{last: map[ids.Target]probeResult{}}
 	d.ready.set(false, "starting")
 }
 
-// adopt puts a revision of the configuration in force.
+// adopt applies a revision of the configuration, including the workspaces' limits.
 func (d *Daemon) adopt(rev objectapi.Revision, objects []objectapi.Object) {
 	d.Config.Adopt(rev, objects)
 	limits := map[ids.Workspace]allowance.Limit{}
 	for ws, w := range d.Config.Get().Workspaces {
 		limits[ws] = admission.AllowanceOf(w.Limits)
 	}
-	d.allowed.SetLimits(limits)
+	d.allowances.SetLimits(limits)
 }
 
-// headerTimeout bounds reading a request's head.
+// headerTimeout limits the time for reading a request's header.
 const headerTimeout = 10 * time.Second
 
-// Start listens and starts all duties.
+// Start opens the listeners and starts the servers and all background tasks. It returns an
+// error if an address can't be listened on; nothing runs then.
 func (d *Daemon) Start(context.Context) error {
 	listeners, err := listen(d.Settings.Listen, d.Settings.PeerListen, d.Settings.AdminListen)
 	if err != nil {
@@ -183,16 +185,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
-	d.callers = &http.Server{Handler: d.Gateway.Handler(), ReadHeaderTimeout: headerTimeout}
-	d.admin = &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: headerTimeout}
+	d.callerSrv = &http.Server{Handler: d.Gateway.Handler(), ReadHeaderTimeout: headerTimeout}
+	d.adminSrv = &http.Server{Handler: d.adminHandler(), ReadHeaderTimeout: headerTimeout}
 	d.peerSrv = grpc.NewServer()
 	peerpb.RegisterPeerServer(d.peerSrv, &peers.Server{Node: d.Node})
 
-	d.run("callers", func() error { return d.callers.Serve(listeners[0]) })
-	d.run("peers", func() error { return d.peerSrv.Serve(d.Node.Counted(listeners[1])) })
-	d.run("admin", func() error { return d.admin.Serve(listeners[2]) })
-	for name, duty := range d.dutyTable() {
-		d.run(name, func() error { duty(ctx); return nil })
+	d.runTask("callers", func() error { return d.callerSrv.Serve(listeners[0]) })
+	d.runTask("peers", func() error { return d.peerSrv.Serve(d.Node.Counted(listeners[1])) })
+	d.runTask("admin", func() error { return d.adminSrv.Serve(listeners[2]) })
+	for name, duty := range d.backgroundTasks() {
+		d.runTask(name, func() error { duty(ctx); return nil })
 	}
 	d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Text: "started"}, nil)
 	d.Log.Info().Str("step", "start").Str("listen", d.Settings.Listen).Str("failure_domain", string(d.Settings.FailureDomain)).Msg("threadwalld started")
@@ -214,65 +216,66 @@
 	return out, nil
 }
 
-// run starts a duty. One that fails while the daemon runs ends the daemon: a VM
-// that lacks a duty must not look healthy.
-func (d *Daemon) run(name string, f func() error) {
-	d.duties.Go(func() {
+// runTask runs f in a goroutine of its own. If f fails, runTask shuts the daemon down: a VM
+// that lacks a background task must not look healthy.
+func (d *Daemon) runTask(name string, f func() error) {
+	d.taskGroup.Go(func() {
 		err := f()
 		if err == nil || errors.Is(err, http.ErrServerClosed) || errors.Is(err, grpc.ErrServerStopped) {
 			return
 		}
-		d.Log.Error().Err(err).Str("step", name).Msg("duty failed, the daemon ends")
+		d.Log.Error().Err(err).Str("step", name).Msg("background task failed; shutting down")
 		if d.shutdown != nil {
 			d.shutdown()
 		}
 	})
 }
 
-// Stop shuts down gracefully: say "not ready" and tell peers, give the balancer
-// time to see it, take no new requests, wait for those in flight, end duties.
+// Stop shuts down gracefully. It reports "not ready" and notifies peers, gives the load
+// balancer time to notice, refuses new requests, waits for those in flight up to the drain
+// timeout, and then ends the background tasks. It always returns nil.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.ready.set(false, "shutting down")
 	d.Node.Leaving.Store(true)
 	d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Text: "leaving"}, nil)
-	d.Log.Info().Str("step", "stop").Int("in_flight", d.Limiter.InFlight()).Msg("not ready, leaving")
+	d.Log.Info().Str("step", "stop").Int("in_flight", d.Limiter.InFlight()).Msg("shutting down; reporting not ready")
 	d.Node.Tell(ctx, true)
 	timing.Sleep(ctx, d.Settings.ReadyNotice.D())
-	drain, cancel := context.WithTimeout(ctx, d.Settings.DrainTimeout.D())
+	drainCtx, cancel := context.WithTimeout(ctx, d.Settings.DrainTimeout.D())
 	defer cancel()
-	err := d.callers.Shutdown(drain)
+	err := d.callerSrv.Shutdown(drainCtx)
 	if err != nil {
-		d.Log.Warn().Err(err).Str("step", "drain").Int("in_flight", d.Limiter.InFlight()).Msg("requests were cut off at the end of the drain time")
-		_ = d.callers.Close()
+		d.Log.Warn().Err(err).Str("step", "drain").Int("in_flight", d.Limiter.InFlight()).Msg("drain timeout reached; closing connections of requests in flight")
+		_ = d.callerSrv.Close()
 	}
-	d.settleRest(ctx)
+	d.awaitSettled(ctx)
 	d.cancel()
 	d.Orders.Wait()
 	d.peerSrv.Stop()
-	_ = d.admin.Close()
-	d.duties.Wait()
+	_ = d.adminSrv.Close()
+	d.taskGroup.Wait()
 	d.Node.Close()
 	d.Log.Info().Str("step", "stop").Msg("threadwalld stopped")
-	d.events.Close()
+	d.eventLog.Close()
 	return nil
 }
 
-// settleWait bounds waiting for claims that are still to be settled.
-const settleWait = 5 * time.Second
+// settleTimeout limits how long a shutdown waits for pending claims to be settled.
+const settleTimeout = 5 * time.Second
 
-func (d *Daemon) settleRest(ctx context.Context) {
-	end := clock.Now().Add(settleWait)
+func (d *Daemon) awaitSettled(ctx context.Context) {
+	end := clock.Now().Add(settleTimeout)
 	for d.Settler.Pending() > 0 && clock.Now().Before(end) && ctx.Err() == nil {
 		timing.Sleep(ctx, 20*time.Millisecond)
 	}
 }
 
-// readiness is whether this VM takes work.
+// readiness records whether this VM is ready for requests, and the reason if it is not.
 type readiness struct {
-	mu     sync.Mutex
-	ok     bool
-	once   bool // it has been ready
-	reason string
+	mu       sync.Mutex
+	ok       bool
+	wasReady bool // it has been ready
+	reason   string
 }
 
 var _ gateway.Readiness = (*readiness)(nil)
@@ -280,7 +283,7 @@
 func (r *readiness) set(ok bool, reason string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ok, r.reason, r.once = ok, reason, r.once || ok
+	r.ok, r.reason, r.wasReady = ok, reason, r.wasReady || ok
 }
 
 // Ready implements gateway.Readiness.
@@ -294,5 +297,5 @@
 func (r *readiness) Serves() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.once
+	return r.wasReady
 }
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -20,20 +20,20 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Rhythms of duties that no setting governs.
+// Intervals of background tasks that have no setting.
 const (
-	refreshEvery   = 50 * time.Millisecond
-	urgentGap      = 10 * time.Millisecond
-	watchIdle      = 500 * time.Millisecond // a VM that is no watcher looks again
-	watchBackoff   = 500 * time.Millisecond
-	watchMaxWait   = 10 * time.Second
-	forgetEvery    = 10 * time.Second
-	bootstrapRetry = 300 * time.Millisecond
+	refreshInterval        = 50 * time.Millisecond
+	urgentDelay            = 10 * time.Millisecond
+	watcherCheckInterval   = 500 * time.Millisecond // between checks whether this VM has become a watcher
+	watchBackoff           = 500 * time.Millisecond
+	watchMaxBackoff        = 10 * time.Second
+	forgetInterval         = 10 * time.Second
+	bootstrapRetryInterval = 300 * time.Millisecond
 )
 
-// dutyTable names every duty. Each runs in a goroutine of its own until its
-// context ends.
-func (d *Daemon) dutyTable() map[string]func(context.Context) {
+// backgroundTasks returns every background task by name. Each runs in a goroutine of its own
+// until its context ends.
+func (d *Daemon) backgroundTasks() map[string]func(context.Context) {
 	return map[string]func(context.Context){
 		"bootstrap":      d.bootstrap,
 		"watch-config":   func(ctx context.Context) { d.watch(ctx, peerpb.KeySpace_CONFIG, config.Prefix) },
@@ -41,20 +41,20 @@
 		"announce":       d.announce,
 		"fetch-wanted":   d.Node.FetchWanted,
 		"gossip":         d.gossip,
-		"cross-domains":  d.cross,
-		"probe":          d.probe,
-		"feed":           d.feed,
+		"cross-domains":  d.exchangeCrossDomain,
+		"probe":          d.probeLoop,
+		"feed":           d.readFeeds,
 		"refresh":        d.refresh,
 		"allowances":     d.sweepAllowances,
 		"settle":         d.Settler.Run,
-		"forget":         d.forget,
+		"forget":         d.forgetExpired,
 		"orders":         d.orders,
 		"sweep-claims":   d.sweepClaims,
 	}
 }
 
-// bootstrap fetches state from peers, else from the store, until this VM may
-// serve. It says why it is not ready meanwhile.
+// bootstrap fetches state from peers, or else from the store, until this VM may serve.
+// Until then, readiness reports what is missing.
 func (d *Daemon) bootstrap(ctx context.Context) {
 	for _, addr := range d.Settings.Peers {
 		call, cancel := context.WithTimeout(ctx, d.Settings.StoreTimeout.D())
@@ -64,10 +64,10 @@
 			d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Peer: addr, Text: "state fetched"}, nil)
 			break
 		}
-		d.Log.Info().Err(err).Str("step", "bootstrap").Str("peer", addr).Msg("no state from this peer")
+		d.Log.Info().Err(err).Str("step", "bootstrap").Str("peer", addr).Msg("could not fetch state from peer")
 	}
 	for {
-		reason := d.lacking()
+		reason := d.notReadyReason()
 		if reason == "" {
 			break
 		}
@@ -78,30 +78,30 @@
 		if d.Node.Platform.Revision() == 0 {
 			d.list(ctx, peerpb.KeySpace_PLATFORM, platform.Prefix)
 		}
-		// Ask peers again; they may have started meanwhile.
-		if len(d.Settings.Peers) > 0 && d.lacking() != "" {
+		// Try a peer again, since it may have started in the meantime.
+		if len(d.Settings.Peers) > 0 && d.notReadyReason() != "" {
 			call, cancel := context.WithTimeout(ctx, d.Settings.StoreTimeout.D())
 			_ = d.Node.FetchState(call, d.Settings.Peers[rand.IntN(len(d.Settings.Peers))])
 			cancel()
 		}
-		if !timing.Sleep(ctx, bootstrapRetry/2+rand.N(bootstrapRetry)) {
+		if !timing.Sleep(ctx, bootstrapRetryInterval/2+rand.N(bootstrapRetryInterval)) {
 			return
 		}
 	}
-	d.probeRound(ctx) // so that the first decisions know the targets' load
+	d.probeRound(ctx) // gives the first routing decisions the targets' load
 	d.Fleet.Refresh()
 	d.ready.set(true, "")
 	d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Text: "ready"}, nil)
 	d.Log.Info().Str("step", "bootstrap").Uint64("config_revision", uint64(d.Node.Config.Revision())).Msg("ready")
 }
 
-// lacking says what this VM needs before it may serve; empty: nothing.
-func (d *Daemon) lacking() string {
+// notReadyReason returns what this VM still needs before it may serve, or "" if nothing.
+func (d *Daemon) notReadyReason() string {
 	switch {
 	case d.Node.Config.Revision() == 0:
 		return "no configuration: neither a peer nor the object API could be reached"
 	case !d.Node.Config.ReachedFloor():
-		return "the configuration at hand is older than one that peers have heard of"
+		return "the local configuration is older than the newest revision that peers reported"
 	case d.Node.Platform.Revision() == 0:
 		return "no list of targets: neither a peer nor the object API could be reached"
 	default:
@@ -109,41 +109,42 @@
 	}
 }
 
-// list reads a whole key space from the store.
+// list reads a complete key space from the store and adopts it.
 func (d *Daemon) list(ctx context.Context, space peerpb.KeySpace, prefix string) (objectapi.Revision, error) {
 	objects, rev, err := d.Store.List(ctx, prefix)
 	if err != nil {
-		d.Log.Info().Err(err).Str("step", "list "+prefix).Str("peer", d.Settings.Store).Msg("the object API can't be read")
+		d.Log.Info().Err(err).Str("step", "list "+prefix).Str("peer", d.Settings.Store).Msg("listing objects from the object API failed")
 		return 0, err
 	}
 	d.Node.Adopt(space, confsync.Snapshot{Revision: max(rev, 1), Objects: objects}, "store")
 	return rev, nil
 }
 
-// watch follows a key space at the store while this VM is one of its domain's
-// watchers, through outages.
+// watch follows a key space at the store while this VM is one of its domain's watchers. It
+// retries with backoff while the store is unavailable.
 func (d *Daemon) watch(ctx context.Context, space peerpb.KeySpace, prefix string) {
-	var after objectapi.Revision // zero: list first
+	var after objectapi.Revision // zero means list first
 	backoff := watchBackoff
 	for ctx.Err() == nil {
 		if !d.Node.IsWatcher(clock.Now()) {
 			after = 0
-			timing.Sleep(ctx, watchIdle)
+			timing.Sleep(ctx, watcherCheckInterval)
 			continue
 		}
-		next, err := d.watchOnce(ctx, space, prefix, after)
+		next, err := d.watchStep(ctx, space, prefix, after)
 		after = next
 		if err == nil {
 			backoff = watchBackoff
 			continue
 		}
 		timing.Sleep(ctx, backoff/2+rand.N(backoff))
-		backoff = min(backoff*2, watchMaxWait)
+		backoff = min(backoff*2, watchMaxBackoff)
 	}
 }
 
-// watchOnce lists or waits for one change, and returns where to go on.
-func (d *Daemon) watchOnce(ctx context.Context, space peerpb.KeySpace, prefix string, after objectapi.Revision) (objectapi.Revision, error) {
+// watchStep lists the key space or waits for one batch of changes. It returns the revision
+// after which to continue; zero means list again.
+func (d *Daemon) watchStep(ctx context.Context, space peerpb.KeySpace, prefix string, after objectapi.Revision) (objectapi.Revision, error) {
 	if after == 0 {
 		return d.list(ctx, space, prefix)
 	}
@@ -161,14 +162,15 @@
 	if space == peerpb.KeySpace_PLATFORM {
 		store = d.Node.Platform
 	}
-	// Peers may have brought us further than our watch; what they did is left out.
+	// Peers may already have sent changes that this watch returns later; those are skipped.
 	base := store.Revision()
 	events = slices.DeleteFunc(events, func(o objectapi.Object) bool { return o.Version <= base })
 	d.Node.Adopt(space, store.Delta(base, events, rev), "store")
 	return rev, nil
 }
 
-// announce tells peers at once when a new configuration is in force.
+// announce notifies peers as soon as a new revision of the configuration or of the
+// platform's list is in force.
 func (d *Daemon) announce(ctx context.Context) {
 	for {
 		select {
@@ -182,18 +184,19 @@
 	}
 }
 
-// gossip tells peers of the domain this VM's news: at each heartbeat, and between
-// heartbeats when there is any, at once if it is urgent. Jitter keeps VMs that started together out of step.
+// gossip sends this VM's updates to the peers of its domain: at each heartbeat, and between
+// heartbeats if there are any, immediately if they are urgent. Jitter desynchronizes VMs that
+// started together.
 func (d *Daemon) gossip(ctx context.Context) {
 	var last time.Time
 	heartbeat := d.Settings.Heartbeat.D()
 	for {
-		beat := clock.Since(last) >= heartbeat
-		if beat {
+		heartbeatDue := clock.Since(last) >= heartbeat
+		if heartbeatDue {
 			d.Node.Beat()
 			last = clock.Now()
 		}
-		if d.Node.Gather() || beat {
+		if d.Node.Gather() || heartbeatDue {
 			d.Node.Tell(ctx, false)
 		}
 		pause := d.Node.NewsEvery(d.Settings.News.D(), heartbeat)
@@ -201,50 +204,52 @@
 		case <-ctx.Done():
 			return
 		case <-d.Node.Urgent():
-			timing.Sleep(ctx, urgentGap) // others of the same cause come along
+			timing.Sleep(ctx, urgentDelay) // coalesces updates that have the same cause
 		case <-time.After(pause*9/10 + rand.N(pause/5+1)):
 		}
 	}
 }
 
-// cross exchanges summaries with other failure domains.
-func (d *Daemon) cross(ctx context.Context) {
+// exchangeCrossDomain exchanges summaries with other failure domains at each heartbeat.
+func (d *Daemon) exchangeCrossDomain(ctx context.Context) {
 	for timing.Sleep(ctx, d.Settings.Heartbeat.D()) {
 		d.Node.Cross(ctx)
 	}
 }
 
-// refresh renews the snapshot that decisions read.
+// refresh rebuilds the snapshot that routing decisions read.
 func (d *Daemon) refresh(ctx context.Context) {
-	for timing.Sleep(ctx, refreshEvery) {
+	for timing.Sleep(ctx, refreshInterval) {
 		d.Fleet.Refresh()
 	}
 }
 
-// sweepAllowances notices VMs that no longer tell what they let in.
+// sweepAllowances detects VMs that no longer report how much they admit.
 func (d *Daemon) sweepAllowances(ctx context.Context) {
 	for timing.Sleep(ctx, allowance.SweepEvery) {
-		d.allowed.Sweep()
+		d.allowances.Sweep()
 	}
 }
 
-func (d *Daemon) forget(ctx context.Context) {
-	for timing.Sleep(ctx, forgetEvery) {
+// forgetExpired drops quarantine cases without recent activity, and dead members that the
+// platform no longer lists.
+func (d *Daemon) forgetExpired(ctx context.Context) {
+	for timing.Sleep(ctx, forgetInterval) {
 		d.crashes.Sweep()
 		if n := d.Fleet.Members.Forget(clock.Now()); n > 0 {
-			d.Events.Record(timeline.Event{Kind: timeline.KindMember, Text: "members that are gone were forgotten"}, nil)
+			d.Events.Record(timeline.Event{Kind: timeline.KindMember, Text: "removed dead members that are no longer listed"}, nil)
 		}
 	}
 }
 
-// ordersEvery is how often the lease is tried and intents are looked at.
-const ordersEvery = 2 * time.Second
+// ordersInterval is the time between attempts to get the lease and reconcile intents.
+const ordersInterval = 2 * time.Second
 
-// orders tries for the domain's lease, on the VMs that watch for the domain, and
-// while it is held brings engines to what operators want.
+// orders tries to acquire the domain's lease if this VM is a watcher, and reconciles engines
+// with the state that operators desire while it holds the lease.
 func (d *Daemon) orders(ctx context.Context) {
 	held := false
-	for timing.Sleep(ctx, ordersEvery*9/10+rand.N(ordersEvery/5)) {
+	for timing.Sleep(ctx, ordersInterval*9/10+rand.N(ordersInterval/5)) {
 		if !d.Node.IsWatcher(clock.Now()) {
 			continue
 		}
@@ -258,7 +263,7 @@
 			err = d.Orders.Reconcile(ctx)
 		}
 		if err != nil && ctx.Err() == nil {
-			d.Log.Debug().Err(err).Str("step", "orders").Str("peer", d.Settings.Store).Msg("orders wait for the object API")
+			d.Log.Debug().Err(err).Str("step", "orders").Str("peer", d.Settings.Store).Msg("orders delayed: object API failed")
 		}
 	}
 }
@@ -270,7 +275,7 @@
 	return "orders lease lost"
 }
 
-// Engines implements orders.Engines: what is known of this domain's engines.
+// Engines implements orders.Engines. It returns the known state of this domain's engines.
 func (d *Daemon) Engines() []orders.EngineStatus {
 	var out []orders.EngineStatus
 	for _, t := range d.Fleet.Members.Targets(clock.Now()) {
@@ -284,24 +289,24 @@
 	return out
 }
 
-// Rhythm of the claims' expiry, and how many are deleted in one go.
+// Deletion of expired claims.
 const (
-	sweepEvery = 10 * time.Minute
-	sweepLimit = 200
+	claimSweepInterval = 10 * time.Minute
+	claimSweepLimit    = 200 // claims deleted per workspace and sweep
 )
 
-// sweepClaims deletes claims that no call can refer to any more. The holder of
-// the domain's lease does it; that several domains do is harmless.
+// sweepClaims deletes claims that no call can refer to any more. Only the holder of the
+// domain's lease does so. Sweeps by several domains at the same time are harmless.
 func (d *Daemon) sweepClaims(ctx context.Context) {
-	for timing.Sleep(ctx, sweepEvery*9/10+rand.N(sweepEvery/5)) {
+	for timing.Sleep(ctx, claimSweepInterval*9/10+rand.N(claimSweepInterval/5)) {
 		if _, held := d.Lease.Held(); !held {
 			continue
 		}
 		cfg := d.Config.Get()
 		for ws := range cfg.Workspaces {
-			n, err := claims.Sweep(ctx, d.Store, claims.Prefix+string(ws)+"/", clock.Now(), cfg.LongestRetention(), sweepLimit)
+			n, err := claims.Sweep(ctx, d.Store, claims.Prefix+string(ws)+"/", clock.Now(), cfg.LongestRetention(), claimSweepLimit)
 			if err != nil {
-				d.Log.Info().Err(err).Str("step", "sweep claims").Str("peer", d.Settings.Store).Msg("expired claims are kept for now")
+				d.Log.Info().Err(err).Str("step", "sweep claims").Str("peer", d.Settings.Store).Msg("deleting expired claims failed; retrying at the next sweep")
 				break
 			}
 			if n > 0 {
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -15,30 +15,31 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// probeTimeout bounds one probe.
+// probeTimeout limits one probe and one read of cache events.
 const probeTimeout = 800 * time.Millisecond
 
-// probesAtOnce bounds probes in flight.
-const probesAtOnce = 16
+// maxConcurrentProbes limits probes in flight.
+const maxConcurrentProbes = 16
 
-// silentProbes in a row make a target silent.
-const silentProbes = 3
+// maxFailedProbes is the number of consecutive failed probes after which a target is
+// reported as unresponsive.
+const maxFailedProbes = 3
 
-// probed is what the last probe of a target told.
-type probed struct {
-	told   membership.Report // what peers were last told
-	toldAt time.Time
-	failed int
+// probeResult is the outcome of the probes of one target so far.
+type probeResult struct {
+	sent     membership.Report // last report sent to peers
+	sentAt   time.Time
+	failures int
 }
 
-// probeState is the memory of the probe duty.
+// probeState holds the probe results of all targets.
 type probeState struct {
 	mu   sync.Mutex
-	last map[ids.Target]probed
+	last map[ids.Target]probeResult
 }
 
-// probe asks the targets that this VM is responsible for about their load.
-func (d *Daemon) probe(ctx context.Context) {
+// probeLoop periodically probes the load of the targets that this VM is responsible for.
+func (d *Daemon) probeLoop(ctx context.Context) {
 	for {
 		d.probeRound(ctx)
 		if !timing.Sleep(ctx, d.Settings.Probe.D()) {
@@ -49,7 +50,7 @@
 
 func (d *Daemon) probeRound(ctx context.Context) {
 	now := clock.Now()
-	slots := make(chan struct{}, probesAtOnce)
+	slots := make(chan struct{}, maxConcurrentProbes)
 	var wg sync.WaitGroup
 	for _, t := range d.Fleet.Members.Targets(now) {
 		if !d.Node.Owns(t.ID, t.Record.FailureDomain) {
@@ -74,15 +75,15 @@
 	d.probes.mu.Lock()
 	p := d.probes.last[t.ID]
 	d.probes.mu.Unlock()
-	p.failed++
+	p.failures++
 	if err == nil {
-		p.failed = 0
+		p.failures = 0
 	} else {
 		report = membership.Report{Incarnation: t.Incarnation, Weights: t.Weights, Seq: uint64(time.Now().UnixMilli()), Silent: true}
 	}
-	if err == nil || p.failed >= silentProbes {
-		if d.Node.Publish(t.ID, report, p.told, p.toldAt, now) {
-			p.told, p.toldAt = report, now
+	if err == nil || p.failures >= maxFailedProbes {
+		if d.Node.Publish(t.ID, report, p.sent, p.sentAt, now) {
+			p.sent, p.sentAt = report, now
 		}
 	}
 	d.probes.mu.Lock()
@@ -103,26 +104,26 @@
 	}
 }
 
-// feedEvery is how often an engine's cache events are read.
-const feedEvery = 500 * time.Millisecond
+// feedInterval is the time between reads of an engine's cache events.
+const feedInterval = 500 * time.Millisecond
 
-// cursor is where this VM reads on in an engine's feed.
-type cursor struct {
+// feedCursor is this VM's position in an engine's feed of cache events.
+type feedCursor struct {
 	incarnation ids.Incarnation
 	after       uint64
 }
 
-// feed reads, if the settings say so, the cache events of the engines that this VM is first responsible
-// for, so that each engine's feed is read once in its domain.
-func (d *Daemon) feed(ctx context.Context) {
+// readFeeds reads the cache events of the engines whose feed reader this VM is, so that one VM
+// per domain reads each engine's feed. It does nothing if the settings disable cache feeds.
+func (d *Daemon) readFeeds(ctx context.Context) {
 	if !d.Settings.CacheFeed {
 		return
 	}
-	cursors := map[ids.Target]cursor{}
-	for timing.Sleep(ctx, feedEvery) {
+	cursors := map[ids.Target]feedCursor{}
+	for timing.Sleep(ctx, feedInterval) {
 		for _, t := range d.Fleet.Members.Targets(clock.Now()) {
 			if t.Record.Role == platform.RoleEngine && d.Node.First(t.ID, t.Record.FailureDomain) {
-				cursors[t.ID] = d.feedOne(ctx, t, cursors[t.ID])
+				cursors[t.ID] = d.readFeed(ctx, t, cursors[t.ID])
 			} else {
 				delete(cursors, t.ID)
 			}
@@ -130,19 +131,19 @@
 	}
 }
 
-func (d *Daemon) feedOne(ctx context.Context, t membership.TargetStatus, c cursor) cursor {
+func (d *Daemon) readFeed(ctx context.Context, t membership.TargetStatus, c feedCursor) feedCursor {
 	f, err := d.Engine.Events(ctx, t.Record.Addr, c.after, probeTimeout)
 	if err != nil {
 		return c
 	}
 	if f.Incarnation != c.incarnation {
 		if c.incarnation != 0 && c.after > 0 {
-			return cursor{incarnation: f.Incarnation} // read the new life from its start
+			return feedCursor{incarnation: f.Incarnation} // read the new incarnation's feed from its start
 		}
 		c.incarnation = f.Incarnation
 	}
 	if d.Fleet.Cache.Feed(t.ID, cacheview.GenerationOf(f.Incarnation, f.Weights), f.Events) {
-		d.Events.Record(timeline.Event{Kind: timeline.KindCache, Peer: string(t.ID), Text: "gap in cache events, beliefs voided"}, nil)
+		d.Events.Record(timeline.Event{Kind: timeline.KindCache, Peer: string(t.ID), Text: "gap in cache events; invalidated the target's cache entries"}, nil)
 	}
 	for _, e := range f.Events {
 		c.after = max(c.after, e.Seq)
