--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -177,7 +177,7 @@
 const headerTimeout = 10 * time.Second
 
 // Start opens the listeners and starts the servers and all background tasks. It returns an
-// error if an address can't be listened on; nothing runs then.
+// error if it can't listen on one of the addresses, and then starts nothing.
 func (d *Daemon) Start(context.Context) error {
 	listeners, err := listen(d.Settings.Listen, d.Settings.PeerListen, d.Settings.AdminListen)
 	if err != nil {
@@ -274,7 +274,7 @@
 type readiness struct {
 	mu       sync.Mutex
 	ok       bool
-	wasReady bool // it has been ready
+	wasReady bool // whether the VM has ever been ready
 	reason   string
 }
 
