--- a/internal/cli/commands/call.go
+++ b/internal/cli/commands/call.go
@@ -18,38 +18,38 @@
 	"github.com/threadwall/threadwall/internal/services"
 )
 
-func callerFlags() []cli.Flag {
+func entryFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "entry", Value: "http://127.0.0.1:7051", Sources: cli.EnvVars("THREADWALL_ENTRY"), Usage: "base `URL` of a VM's callers' interface"},
+		&cli.StringFlag{Name: "entry", Value: "http://127.0.0.1:7051", Sources: cli.EnvVars("THREADWALL_ENTRY"), Usage: "base `URL` of a VM's interface for callers"},
 		&cli.StringFlag{Name: "key", Required: true, Sources: cli.EnvVars("THREADWALL_KEY"), Usage: "the workspace's API `KEY`"},
 	}
 }
 
-// Ask returns "threadwall ask".
+// Ask returns the command "threadwall ask".
 func Ask() *cli.Command {
 	return &cli.Command{
 		Name:      "ask",
-		Usage:     "ask a template or model, and print the answer as it comes",
+		Usage:     "send a prompt to a template or model, and stream the response",
 		ArgsUsage: "TEXT",
-		// A parameter's text may hold commas.
+		// A parameter's value may contain commas.
 		DisableSliceFlagSeparator: true,
-		Flags: append(callerFlags(),
+		Flags: append(entryFlags(),
 			&cli.StringFlag{Name: "template", Usage: "use the template `NAME`"},
-			&cli.StringFlag{Name: "model", Usage: "ask the model `NAME` directly"},
+			&cli.StringFlag{Name: "model", Usage: "use the model `NAME` directly"},
 			&cli.StringMapFlag{Name: "param", Usage: "a parameter of the template, as `NAME=VALUE`"},
 		),
 		Action: ask,
 	}
 }
 
-type askBody struct {
+type chatRequest struct {
 	Model    string            `json:"model"`
-	Messages []askMessage      `json:"messages"`
+	Messages []chatMessage     `json:"messages"`
 	Metadata map[string]string `json:"metadata,omitempty"`
 	Stream   bool              `json:"stream"`
 }
 
-type askMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -60,11 +60,11 @@
 		model = "template:" + t
 	}
 	if model == "" || c.Args().Len() == 0 {
-		return eris.New("ask needs --template or --model, and a text")
+		return eris.New("ask requires --template or --model, and a text")
 	}
-	body, err := json.Marshal(askBody{
+	body, err := json.Marshal(chatRequest{
 		Model: model, Stream: true, Metadata: c.StringMap("param"),
-		Messages: []askMessage{{Role: "user", Content: strings.Join(c.Args().Slice(), " ")}},
+		Messages: []chatMessage{{Role: "user", Content: strings.Join(c.Args().Slice(), " ")}},
 	})
 	if err != nil {
 		return eris.Wrap(err, "encode request")
@@ -91,18 +91,18 @@
 		switch {
 		case !ok:
 		case failed:
-			return eris.Errorf("the answer is not whole: %s", data)
+			return eris.Errorf("the response ended before it was complete: %s", data)
 		case data == "[DONE]":
 			_, _ = fmt.Fprintln(w)
 			return nil
 		default:
-			_, _ = fmt.Fprint(w, deltaOf(data))
+			_, _ = fmt.Fprint(w, deltaContent(data))
 		}
 	}
-	return eris.New("the answer broke off and is not whole")
+	return eris.New("the response ended before it was complete")
 }
 
-func deltaOf(data string) string {
+func deltaContent(data string) string {
 	var chunk struct {
 		Choices []struct {
 			Delta struct {
@@ -129,7 +129,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrapf(err, "call %s", c.String("entry"))
+		return nil, eris.Wrapf(err, "send request to %s", c.String("entry"))
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer func() { _ = resp.Body.Close() }()
@@ -139,24 +139,24 @@
 	return resp, nil
 }
 
-// Call returns "threadwall call".
+// Call returns the command "threadwall call".
 func Call() *cli.Command {
 	return &cli.Command{
 		Name:      "call",
-		Usage:     "call a plain service, at most once",
+		Usage:     "call a plain service, with at-most-once execution",
 		ArgsUsage: "SERVICE PATH [BODY]",
-		Flags: append(callerFlags(), &cli.StringFlag{
-			Name: "idempotency-key", Usage: "the call's `KEY`; repeat a call only with the key of the first. Default: a fresh UUIDv7, printed",
+		Flags: append(entryFlags(), &cli.StringFlag{
+			Name: "idempotency-key", Usage: "the call's idempotency `KEY`; to retry a call, use the key of the first attempt (default: a new UUIDv7, which is printed)",
 		}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() < 2 {
-				return eris.New("call needs a service and a path, for example: threadwall call booking /bookings '{\"drum\":\"D-7\"}'")
+				return eris.New("call requires a service and a path, for example: threadwall call booking /bookings '{\"drum\":\"D-7\"}'")
 			}
 			key := c.String("idempotency-key")
 			if key == "" {
 				id, err := uuid.NewV7()
 				if err != nil {
-					return eris.Wrap(err, "make a key")
+					return eris.Wrap(err, "generate idempotency key")
 				}
 				key = id.String()
 			}
@@ -167,7 +167,7 @@
 			}
 			defer func() { _ = resp.Body.Close() }()
 			_, err = io.Copy(c.Root().Writer, resp.Body)
-			return eris.Wrap(err, "read answer")
+			return eris.Wrap(err, "read response")
 		},
 	}
 }
--- a/internal/cli/commands/objects.go
+++ b/internal/cli/commands/objects.go
@@ -1,4 +1,5 @@
-// Package commands holds the parts of the command line that change something.
+// Package commands implements the subcommands that change state: they apply and delete objects,
+// record orders, and send requests.
 package commands
 
 import (
@@ -13,16 +14,17 @@
 	"github.com/threadwall/threadwall/internal/config"
 )
 
-// Apply returns "threadwall apply".
+// Apply returns the command "threadwall apply".
 func Apply() *cli.Command {
 	return &cli.Command{
 		Name:  "apply",
-		Usage: "bring documents, templates and workspaces from files into force",
-		Description: "Everything is validated before anything is written. Writes are conditional on what was read:\n" +
-			"if somebody else changed an object meanwhile, nothing of theirs is overwritten and the command says so.",
+		Usage: "apply documents, templates and workspaces from files",
+		Description: "The command validates all objects before it writes the first. Each write is conditional on the\n" +
+			"version that was read: if another writer changed an object in the meantime, the command fails\n" +
+			"and does not overwrite that change.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "read objects from `PATH`, a file or a directory"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "only say what would change"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "only print what would change"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			objects, err := apply.ReadPath(c.String("file"))
@@ -55,15 +57,15 @@
 	})
 }
 
-// Delete returns "threadwall delete".
+// Delete returns the command "threadwall delete".
 func Delete() *cli.Command {
 	return &cli.Command{
 		Name:      "delete",
-		Usage:     "delete one object that no other refers to",
+		Usage:     "delete an object that no other object refers to",
 		ArgsUsage: "KIND NAME",
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 2 {
-				return eris.New("delete needs a kind and a name, for example: threadwall delete template check-contract")
+				return eris.New("delete requires a kind and a name, for example: threadwall delete template check-contract")
 			}
 			kind, name := config.Kind(c.Args().Get(0)), c.Args().Get(1)
 			if err := apply.Delete(ctx, common.Store(c), kind, name); err != nil {
--- a/internal/cli/common/common.go
+++ b/internal/cli/common/common.go
@@ -1,5 +1,5 @@
-// Package common holds what the command line's commands and queries share:
-// connections, addresses and output.
+// Package common holds the code that the command line's commands and queries share: global
+// flags, access to the object API and to VMs, and output.
 package common
 
 import (
@@ -20,20 +20,20 @@
 	"github.com/threadwall/threadwall/internal/platform"
 )
 
-// Flags of the whole command line.
+// Names of the global flags.
 const (
 	FlagStore  = "store"
 	FlagAdmin  = "admin"
 	FlagOutput = "output"
 )
 
-// callTimeout bounds one call of the object API or of a VM.
+// callTimeout limits one call to the object API or to a VM.
 const callTimeout = 5 * time.Second
 
-// callsPerSecond is the command line's budget at the object API.
+// callsPerSecond limits both reads and writes of the object API.
 const callsPerSecond = 100
 
-// Flags returns the flags of the whole command line.
+// Flags returns the global flags of the command line.
 func Flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{
@@ -42,13 +42,13 @@
 		},
 		&cli.StringSliceFlag{
 			Name: FlagAdmin, Sources: cli.EnvVars("THREADWALL_ADMIN"),
-			Usage: "admin `ADDR` (ip:port) of VMs to ask; without it, all in the platform's list",
+			Usage: "admin `ADDR` (ip:port) of the VMs to query (default: all entry VMs in the platform's list)",
 		},
 		&cli.StringFlag{
 			Name: FlagOutput, Aliases: []string{"o"}, Value: "table", Usage: "print `FORMAT`: table or json",
 			Validator: func(s string) error {
 				if s != "table" && s != "json" {
-					return eris.Errorf("output format %q is neither table nor json", s)
+					return eris.Errorf("output format is %q; it must be table or json", s)
 				}
 				return nil
 			},
@@ -56,12 +56,13 @@
 	}
 }
 
-// Store connects to the object API.
+// Store returns a client of the object API at the address in the store flag.
 func Store(c *cli.Command) objectapi.Store {
 	return objectapi.NewClient(c.String(FlagStore), callTimeout, objectapi.Budget{WritesPerSecond: callsPerSecond, ReadsPerSecond: callsPerSecond})
 }
 
-// Print writes v as JSON, or calls table, as the output flag says.
+// Print writes v as indented JSON, or the rows that table prints as an aligned table, depending
+// on the output flag.
 func Print(c *cli.Command, v any, table func(w io.Writer)) error {
 	out := c.Root().Writer
 	if out == nil {
@@ -77,20 +78,20 @@
 	return eris.Wrap(t.Flush(), "print")
 }
 
-// Row prints one row of a table.
-func Row(w io.Writer, cells ...any) {
-	parts := make([]string, len(cells))
-	for i, c := range cells {
+// Row prints one row of a table, with its cells separated by tabs.
+func Row(w io.Writer, values ...any) {
+	parts := make([]string, len(values))
+	for i, c := range values {
 		parts[i] = fmt.Sprint(c)
 	}
 	_, _ = fmt.Fprintln(w, strings.Join(parts, "\t"))
 }
 
-// VM is one VM to ask.
+// VM is the name and the admin address of a VM to query.
 type VM struct{ Name, Admin string }
 
-// VMs returns the VMs to ask: those of the flag, or all entry VMs in the
-// platform's list.
+// VMs returns the VMs to query: those of the admin flag or, without it, all entry VMs in the
+// platform's list that have an admin address. It returns an error if there are none.
 func VMs(ctx context.Context, c *cli.Command) ([]VM, error) {
 	var out []VM
 	for _, a := range c.StringSlice(FlagAdmin) {
@@ -101,7 +102,7 @@
 	}
 	objects, _, err := Store(c).List(ctx, platform.Prefix)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the platform's list of VMs (or name them with --admin)")
+		return nil, eris.Wrap(err, "read the platform's list of VMs (use --admin to specify VMs)")
 	}
 	records, _ := platform.Decode(objects)
 	for _, r := range records {
@@ -110,26 +111,27 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, eris.New("the platform lists no entry VM; name one with --admin")
+		return nil, eris.New("the platform lists no entry VM; specify one with --admin")
 	}
 	return out, nil
 }
 
-// GetJSON reads JSON from a VM's admin interface.
+// GetJSON requests path from a VM's admin interface and decodes the JSON response into the value
+// that into points to. It fails unless the VM responds with status 200 within callTimeout.
 func GetJSON(ctx context.Context, vm VM, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+vm.Admin+path, nil)
 	if err != nil {
-		return eris.Wrapf(err, "ask %s", vm.Name)
+		return eris.Wrapf(err, "query VM %s", vm.Name)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrapf(err, "ask %s", vm.Name)
+		return eris.Wrapf(err, "query VM %s", vm.Name)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("ask %s: status %d", vm.Name, resp.StatusCode)
+		return eris.Errorf("query VM %s: status %d", vm.Name, resp.StatusCode)
 	}
-	return eris.Wrapf(json.NewDecoder(resp.Body).Decode(into), "ask %s", vm.Name)
+	return eris.Wrapf(json.NewDecoder(resp.Body).Decode(into), "decode response of VM %s", vm.Name)
 }
--- a/internal/cli/queries/logs.go
+++ b/internal/cli/queries/logs.go
@@ -20,38 +20,39 @@
 	VM      string
 	Event   string
 	Request string
-	Target  string // the target or dependency that the line is about
-	// Fingerprint names the request over its repeats, in lines about what it did.
+	Target  string // target or dependency that the line refers to
+	// Fingerprint identifies a request and its repeats, in lines about the request's effects.
 	Fingerprint string
 	fields      map[string]any
 }
 
-// Bounds of an explanation.
+// Limits of an explanation.
 const (
-	// beliefsBefore is how long before a request lines about its targets count.
-	beliefsBefore = 5 * time.Second
-	// maxLogLine bounds one line, in bytes.
+	// stateWindow is how long before a request's first line the lines about the state of its
+	// targets are included.
+	stateWindow = 5 * time.Second
+	// maxLogLine is the maximum length of a line in bytes.
 	maxLogLine = 1 << 20
 )
 
-// readLogs reads lines of JSON; what stands before the JSON on a line, such as a
-// time or a host that a collector has added, is left out.
-func readLogs(from io.Reader) ([]logLine, error) {
+// readLogs reads lines that contain a JSON object. It ignores text before the object, such as a
+// time or host name that a log collector added, and skips lines without an object.
+func readLogs(r io.Reader) ([]logLine, error) {
 	var out []logLine
-	in := bufio.NewScanner(from)
-	in.Buffer(nil, maxLogLine)
-	for in.Scan() {
-		start := bytes.IndexByte(in.Bytes(), '{')
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
 			continue
 		}
 		var fields map[string]any
-		if json.Unmarshal(in.Bytes()[start:], &fields) != nil {
-			continue // not a line of ours
+		if json.Unmarshal(scanner.Bytes()[start:], &fields) != nil {
+			continue // not written by the daemon
 		}
 		out = append(out, newLogLine(fields))
 	}
-	return out, eris.Wrap(in.Err(), "read logs")
+	return out, eris.Wrap(scanner.Err(), "read logs")
 }
 
 func newLogLine(fields map[string]any) logLine {
@@ -60,41 +61,42 @@
 	if l.Target == "" {
 		l.Target = text("dependency")
 	}
-	l.Time, _ = time.Parse(time.RFC3339, text("time")) // zero: the line has none
+	l.Time, _ = time.Parse(time.RFC3339, text("time")) // zero if the line has none
 	return l
 }
 
-// repeatEvents are the lines that tell what the repeats of a request did to targets, and what
-// VMs made of it. They count at all VMs and from long before: a request is turned away for
-// what its repeats did elsewhere.
+// repeatEvents are the events of lines about crashes under a request's repeats, and about the
+// resulting quarantine. Explanations include them from all VMs and without a limit on their age,
+// because a VM refuses a request for crashes that its repeats caused at other VMs.
 var repeatEvents = []string{"crashed-under", "quarantined", "quarantine-trial", "quarantine-lifted"}
 
-// explainLogs returns the lines about a request, those about its VM's beliefs of the targets
-// that it met shortly before, and those about its repeats, in the order of time.
+// explainLogs returns the lines about a request, its VM's lines about the state of the store and
+// of the request's targets from stateWindow before to the request's end, and the lines about its
+// repeats. The result is in the order of time.
 func explainLogs(lines []logLine, request string) []logLine {
 	var own []logLine
-	targets, prints := map[string]bool{}, map[string]bool{}
+	targets, fingerprints := map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Request == request {
 			own = append(own, l)
 			targets[l.Target] = true
-			prints[l.Fingerprint] = true
+			fingerprints[l.Fingerprint] = true
 		}
 	}
-	delete(prints, "")
+	delete(fingerprints, "")
 	if len(own) == 0 {
 		return nil
 	}
 	slices.SortStableFunc(own, func(a, b logLine) int { return a.Time.Compare(b.Time) })
-	first, last := own[0].Time.Add(-beliefsBefore), own[len(own)-1].Time
+	first, last := own[0].Time.Add(-stateWindow), own[len(own)-1].Time
 	out := own
 	for _, l := range lines {
-		inTime := !l.Time.Before(first) && !l.Time.After(last)
-		if l.Request == "" && inTime && l.VM == own[0].VM && (l.Target == "" || targets[l.Target] || strings.HasPrefix(l.Target, "store ")) {
+		inWindow := !l.Time.Before(first) && !l.Time.After(last)
+		if l.Request == "" && inWindow && l.VM == own[0].VM && (l.Target == "" || targets[l.Target] || strings.HasPrefix(l.Target, "store ")) {
 			out = append(out, l)
 			continue
 		}
-		if l.Request != request && prints[l.Fingerprint] && slices.Contains(repeatEvents, l.Event) && !l.Time.After(last) {
+		if l.Request != request && fingerprints[l.Fingerprint] && slices.Contains(repeatEvents, l.Event) && !l.Time.After(last) {
 			out = append(out, l)
 		}
 	}
@@ -102,7 +104,7 @@
 	return out
 }
 
-// text renders a line's other fields.
+// text returns the line's remaining fields as sorted name=value pairs.
 func (l logLine) text() string {
 	var parts []string
 	for name, v := range l.fields {
@@ -116,7 +118,7 @@
 	return strings.Join(parts, " ")
 }
 
-// openLogs reads the named files; "-" is the standard input.
+// openLogs reads the named files; "-" stands for the standard input.
 func openLogs(names []string, stdin io.Reader) ([]logLine, error) {
 	var all []logLine
 	for _, name := range names {
@@ -137,6 +139,6 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "open logs")
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	return readLogs(f)
 }
--- a/internal/cli/queries/logs_test.go
+++ b/internal/cli/queries/logs_test.go
@@ -16,8 +16,8 @@
 {"vm":"vm-1","event":"end","request":"q1","status":502,"step":"read","peer":"e1","time":"2026-12-02T10:00:03.500Z"}
 `
 
-// TestExplainLogs checks that an explanation holds the request's own lines and what
-// its VM believed of its target and of the store, and nothing else.
+// TestExplainLogs checks that an explanation consists of the request's own lines and its VM's lines
+// about the state of its target and of the store, and excludes other VMs, targets and requests.
 func TestExplainLogs(t *testing.T) {
 	lines, err := readLogs(strings.NewReader(sampleLogs))
 	if err != nil {
@@ -46,8 +46,9 @@
 {"vm":"vm-1","event":"quarantine-lifted","fingerprint":"f1","time":"2026-12-02T10:00:02.000Z"}
 `
 
-// TestExplainRepeats explains a request that was refused for what its repeats did: which
-// targets ended under them, at which VMs, who found it and who told whom.
+// TestExplainRepeats checks the explanation of a request that was refused because its repeats had
+// crashed targets: it shows the crashes at other VMs, and which VM quarantined the request and
+// which one received the report.
 func TestExplainRepeats(t *testing.T) {
 	lines, err := readLogs(strings.NewReader(repeatLogs))
 	if err != nil {
--- a/internal/cli/queries/objects.go
+++ b/internal/cli/queries/objects.go
@@ -1,4 +1,5 @@
-// Package queries holds the parts of the command line that only look.
+// Package queries implements the subcommands that only read: objects, the status of VMs,
+// timelines and explanations of requests.
 package queries
 
 import (
@@ -18,8 +19,8 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// stored is one object as listed.
-type stored struct {
+// listedObject is an object as "threadwall get" prints it.
+type listedObject struct {
 	Kind    string             `json:"kind"`
 	Name    string             `json:"name"`
 	Version objectapi.Revision `json:"version"`
@@ -28,7 +29,7 @@
 	Object  json.RawMessage    `json:"object,omitempty"`
 }
 
-// Get returns "threadwall get".
+// Get returns the command "threadwall get".
 func Get() *cli.Command {
 	return &cli.Command{
 		Name:      "get",
@@ -39,45 +40,45 @@
 			if c.Args().Len() > 0 {
 				prefix += c.Args().Get(0) + "/"
 			}
-			whole := c.Args().Len() > 1
-			if whole {
+			single := c.Args().Len() > 1
+			if single {
 				prefix += c.Args().Get(1)
 			}
-			list, err := read(ctx, c, prefix, whole)
+			list, err := readObjects(ctx, c, prefix, single)
 			if err != nil {
 				return err
 			}
-			return common.Print(c, list, func(w io.Writer) { printObjects(w, list, whole) })
+			return common.Print(c, list, func(w io.Writer) { printObjects(w, list, single) })
 		},
 	}
 }
 
-func read(ctx context.Context, c *cli.Command, prefix string, whole bool) ([]stored, error) {
+func readObjects(ctx context.Context, c *cli.Command, prefix string, single bool) ([]listedObject, error) {
 	objects, rev, err := common.Store(c).List(ctx, config.Prefix)
 	if err != nil {
 		return nil, eris.Wrap(err, "read configuration")
 	}
 	rejected := config.Compile(rev, objects).Rejected
-	var out []stored
+	var out []listedObject
 	for _, o := range objects {
-		if !strings.HasPrefix(o.Key, prefix) || whole && o.Key != prefix {
+		if !strings.HasPrefix(o.Key, prefix) || single && o.Key != prefix {
 			continue
 		}
 		kind, name, _ := strings.Cut(strings.TrimPrefix(o.Key, config.Prefix), "/")
-		s := stored{Kind: kind, Name: name, Version: o.Version, Bytes: len(o.Value), Reason: rejected[o.Key]}
-		if whole {
+		s := listedObject{Kind: kind, Name: name, Version: o.Version, Bytes: len(o.Value), Reason: rejected[o.Key]}
+		if single {
 			s.Object = o.Value
 		}
 		out = append(out, s)
 	}
 	if len(out) == 0 {
-		return nil, eris.Errorf("there is nothing at %s", prefix)
+		return nil, eris.Errorf("no object at %s", prefix)
 	}
 	return out, nil
 }
 
-func printObjects(w io.Writer, list []stored, whole bool) {
-	if whole {
+func printObjects(w io.Writer, list []listedObject, single bool) {
+	if single {
 		var b bytes.Buffer
 		_ = json.Indent(&b, list[0].Object, "", "  ")
 		common.Row(w, b.String())
@@ -89,7 +90,7 @@
 	}
 }
 
-// Diff returns "threadwall diff".
+// Diff returns the command "threadwall diff".
 func Diff() *cli.Command {
 	return &cli.Command{
 		Name:  "diff",
@@ -124,10 +125,11 @@
 	return strings.Split(b.String(), "\n")
 }
 
-// maxCell bounds a printed line; documents are long.
-const maxCell = 160
+// maxLineWidth is the number of bytes of a line that are printed, since documents can be long.
+const maxLineWidth = 160
 
-// printLines prints the lines that are in one of two objects only.
+// printLines prints the lines that occur in only one of two objects. It compares lines as a
+// multiset, regardless of their order.
 func printLines(w io.Writer, before, after []string) {
 	count := map[string]int{}
 	for _, l := range before {
@@ -139,13 +141,13 @@
 	for _, l := range before {
 		if count[l] > 0 {
 			count[l]--
-			common.Row(w, "- "+l[:min(len(l), maxCell)])
+			common.Row(w, "- "+l[:min(len(l), maxLineWidth)])
 		}
 	}
 	for _, l := range after {
 		if count[l] < 0 {
 			count[l]++
-			common.Row(w, "+ "+l[:min(len(l), maxCell)])
+			common.Row(w, "+ "+l[:min(len(l), maxLineWidth)])
 		}
 	}
 }
--- a/internal/cli/queries/vms.go
+++ b/internal/cli/queries/vms.go
@@ -16,18 +16,18 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// vmStatus is one VM's answer, or why there is none.
+// vmStatus is a VM's status, or the error of the query.
 type vmStatus struct {
 	VM     string         `json:"vm"`
 	Error  string         `json:"error,omitempty"`
 	Status *daemon.Status `json:"status,omitempty"`
 }
 
-// Status returns "threadwall status".
+// Status returns the command "threadwall status".
 func Status() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show which VMs are ready, which configuration revision is in force on each, and what they think of targets",
+		Usage: "show each VM's readiness, configuration revision and view of the targets",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "targets", Aliases: []string{"t"}, Usage: "show each VM's view of each target"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			vms, err := common.VMs(ctx, c)
@@ -78,8 +78,9 @@
 	}
 }
 
-// gather asks all VMs for events; those that can't be asked are named.
-func gather(ctx context.Context, c *cli.Command, request string) (events []timeline.Event, missing []string, err error) {
+// collectEvents gets the events of all VMs, merged in causal order, and returns the names of the
+// VMs that could not be queried.
+func collectEvents(ctx context.Context, c *cli.Command, request string) (events []timeline.Event, missing []string, err error) {
 	vms, err := common.VMs(ctx, c)
 	if err != nil {
 		return nil, nil, err
@@ -99,18 +100,18 @@
 	return timeline.Merge(logs...), missing, nil
 }
 
-// Timeline returns "threadwall timeline".
+// Timeline returns the command "threadwall timeline".
 func Timeline() *cli.Command {
 	return &cli.Command{
 		Name:  "timeline",
 		Usage: "merge the events of all VMs into one causal order",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "request", Usage: "only events of the request `ID`"},
-			&cli.StringFlag{Name: "kind", Usage: "only events of `KIND`, such as membership, config, claim"},
+			&cli.StringFlag{Name: "kind", Usage: "only events of `KIND`, such as membership, config or claim"},
 			&cli.IntFlag{Name: "last", Value: 100, Usage: "at most the last `N` events"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			events, missing, err := gather(ctx, c, c.String("request"))
+			events, missing, err := collectEvents(ctx, c, c.String("request"))
 			if err != nil {
 				return err
 			}
@@ -127,35 +128,35 @@
 					common.Row(w, e.At, e.VM, e.Kind, e.Request, e.Peer, e.Text)
 				}
 				for _, m := range missing {
-					common.Row(w, "?", m, "", "", "", "this VM did not answer; its events are missing")
+					common.Row(w, "?", m, "", "", "", "this VM did not respond; its events are missing")
 				}
 			})
 		},
 	}
 }
 
-// Explain returns "threadwall explain".
+// Explain returns the command "threadwall explain".
 func Explain() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "show why a request went where it did, from the VMs' memory or from their logs",
+		Usage:     "show how a request was routed and why, from the VMs' timelines or from their logs",
 		ArgsUsage: "REQUEST",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "logs", Usage: "read the daemons' logs from `FILE` (- is the standard input) in place of asking the VMs"},
+			&cli.StringSliceFlag{Name: "logs", Usage: "read the daemons' logs from `FILE` (- is the standard input) instead of querying the VMs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return eris.New("explain needs a request's id, as answers carry it in X-Request-Id")
+				return eris.New("explain requires a request id, as found in the response header X-Request-Id")
 			}
 			if files := c.StringSlice("logs"); len(files) > 0 {
 				return explainFromLogs(c, files)
 			}
-			events, missing, err := gather(ctx, c, c.Args().First())
+			events, missing, err := collectEvents(ctx, c, c.Args().First())
 			if err != nil {
 				return err
 			}
 			if len(events) == 0 {
-				return eris.Errorf("no VM that answers remembers request %s (no answer from: %v)", c.Args().First(), missing)
+				return eris.Errorf("no VM that responded has events of request %s (no response from: %v)", c.Args().First(), missing)
 			}
 			return common.Print(c, events, func(w io.Writer) {
 				for _, e := range events {
@@ -169,7 +170,7 @@
 	}
 }
 
-// explainFromLogs prints what the logs tell of a request.
+// explainFromLogs prints the log lines that explain a request.
 func explainFromLogs(c *cli.Command, files []string) error {
 	lines, err := openLogs(files, os.Stdin)
 	if err != nil {
@@ -177,7 +178,7 @@
 	}
 	found := explainLogs(lines, c.Args().First())
 	if len(found) == 0 {
-		return eris.Errorf("no line in %v is about request %s", files, c.Args().First())
+		return eris.Errorf("no log line in %v belongs to request %s", files, c.Args().First())
 	}
 	return common.Print(c, found, func(w io.Writer) {
 		for _, l := range found {
