--- a/cmd/threadwall-lab/main.go
+++ b/cmd/threadwall-lab/main.go
@@ -1,5 +1,5 @@
-// Command threadwall-lab runs small stand-ins for engines, services and the
-// platform, and loads that check every answer.
+// Command threadwall-lab runs simulated engines, services and a simulated platform, generates
+// load that checks every response, and runs the project's measurements.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	defer stop()
 	app := &cli.Command{
 		Name:                  "threadwall-lab",
-		Usage:                 "stand-ins for what threadwall serves, and loads that check every answer",
+		Usage:                 "simulate engines, services and the platform, and generate load that checks every response",
 		EnableShellCompletion: true,
 		Commands:              []*cli.Command{demoCommand(), upCommand(), loadCommand(), yardstickCommand(), capacityCommand(), verifyCommand(), overheadCommand(), replayCommand(), spreadCommand(), plotsCommand(), soakCommand(), payoffCommand()},
 	}
@@ -41,14 +41,14 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run an example with several VMs in this process, under each policy, and print a table",
+		Usage: "run an example with several VMs in this process under each policy, and print a table",
 		Flags: []cli.Flag{
 			exampleFlag(),
 			&cli.StringSliceFlag{Name: "domain", Value: []string{"sala-heredia", "sala-cartago"}, Usage: "failure domains to run"},
 			&cli.StringSliceFlag{Name: "policy", Value: []string{"round-robin", "cost"}, Usage: "policies to compare"},
 			&cli.IntFlag{Name: "vms", Value: 2, Usage: "entry VMs in each domain"},
-			&cli.IntFlag{Name: "requests", Value: 2000, Usage: "requests under each policy"},
-			&cli.FloatFlag{Name: "rate", Value: 150, Usage: "requests a second"},
+			&cli.IntFlag{Name: "requests", Value: 2000, Usage: "requests per policy"},
+			&cli.FloatFlag{Name: "rate", Value: 150, Usage: "requests per second"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the workload"},
 			&cli.BoolFlag{Name: "json", Usage: "print one JSON object"},
 		},
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// demoOutput is the default policy's row, with all rows beside it.
+// demoOutput is the JSON output of the demo command: the fields of the last policy's row, and the
+// rows of all policies.
 type demoOutput struct {
 	lab.DemoRow
 	Policies []lab.DemoRow `json:"policies"`
@@ -109,13 +110,13 @@
 func upCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "up",
-		Usage: "start an example's stand-ins at the addresses of its lab/vms.json and run until interrupted",
+		Usage: "start an example's simulated VMs at the addresses in its lab/vms.json and run until interrupted",
 		Flags: []cli.Flag{
 			exampleFlag(), &cli.StringFlag{Name: "store", Value: "127.0.0.1:7000", Usage: "`ADDR` of the object API"},
-			&cli.StringSliceFlag{Name: "only", Usage: "start only these VMs of the example, or \"store\", so that each can be a process of its own"},
-			&cli.DurationFlag{Name: "token-every", Value: lab.DefaultEngine.TokenEvery, Usage: "time between an engine's tokens"},
-			&cli.IntFlag{Name: "slots", Value: lab.DefaultEngine.Slots, Usage: "answers that an engine generates at once"},
-			&cli.StringFlag{Name: "runs", Usage: "services append the key of each call that ran to `FILE`"},
+			&cli.StringSliceFlag{Name: "only", Usage: "start only these VMs of the example, or \"store\", so that each can run in a separate process"},
+			&cli.DurationFlag{Name: "token-every", Value: lab.DefaultEngine.TokenEvery, Usage: "time between two tokens of an engine's response"},
+			&cli.IntFlag{Name: "slots", Value: lab.DefaultEngine.Slots, Usage: "responses that an engine generates concurrently"},
+			&cli.StringFlag{Name: "runs", Usage: "`FILE` to which services append the key of each executed call"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ex, err := lab.ReadExample(c.String("example"))
@@ -140,21 +141,22 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "drive an example's workload against running VMs, check every answer and print the figures as JSON",
+		Usage: "run an example's workload against running VMs, check every response and print the results as JSON",
 		Flags: []cli.Flag{
 			exampleFlag(),
-			&cli.StringSliceFlag{Name: "entry", Required: true, Usage: "base `URL` of a VM's callers' interface"},
+			&cli.StringSliceFlag{Name: "entry", Required: true, Usage: "base `URL` of a VM's interface for callers"},
 			&cli.IntFlag{Name: "requests", Value: 1000},
 			&cli.FloatFlag{Name: "rate", Value: 100},
-			&cli.FloatFlag{Name: "bookings", Value: 0.2, Usage: "part of requests that are bookings"},
-			&cli.IntFlag{Name: "retries", Value: 10, Usage: "retries of a caller"},
+			&cli.FloatFlag{Name: "bookings", Value: 0.2, Usage: "fraction of requests that are bookings"},
+			&cli.IntFlag{Name: "retries", Value: 10, Usage: "maximum retries per request by a caller"},
 			&cli.Uint64Flag{Name: "seed", Value: 1},
 		},
 		Action: load,
 	}
 }
 
-// loadOutput is what the load command prints; keys allow to check the services.
+// loadOutput is the JSON output of the load command. It includes the keys of calls, which the
+// verify command checks against the calls that the services executed.
 type loadOutput struct {
 	*lab.Result
 	TTFT   lab.TTFT `json:"ttft_ms"`
@@ -180,19 +182,19 @@
 func verifyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "verify",
-		Usage: "check what callers were told against what services ran; fails if anything was lost, doubled or untrue",
+		Usage: "compare the responses that callers received with the calls that services executed; fail if a call was lost, executed twice or reported wrongly",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "load", Required: true, Usage: "output `FILE` of the load command"},
-			&cli.StringFlag{Name: "runs", Required: true, Usage: "`FILE` that services appended to"},
+			&cli.StringFlag{Name: "runs", Required: true, Usage: "`FILE` to which services appended the keys of executed calls"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			data, err := os.ReadFile(c.String("load"))
 			if err != nil {
-				return eris.Wrap(err, "read load")
+				return eris.Wrap(err, "read output of the load command")
 			}
 			var out loadOutput
 			if err := json.Unmarshal(data, &out); err != nil {
-				return eris.Wrap(err, "read load")
+				return eris.Wrap(err, "decode output of the load command")
 			}
 			runs, err := lab.ReadRuns(c.String("runs"))
 			if err != nil {
@@ -206,7 +208,7 @@
 				fmt.Println(" ", w)
 			}
 			if doubled+untrue+out.Lost > 0 {
-				return eris.New("a promise was broken")
+				return eris.New("verification failed: calls were lost, executed twice or reported wrongly")
 			}
 			return nil
 		},
--- a/cmd/threadwall-lab/measure.go
+++ b/cmd/threadwall-lab/measure.go
@@ -21,14 +21,14 @@
 func yardstickCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "yardstick",
-		Usage: "measure routing policies in virtual time; the same seed gives the same figures",
+		Usage: "measure routing policies in virtual time; the same seed gives the same results",
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1},
-			&cli.StringSliceFlag{Name: "workload", Usage: "only these workloads"},
-			&cli.BoolFlag{Name: "variants", Usage: "also the product's policy without some of its knowledge"},
-			&cli.BoolFlag{Name: "product-only", Usage: "leave the baselines out"},
-			&cli.BoolFlag{Name: "restarts", Usage: "instead, compare the seconds before and after restarts of all VMs"},
-			&cli.BoolFlag{Name: "overload", Usage: "instead, compare overload with and without admission"},
+			&cli.StringSliceFlag{Name: "workload", Usage: "run only these workloads"},
+			&cli.BoolFlag{Name: "variants", Usage: "also run the product's policy with some of its inputs disabled"},
+			&cli.BoolFlag{Name: "product-only", Usage: "omit the baseline policies"},
+			&cli.BoolFlag{Name: "restarts", Usage: "compare the seconds before and after restarts of all VMs instead"},
+			&cli.BoolFlag{Name: "overload", Usage: "compare overload with and without admission control instead"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("restarts") {
@@ -51,7 +51,7 @@
 	}
 }
 
-// runAll runs the product's policy on workloads.
+// runAll runs the product's policy on each workload.
 func runAll(workloads []yardstick.Workload) []*yardstick.Result {
 	var out []*yardstick.Result
 	for _, w := range workloads {
@@ -74,7 +74,7 @@
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure the slopes that docs/CAPACITY.md works with, and print them as JSON",
+		Usage: "measure the coefficients that docs/CAPACITY.md uses, and print them as JSON",
 		Action: func(context.Context, *cli.Command) error {
 			var out capacityOutput
 			for _, size := range [][2]int{{9, 10_000}, {153, 10_000}, {153, 100_000}, {600, 100_000}} {
@@ -94,7 +94,7 @@
 	}
 }
 
-// capacityOutput is what the capacity command prints.
+// capacityOutput is the JSON output of the capacity command.
 type capacityOutput struct {
 	Decide []capacity.DecideRow `json:"decide"`
 	News   []capacity.NewsRow   `json:"news"`
@@ -103,12 +103,12 @@
 func overheadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "overhead",
-		Usage: "measure the router's own cost beside a direct call to a stand-in, in one run",
+		Usage: "measure the overhead of the router compared with direct calls to a simulated engine",
 		Flags: []cli.Flag{
 			exampleFlag(),
 			&cli.StringFlag{Name: "direct", Usage: "base `URL` of a running engine; without it, everything runs in this process"},
 			&cli.StringFlag{Name: "routed", Usage: "base `URL` of a running VM"},
-			&cli.IntFlag{Name: "pid", Usage: "process `ID` of that VM"},
+			&cli.IntFlag{Name: "pid", Usage: "process `ID` of that VM's daemon"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.String("direct") != "" {
@@ -136,16 +136,16 @@
 func replayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "make recorded decisions again and name the first that comes out otherwise",
+		Usage:     "replay recorded routing decisions and report the first that differs",
 		ArgsUsage: "FILE, as written by: threadwall timeline --kind decision --last 10000 -o json",
 		Action: func(_ context.Context, c *cli.Command) error {
 			data, err := os.ReadFile(c.Args().First())
 			if err != nil {
-				return eris.Wrap(err, "read time line")
+				return eris.Wrap(err, "read timeline")
 			}
 			var events []timeline.Event
 			if err := json.Unmarshal(data, &events); err != nil {
-				return eris.Wrap(err, "read time line")
+				return eris.Wrap(err, "decode timeline")
 			}
 			n, err := replay(events)
 			fmt.Printf("%d decisions replayed\n", n)
@@ -154,7 +154,8 @@
 	}
 }
 
-// replay returns how many decisions came out the same, and the first divergence.
+// replay replays the decisions in events. It returns the number of decisions with the recorded
+// result, and an error at the first that differs. It skips decisions that can't be replayed.
 func replay(events []timeline.Event) (int, error) {
 	policies := map[string]*routing.Router{"cost": routing.NewCost()}
 	n := 0
@@ -174,7 +175,7 @@
 func spreadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "spread",
-		Usage: "measure how long changes of configuration take to be in force on all VMs of a domain",
+		Usage: "measure how long configuration changes take to be in force on all VMs of a domain",
 		Flags: []cli.Flag{exampleFlag(), &cli.IntFlag{Name: "vms", Value: 22}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ex, err := lab.ReadExample(c.String("example"))
@@ -193,11 +194,11 @@
 func plotsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "plots",
-		Usage: "measure and draw the plots of docs/plots",
+		Usage: "run the measurements and draw the plots of docs/plots",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "dir", Value: "docs/plots", Usage: "write SVG files to `DIR`"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if err := os.MkdirAll(c.String("dir"), 0o755); err != nil {
-				return eris.Wrap(err, "make directory")
+				return eris.Wrap(err, "create directory")
 			}
 			return capacity.Plots(c.String("dir"))
 		},
--- a/cmd/threadwall-lab/payoff.go
+++ b/cmd/threadwall-lab/payoff.go
@@ -11,16 +11,17 @@
 	"github.com/threadwall/threadwall/platform/journal"
 )
 
-// leastScores is the number of scores from which a site's are drawn: fewer make no line.
-const leastScores = 3
+// minScores is the minimum number of scores of a day for which plotScores draws a line;
+// fewer do not show a trend.
+const minScores = 3
 
 func payoffCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "payoff",
-		Usage: "print where worth is lost on each day, from the newest score of each site in the journal",
+		Usage: "print the causes of lost worth on each day, from the newest score of each site in the journal",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "journal", Value: "journal", Usage: "read the entries in `DIR`"},
-			&cli.StringFlag{Name: "page", Usage: "write the tables between the markers of `FILE` instead"},
+			&cli.StringFlag{Name: "page", Usage: "write the tables between the markers in `FILE` instead"},
 			&cli.StringFlag{Name: "plots", Usage: "also draw each site's scores over the entries, as SVG files in `DIR`"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -46,7 +47,7 @@
 	}
 }
 
-// plotScores draws the scores of each site that has enough of them.
+// plotScores draws the scores of each site with at least minScores scores on a day.
 func plotScores(dir string, scores []journal.Entry) error {
 	for _, newest := range journal.Newest(scores) {
 		lines := scoreLines(journal.Histories(scores, newest.Site))
@@ -60,11 +61,11 @@
 	return nil
 }
 
-// scoreLines returns a line for each day with enough scores.
+// scoreLines returns a line for each day with at least minScores scores.
 func scoreLines(histories []journal.History) []capacity.Line {
 	var lines []capacity.Line
 	for _, h := range histories {
-		if len(h.Scores) < leastScores {
+		if len(h.Scores) < minScores {
 			continue
 		}
 		line := capacity.Line{Name: h.Day}
--- a/cmd/threadwall-lab/soak.go
+++ b/cmd/threadwall-lab/soak.go
@@ -15,26 +15,26 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run threadwalld as processes under drawn faults and check its promises",
+		Usage: "run threadwalld processes under random faults and check their guarantees",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Usage: "the daemon: `FILE`", Value: "bin/threadwalld"},
-			&cli.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0: the time of day"},
-			&cli.IntFlag{Name: "seeds", Usage: "how many `N` seeds, one after the other", Value: 1},
-			&cli.IntFlag{Name: "vms", Usage: "entry VMs", Value: 4},
-			&cli.IntFlag{Name: "callers", Usage: "callers at a time", Value: 12},
-			&cli.DurationFlag{Name: "faults", Usage: "for how long faults are injected", Value: 15 * time.Second},
-			&cli.BoolFlag{Name: "keep", Usage: "leave logs in place also when all promises were kept"},
+			&cli.StringFlag{Name: "program", Usage: "executable `FILE` of the daemon", Value: "bin/threadwalld"},
+			&cli.Uint64Flag{Name: "seed", Usage: "first `SEED`; 0 uses the current time"},
+			&cli.IntFlag{Name: "seeds", Usage: "run `N` seeds, one after the other", Value: 1},
+			&cli.IntFlag{Name: "vms", Usage: "number of entry VMs", Value: 4},
+			&cli.IntFlag{Name: "callers", Usage: "number of concurrent callers", Value: 12},
+			&cli.DurationFlag{Name: "faults", Usage: "`DURATION` for which faults are injected", Value: 15 * time.Second},
+			&cli.BoolFlag{Name: "keep", Usage: "keep logs even if there were no violations"},
 		},
-		Action: soakRun,
+		Action: runSoak,
 	}
 }
 
-func soakRun(ctx context.Context, c *cli.Command) error {
+func runSoak(ctx context.Context, c *cli.Command) error {
 	seed := c.Uint64("seed")
 	if seed == 0 {
 		seed = uint64(time.Now().UnixNano())
 	}
-	broken := 0
+	failedSeeds := 0
 	for i := range c.Int("seeds") {
 		report, err := soak.Run(ctx, soak.Options{
 			Program: c.String("program"), Seed: seed + uint64(i), VMs: c.Int("vms"), Callers: c.Int("callers"),
@@ -47,13 +47,13 @@
 		if err != nil {
 			return eris.Wrap(err, "encode report")
 		}
-		_, _ = fmt.Fprintln(c.Root().Writer, string(line)) // as all commands print
+		_, _ = fmt.Fprintln(c.Root().Writer, string(line))
 		if len(report.Broken) > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return eris.Errorf("%d of %d seeds broke a promise", broken, c.Int("seeds"))
+	if failedSeeds > 0 {
+		return eris.Errorf("%d of %d seeds had violations", failedSeeds, c.Int("seeds"))
 	}
 	return nil
 }
--- a/cmd/threadwall/main.go
+++ b/cmd/threadwall/main.go
@@ -1,4 +1,5 @@
-// Command threadwall is the operators' and callers' command line.
+// Command threadwall is the command line for operators and callers: it applies and reads
+// configuration, shows the state of VMs and requests, records orders, and sends requests.
 package main
 
 import (
@@ -16,7 +17,7 @@
 func main() {
 	app := &cli.Command{
 		Name:                  "threadwall",
-		Usage:                 "declare templates and workspaces, and see what the router does",
+		Usage:                 "manage templates and workspaces, and inspect the router",
 		EnableShellCompletion: true,
 		Flags:                 common.Flags(),
 		Commands: []*cli.Command{
--- a/cmd/threadwalld/edge.go
+++ b/cmd/threadwalld/edge.go
@@ -16,16 +16,16 @@
 	"github.com/threadwall/threadwall/platform"
 )
 
-// heapShare is the part of the process's memory that the Go heap may take; the rest
-// is for stacks, sockets and what the runtime needs beside it.
-const heapShare = 0.6
+// heapFraction is the fraction of the configured memory that is set as the Go runtime's memory
+// limit. The rest is for stacks, sockets and other runtime overhead.
+const heapFraction = 0.6
 
-// runEdge runs the daemon of a VM that serves opaque requests. The settings at path are
-// read again at SIGHUP.
+// runEdge runs the daemon of a VM that serves opaque requests. On SIGHUP, the daemon reloads the
+// settings at path.
 func runEdge(s settings.Settings, path string) error {
-	debug.SetMemoryLimit(int64(float64(s.Edge.MemoryMB<<20) * heapShare))
+	debug.SetMemoryLimit(int64(float64(s.Edge.MemoryMB<<20) * heapFraction))
 	if d := s.Edge.TestSuspension.D(); d > 0 {
-		go suspendAtSignal(d)
+		go simulateSuspensions(d)
 	}
 	app := fx.New(
 		fx.NopLogger,
@@ -33,7 +33,7 @@
 			Adapter: platform.New(s), LogTo: os.Stdout, Hangup: hangup.Signals(),
 			Reload: func() (settings.Settings, error) { return settings.Load(path) },
 		}),
-		fx.StopTimeout(s.Edge.Grace.D()+stopMargin),
+		fx.StopTimeout(s.Edge.Grace.D()+shutdownMargin),
 		edge.Module,
 	)
 	if err := app.Err(); err != nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// suspendAtSignal lets the VM seem to have been suspended for d at each SIGUSR2.
-func suspendAtSignal(d time.Duration) {
+// simulateSuspensions simulates a suspension of the VM for d on each SIGUSR2. For tests.
+func simulateSuspensions(d time.Duration) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR2)
 	for range signals {
--- a/cmd/threadwalld/main.go
+++ b/cmd/threadwalld/main.go
@@ -1,4 +1,4 @@
-// Command threadwalld is threadwall's daemon on an entry VM.
+// Command threadwalld is the router daemon that runs on each entry VM.
 package main
 
 import (
@@ -15,18 +15,19 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// stopMargin is what a shutdown may take beyond notice and drain.
-const stopMargin = 15 * time.Second
+// shutdownMargin is the time that a shutdown may take in addition to the ready notice and drain
+// timeout, or to the grace period of an edge daemon.
+const shutdownMargin = 15 * time.Second
 
 func main() {
 	flag := &cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "read settings from `FILE` (JSON with comments)", Required: true}
 	app := &cli.Command{
 		Name:                  "threadwalld",
-		Usage:                 "route language-model traffic from an entry VM to engines and services",
+		Usage:                 "route LLM traffic from an entry VM to engines and services",
 		EnableShellCompletion: true,
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "run the daemon until SIGTERM or SIGINT", Flags: []cli.Flag{flag}, Action: run},
-			{Name: "check-config", Usage: "check a settings file and print it with all defaults", Flags: []cli.Flag{flag}, Action: check},
+			{Name: "check-config", Usage: "validate a settings file and print it with all defaults", Flags: []cli.Flag{flag}, Action: checkConfig},
 		},
 	}
 	if err := app.Run(context.Background(), os.Args); err != nil {
@@ -35,8 +36,8 @@
 	}
 }
 
-// gcPercent lets the heap grow to four times what is live before it is collected:
-// the daemon's live heap is small, and collections show in the tail of latencies.
+// gcPercent lets the heap grow to four times the live heap before a garbage collection. The
+// daemon's live heap is small, and collections increase tail latency.
 const gcPercent = 300
 
 func run(_ context.Context, c *cli.Command) error {
@@ -52,7 +53,7 @@
 	app := fx.New(
 		fx.NopLogger,
 		fx.Supply(s, daemon.Options{LogTo: os.Stderr}),
-		fx.StopTimeout(s.ReadyNotice.D()+s.DrainTimeout.D()+stopMargin),
+		fx.StopTimeout(s.ReadyNotice.D()+s.DrainTimeout.D()+shutdownMargin),
 		daemon.Module,
 	)
 	if err := app.Err(); err != nil {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-func check(_ context.Context, c *cli.Command) error {
+func checkConfig(_ context.Context, c *cli.Command) error {
 	s, err := settings.Load(c.String("settings"))
 	if err != nil {
 		return err
