--- a/internal/cli/commands/objects.go
+++ b/internal/cli/commands/objects.go
@@ -19,9 +19,8 @@
 	return &cli.Command{
 		Name:  "apply",
 		Usage: "apply documents, templates and workspaces from files",
-		Description: "The command validates all objects before it writes the first. Each write is conditional on the\n" +
-			"version that was read: if another writer changed an object in the meantime, the command fails\n" +
-			"and does not overwrite that change.",
+		Description: "All objects are validated before the first is written. A write succeeds only if the object still has\n" +
+			"the version that was read; otherwise the command fails and keeps the other writer's change.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "read objects from `PATH`, a file or a directory"},
 			&cli.BoolFlag{Name: "dry-run", Usage: "only print what would change"},
