--- a/internal/rollout/drain.go
+++ b/internal/rollout/drain.go
@@ -35,8 +35,8 @@
 	defer func() { r.Stats.DrainMs.Add(clock.Since(began).Milliseconds()) }()
 	r.announce(c.Target, "", false)
 	left, _ := r.Weights.Left(c.Model, has, began)
-	most := min(drainMax, time.Duration(float64(left)*drainFraction))
-	for clock.Since(began) < most && timing.Sleep(ctx, drainPollInterval) {
+	limit := min(drainMax, time.Duration(float64(left)*drainFraction))
+	for clock.Since(began) < limit && timing.Sleep(ctx, drainPollInterval) {
 		if clock.Since(began) >= drainMin && r.canCutOff(c.Target) {
 			return CutOff
 		}
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -56,13 +56,13 @@
 // logProgress logs the progress of a model's rollout if it has changed, with the limit of
 // engines out of service.
 func (r *Rollout) logProgress(m ids.Model, limit orders.MaxUnavailable, wait time.Duration) {
-	now, behind := r.Progress(clock.Now())[m]
+	p, behind := r.Progress(clock.Now())[m]
 	if !behind {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	line := loggedProgress{behind: now.Behind, down: now.Down}
+	line := loggedProgress{behind: p.Behind, down: p.Down}
 	if r.logged[m] == line {
 		return
 	}
@@ -71,7 +71,7 @@
 	}
 	r.logged[m] = line
 	r.Log.State("rollout").Str("model", string(m)).Str("weights", string(r.Weights.Newest(m))).
-		Int("behind", now.Behind).Int("down", now.Down).Int64("left_ms", now.Left.Milliseconds()).
+		Int("behind", p.Behind).Int("down", p.Down).Int64("left_ms", p.Left.Milliseconds()).
 		Int("one_in", limit.OneIn).Int("at_least", limit.AtLeast).Int64("order_ms", r.orderTime.mean(clock.Now(), wait).Milliseconds()).
 		Int64("wait_ms", wait.Milliseconds()).Send()
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -228,9 +228,9 @@
 	}
 }
 
-// lastServing reports whether a replica must keep accepting requests, since other replicas of
-// its model rest and none of them accepts requests, and there is time left for its order. If
-// so, the replica no longer counts as out of service.
+// lastServing reports whether a replica must keep accepting requests for now: another replica
+// of its model has asked for a rest, none of the others accepts requests, and there is time
+// to postpone the order. If so, the replica no longer counts as out of service.
 func (r *Rollout) lastServing(c *Command, has ids.WeightsVersion) bool {
 	if left, _ := r.Weights.Left(c.Model, has, clock.Now()); left <= latestStart {
 		return false
--- a/internal/rollout/send.go
+++ b/internal/rollout/send.go
@@ -87,7 +87,7 @@
 	return r.idleSince, r.inFlight == 0
 }
 
-// sendOrder sends the command while the lease holds.
+// sendOrder sends the command if this VM holds the lease for long enough.
 func (r *Rollout) sendOrder(ctx context.Context, c *Command, s State) error {
 	// The order counts as in transit before the check of the lease: a process that is
 	// suspended between the check and the send must not report on resuming that it is idle.
--- a/internal/rollout/unavailable.go
+++ b/internal/rollout/unavailable.go
@@ -109,11 +109,11 @@
 // 2.7 s, since concurrent loads slow each other down.
 func slotsNeeded(timesLeft []time.Duration, busy int, each, rest time.Duration) int {
 	slices.Sort(timesLeft)
-	most := 0
+	slots := 0
 	for i, left := range timesLeft {
 		window := left - latestStart // in which the update must start
 		if window < 0 {
-			most = busy + i + 1 // all of them must start now
+			slots = busy + i + 1 // all of them must start now
 			continue
 		}
 		need := i + 1 - busy*startsPerSlot(window-rest, each)
@@ -121,12 +121,12 @@
 			continue
 		}
 		if perSlot := startsPerSlot(window, each); perSlot > 1 {
-			most = max(most, busy+(need+perSlot-1)/perSlot)
+			slots = max(slots, busy+(need+perSlot-1)/perSlot)
 		} else {
-			most = max(most, (busy+need+1)/2)
+			slots = max(slots, (busy+need+1)/2)
 		}
 	}
-	return most
+	return slots
 }
 
 // startsPerSlot returns how many updates can start in one slot within a window of time if
