--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -228,23 +228,23 @@
 	return max(due.Sub(l.now()), 0), true
 }
 
-// write stores a record of this VM. The lease duration counts from began, which precedes
-// the read that the record builds on, so the write always takes effect later than that.
+// write stores a record of this VM. The lease duration counts from began, the time before
+// the first call to the store, so the write always takes effect later than that.
 func (l *Lease) write(ctx context.Context, began time.Time, rec Record, version objectapi.Revision) error {
 	rec.Holder, rec.Instance, rec.Duration = l.vm, l.instance, l.tuning.Duration
 	value, err := json.Marshal(rec)
 	if err != nil {
 		return eris.Wrap(err, "encode lease")
 	}
-	mine := func(stored []byte) bool {
+	isOwnWrite := func(stored []byte) bool {
 		var s Record
 		return json.Unmarshal(stored, &s) == nil && s.Instance == rec.Instance && s.Fence == rec.Fence && s.Renewal == rec.Renewal
 	}
 	var obj objectapi.Object
 	if version == 0 {
-		obj, err = objectapi.ResolveCreate(ctx, l.store, l.key, value, mine)
+		obj, err = objectapi.ResolveCreate(ctx, l.store, l.key, value, isOwnWrite)
 	} else {
-		obj, err = objectapi.ResolveUpdate(ctx, l.store, l.key, value, version, mine)
+		obj, err = objectapi.ResolveUpdate(ctx, l.store, l.key, value, version, isOwnWrite)
 	}
 	l.setInSync(err == nil)
 	if errors.Is(err, objectapi.ErrExists) || errors.Is(err, objectapi.ErrConflict) {
--- a/internal/lease/release_test.go
+++ b/internal/lease/release_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// hookedUpdates is a store that calls before and after around its next update.
+// hookedUpdates is a store that runs the hooks before and after around its next update.
 type hookedUpdates struct {
 	objectapi.Store
 	before, after func()
--- a/internal/lease/slow_test.go
+++ b/internal/lease/slow_test.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// slowGet is a store that calls before ahead of every read.
+// slowGet is a store that runs the hook before ahead of every read.
 type slowGet struct {
 	objectapi.Store
 	before func()
