--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -141,9 +141,9 @@
 // leadingNumber parses the number that a version begins with, up to 18 digits, and returns
 // the rest; n is -1 if the version does not begin with a digit.
 func leadingNumber(v ids.SoftwareVersion) (n int64, rest ids.SoftwareVersion) {
-	const mostDigits = 18
+	const maxDigits = 18
 	i := 0
-	for i < len(v) && i < mostDigits && v[i] >= '0' && v[i] <= '9' {
+	for i < len(v) && i < maxDigits && v[i] >= '0' && v[i] <= '9' {
 		n = n*10 + int64(v[i]-'0')
 		i++
 	}
--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -246,17 +246,17 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.services[r.Service]
-	if w == nil {
-		w = &serviceState{}
-		c.services[r.Service] = w
+	s := c.services[r.Service]
+	if s == nil {
+		s = &serviceState{}
+		c.services[r.Service] = s
 	}
-	f.StableGone = w.goneFor(r.Stable != "" && f.Versions[r.Stable] == 0, now)
+	f.StableGone = s.goneFor(r.Stable != "" && f.Versions[r.Stable] == 0, now)
 	if order == nil || r.Order != order.OrderID {
-		w.order = OrderID{}
+		s.order = OrderID{}
 		return f
 	}
-	f.Elapsed = w.orderElapsed(r, since, now)
+	f.Elapsed = s.orderElapsed(r, since, now)
 	l := c.ledgers[r.Service]
 	if l == nil || l.Order != r.Order {
 		l = NewLedger(r.Order, c.newJudge())
@@ -293,31 +293,31 @@
 
 // goneFor reports whether the targets of the version in service have been missing for
 // stableGoneTimeout.
-func (w *serviceState) goneFor(missing bool, now time.Time) bool {
+func (s *serviceState) goneFor(missing bool, now time.Time) bool {
 	switch {
 	case !missing:
-		w.stableGoneSince = time.Time{}
-	case w.stableGoneSince.IsZero():
-		w.stableGoneSince = now
+		s.stableGoneSince = time.Time{}
+	case s.stableGoneSince.IsZero():
+		s.stableGoneSince = now
 	}
-	return missing && now.Sub(w.stableGoneSince) >= stableGoneTimeout
+	return missing && now.Sub(s.stableGoneSince) >= stableGoneTimeout
 }
 
 // orderElapsed returns how much of the order's time has passed: the value in the record plus
-// the time since this VM received the record.
-func (w *serviceState) orderElapsed(r *Record, had time.Duration, now time.Time) time.Duration {
-	if w.order != r.Order {
-		w.order, w.elapsed, w.at = r.Order, r.Elapsed+had, now
+// the time since this VM applied the record.
+func (s *serviceState) orderElapsed(r *Record, sinceApplied time.Duration, now time.Time) time.Duration {
+	if s.order != r.Order {
+		s.order, s.elapsed, s.at = r.Order, r.Elapsed+sinceApplied, now
 	}
-	return w.elapsed + now.Sub(w.at)
+	return s.elapsed + now.Sub(s.at)
 }
 
 // logVerdict logs each change of the verdict on a canary.
 func (c *Controller) logVerdict(service string, r *Record, f *Facts) {
 	c.mu.Lock()
-	w := c.services[service]
-	changed := r.Canary != "" && w.loggedVerdict != f.Finding.Verdict
-	w.loggedVerdict = f.Finding.Verdict
+	s := c.services[service]
+	changed := r.Canary != "" && s.loggedVerdict != f.Finding.Verdict
+	s.loggedVerdict = f.Finding.Verdict
 	c.mu.Unlock()
 	if !changed {
 		return
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -75,7 +75,7 @@
 	changed map[cellKey]bool // since the last report
 }
 
-func (c *counts) add(route string, target ids.Target, canary bool, a CallResult) {
+func (c *counts) add(route string, target ids.Target, canary bool, result CallResult) {
 	key := cellKey{route: uint32(xxh3.HashString(route)), canary: canary}
 	if canary {
 		key.target = uint32(routing.HashTarget(target))
@@ -89,11 +89,11 @@
 		c.cells[key] = cell
 	}
 	cell.Calls++
-	if a.Failed {
+	if result.Failed {
 		cell.Failed++
 	}
-	if a.Took > 0 {
-		b := bucket(a.Took)
+	if result.Took > 0 {
+		b := bucket(result.Took)
 		for len(cell.Times) <= b {
 			cell.Times = append(cell.Times, 0)
 		}
@@ -149,7 +149,7 @@
 }
 
 // Merge adds a report of a VM. A higher incarnation means that the VM has restarted and counts
-// from zero again. Merge ignores reports on other orders and reports that a later one overtook.
+// from zero again. Merge ignores reports on other orders and reports that arrive after a later one.
 func (l *Ledger) Merge(vm ids.VM, incarnation int64, r *Report, now time.Time) {
 	if r.Order != l.Order {
 		return
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -133,9 +133,9 @@
 	Seed         uint64 // selects the calls that go to the canary
 }
 
-// Choices returns the versions that a call to a service may go to, in order of preference. in
-// returns the state of the target at an index of v.
-func (g *Gate) Choices(service string, v *routing.View, in func(i int) routing.State, d ChoiceParams) []routing.SoftwareChoice {
+// Choices returns the versions that a call to a service may go to, in order of preference.
+// stateOf returns the state of the target at an index of v.
+func (g *Gate) Choices(service string, v *routing.View, stateOf func(i int) routing.State, p ChoiceParams) []routing.SoftwareChoice {
 	g.mu.Lock()
 	s := g.services[service]
 	var r Record
@@ -143,7 +143,7 @@
 		r = s.record
 	}
 	g.mu.Unlock()
-	listed := count(service, v, in)
+	listed := count(service, v, stateOf)
 	stable := r.Stable
 	if stable == "" {
 		stable = listed.oldest(nil)
@@ -155,7 +155,7 @@
 	switch {
 	case r.Stage == Promoting:
 		return []routing.SoftwareChoice{{Version: r.Canary}}
-	case d.FirstAttempt && fraction(d.Seed) < r.Share:
+	case p.FirstAttempt && fraction(p.Seed) < r.Share:
 		return []routing.SoftwareChoice{canary, {Version: stable}}
 	case listed[stable] == 0:
 		return []routing.SoftwareChoice{{Version: stable}, canary}
@@ -173,10 +173,10 @@
 // versions holds the number of a service's targets that may take calls, by version.
 type versions map[ids.SoftwareVersion]int
 
-func count(service string, v *routing.View, in func(i int) routing.State) versions {
+func count(service string, v *routing.View, stateOf func(i int) routing.State) versions {
 	out := versions{}
 	for i := range v.Targets {
-		if t := &v.Targets[i]; t.Service == service && in(i) > routing.Leaving {
+		if t := &v.Targets[i]; t.Service == service && stateOf(i) > routing.Leaving {
 			out[t.Software]++
 		}
 	}
@@ -185,9 +185,9 @@
 
 // oldest returns the oldest version for which skip, if any, returns false; empty if there is
 // none.
-func (l versions) oldest(skip func(ids.SoftwareVersion) bool) ids.SoftwareVersion {
+func (vs versions) oldest(skip func(ids.SoftwareVersion) bool) ids.SoftwareVersion {
 	best, found := ids.SoftwareVersion(""), false
-	for v := range l {
+	for v := range vs {
 		if (skip == nil || !skip(v)) && (!found || Older(v, best)) {
 			best, found = v, true
 		}
@@ -197,13 +197,13 @@
 
 // stableOrFallback returns the version in service, followed by the oldest other version that
 // was not rolled back if the version in service has no target left.
-func (l versions) stableOrFallback(r *Record, stable ids.SoftwareVersion) []routing.SoftwareChoice {
+func (vs versions) stableOrFallback(r *Record, stable ids.SoftwareVersion) []routing.SoftwareChoice {
 	out := []routing.SoftwareChoice{{Version: stable}}
-	if l[stable] > 0 {
+	if vs[stable] > 0 {
 		return out
 	}
 	skip := func(v ids.SoftwareVersion) bool { return v == stable || r.barred(v) }
-	if v := l.oldest(skip); l[v] > 0 && !skip(v) {
+	if v := vs.oldest(skip); vs[v] > 0 && !skip(v) {
 		out = append(out, routing.SoftwareChoice{Version: v})
 	}
 	return out
@@ -237,32 +237,32 @@
 }
 
 // Release records that the call has left its target. Further calls have no effect.
-func (p *Admission) Release() {
-	if p == nil || p.released {
+func (a *Admission) Release() {
+	if a == nil || a.released {
 		return
 	}
-	p.released = true
-	p.gate.mu.Lock()
-	defer p.gate.mu.Unlock()
-	s := p.gate.service(p.service)
-	if s.calls[p.version]--; s.calls[p.version] == 0 {
-		delete(s.calls, p.version)
+	a.released = true
+	a.gate.mu.Lock()
+	defer a.gate.mu.Unlock()
+	s := a.gate.service(a.service)
+	if s.calls[a.version]--; s.calls[a.version] == 0 {
+		delete(s.calls, a.version)
 	}
 }
 
 // RecordResult counts the result of a call that its target answered, unless the order has
 // changed since Admit.
-func (p *Admission) RecordResult(route string, target ids.Target, a CallResult) {
-	if p == nil {
+func (a *Admission) RecordResult(route string, target ids.Target, result CallResult) {
+	if a == nil {
 		return
 	}
-	p.gate.mu.Lock()
-	defer p.gate.mu.Unlock()
-	s := p.gate.service(p.service)
-	if s.record.Canary == "" || s.record.Order != p.order {
+	a.gate.mu.Lock()
+	defer a.gate.mu.Unlock()
+	s := a.gate.service(a.service)
+	if s.record.Canary == "" || s.record.Order != a.order {
 		return
 	}
-	s.counts.add(route, target, p.canary, a)
+	s.counts.add(route, target, a.canary, result)
 }
 
 // Retiring reports whether a version is about to be stopped, so that no new work may start at
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -70,8 +70,8 @@
 	// maxPerTarget bounds the evidence of one target against its version, so that one broken
 	// target does not make its version bad.
 	maxPerTarget = badThreshold / 2.
-	// trimDivisor is the divisor that gives the number of targets to leave out of a sum, the
-	// worst ones first, for the same reason: one in four.
+	// trimDivisor sets how many targets are left out of a sum, the worst ones first, for the
+	// same reason: one in four.
 	trimDivisor = 4
 	// severalTargets is the number of targets from which more than one is loaded at a time.
 	severalTargets = 4
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -20,14 +20,16 @@
 	// maxProvingPart is the fraction of the order's time at which the tentative verdict ends
 	// the stage proving.
 	maxProvingPart = 0.50
-	// loadingPart is the length of the stage loading as a fraction of the order's time, for a
-	// share of loadingShare. In it a part of the targets gets the load it would have in service.
+	// loadingPart is the length of the stage loading, as a fraction of the order's time, if
+	// loadingShare of the calls goes to the canary. In this stage a part of the targets gets the
+	// load it would have in service.
 	loadingPart = 0.12
 	// loadingShare is the fraction of the calls that load the canary's targets.
 	loadingShare = 0.25
 	// minLoadedTargets is the minimum number of loaded targets if there are several.
 	minLoadedTargets = 2
-	// minLoadingTime is the time that reporting and judging the counts takes at least.
+	// minLoadingTime is the minimum length of the stage loading: reporting and judging the
+	// counts takes that long.
 	minLoadingTime = 800 * time.Millisecond
 	// maxLoadingFactor is the factor by which the stage loading is extended at most while the
 	// tentative verdict is bad.
@@ -212,7 +214,8 @@
 	return max(loadingShare, minLoadedTargets/float64(targets))
 }
 
-// loadingTime returns the length of the stage loading for a share of the calls.
+// loadingTime returns the length of the stage loading for a share of the calls: the larger the
+// share, the shorter the stage.
 func (b Bounds) loadingTime(share float64, within time.Duration) time.Duration {
 	part := min(loadingPart*loadingShare, b.Share*loadingBudget) / max(share, loadingShare)
 	return max(time.Duration(part*float64(within)), minLoadingTime)
