--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -30,7 +30,7 @@
 	Sent, Broke time.Time
 }
 
-// run is a send of a request.
+// run is a broken send with the request that the replica ran.
 type run struct {
 	Send
 	request Fingerprint
@@ -53,46 +53,46 @@
 
 // checkReplica starts a check of a run's replica, unless one is in progress. It does not wait
 // for the result.
-func (w *Detector) checkReplica(r run) {
+func (d *Detector) checkReplica(r run) {
 	name := ReplicaOf(r.Target, r.Incarnation)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.runs == nil {
-		w.runs = map[Replica][]run{}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.runs == nil {
+		d.runs = map[Replica][]run{}
 	}
-	_, checking := w.runs[name]
-	w.runs[name] = append(w.runs[name], r)
+	_, checking := d.runs[name]
+	d.runs[name] = append(d.runs[name], r)
 	if !checking {
-		go w.check(name, r)
+		go d.check(name, r)
 	}
 }
 
 // check checks a replica once for all runs that break there before the check ends.
-func (w *Detector) check(name Replica, r run) {
+func (d *Detector) check(name Replica, r run) {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
-	state := w.Check(ctx, r.Target, r.Addr)
-	w.mu.Lock()
-	runs := w.runs[name]
-	delete(w.runs, name)
-	w.mu.Unlock()
-	w.Ledger.Log.State("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
+	state := d.Check(ctx, r.Target, r.Addr)
+	d.mu.Lock()
+	runs := d.runs[name]
+	delete(d.runs, name)
+	d.mu.Unlock()
+	d.Ledger.Log.State("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
 		Str("state", state.String()).Int("broken_runs", len(runs)).Send()
 	if state == Ended {
-		w.recordCrash(runs)
+		d.recordCrash(runs)
 	}
 }
 
 // recordCrash records the crash of a replica under these runs.
-func (w *Detector) recordCrash(runs []run) {
-	w.Ledger.Crashes.Add(1)
+func (d *Detector) recordCrash(runs []run) {
+	d.Ledger.Crashes.Add(1)
 	findings := make([]Finding, 0, len(runs))
 	for i := range runs {
 		r := &runs[i]
-		w.Ledger.Log.Request("crashed-under", string(r.id)).Str("fingerprint", r.request.String()).Str("target", string(r.Target)).
+		d.Ledger.Log.Request("crashed-under", string(r.id)).Str("fingerprint", r.request.String()).Str("target", string(r.Target)).
 			Uint64("incarnation", uint64(r.Incarnation)).Int64("ran_ms", r.Broke.Sub(r.Sent).Milliseconds()).Send()
 		crash := Crash{Replica: ReplicaOf(r.Target, r.Incarnation), Sent: r.Sent, Ended: r.Broke}
 		findings = append(findings, Finding{Request: r.request, Crash: crash})
 	}
-	w.Ledger.Crashed(findings...)
+	d.Ledger.Crashed(findings...)
 }
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -15,8 +15,8 @@
 // refuse nothing.
 type Guard struct {
 	Detector *Detector
-	// Rank returns how many live VMs precede this one for a task, given by name, that one VM
-	// does for all. Nil means that this VM is the only one.
+	// Rank returns how many live VMs precede this one for a task that one VM does for all. name
+	// identifies the task. Nil means that this VM is the only one.
 	Rank func(name ids.Target) int
 }
 
@@ -59,7 +59,8 @@
 }
 
 // Refusal returns the refusal of a call whose request crashes replicas, or nil. Call it before
-// choosing a replica. first must be set before the first send of a call, which may be a trial.
+// choosing a replica. first must be set if the call has not been sent yet: only then may it be a
+// trial.
 //
 // The limits on retries apply within one call only: a crashing request that came under a new id
 // each time ended 48 replicas in six seconds without this check, and 3 to 10 with it.
@@ -78,8 +79,8 @@
 	if ledger.Empty() {
 		return nil
 	}
-	crashes, yes := ledger.Quarantined(c.Fingerprint())
-	if !yes || first && trial(ledger, c.Fingerprint(), c.rank()) {
+	crashes, quarantined := ledger.Quarantined(c.Fingerprint())
+	if !quarantined || first && trial(ledger, c.Fingerprint(), c.rank()) {
 		return nil
 	}
 	return outcome.New(outcome.NotRun, outcome.CodeQuarantined, Step, "",
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -67,8 +67,8 @@
 // Every request in progress on a crashing replica loses its run and is retried together with the
 // request that caused the crash. So a crash counts against one request only: the request that
 // first has enough crashes is taken for the cause of all its crashes, and the other requests are
-// judged by the rest. Of two requests with the same crashes Judge finds one. If it is the wrong
-// one, the next crash identifies the other, and a trial lifts the quarantine of the first.
+// judged by the remaining crashes. Of two requests with the same crashes Judge finds one. If it is
+// the wrong one, the next crash identifies the other, and a trial lifts the quarantine of the first.
 func Judge(cases []Case) []Fingerprint {
 	explained := map[Replica]bool{}
 	var open []Case
