--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -372,8 +372,9 @@
 	}
 }
 
-// unresponsive reports whether the target counts as unresponsive. The VM that probes a target sends a
-// report when the target stops answering, so that a hundred healthy targets cost no messages.
+// unresponsive reports whether the target counts as unresponsive. The VM that probes a target
+// sends a report when the target stops answering, so that a hundred healthy targets cost no
+// messages.
 func (m *target) unresponsive(tu Tuning, now time.Time) bool {
 	if m.unreachable || m.lostByPeers(now) || m.suspected(now) {
 		return true
@@ -395,13 +396,13 @@
 		}
 		return routing.Dead
 	}
-	silence := now.Sub(p.advancedAt)
+	sinceHeartbeat := now.Sub(p.advancedAt)
 	switch {
-	case silence > tu.DeadAfter || silence > tu.SuspectAfter && !p.listed:
+	case sinceHeartbeat > tu.DeadAfter || sinceHeartbeat > tu.SuspectAfter && !p.listed:
 		return routing.Dead
 	case p.leaving:
 		return routing.Leaving
-	case silence > tu.SuspectAfter:
+	case sinceHeartbeat > tu.SuspectAfter:
 		return routing.Suspect
 	default:
 		return routing.Live
--- a/internal/membership/signals.go
+++ b/internal/membership/signals.go
@@ -53,7 +53,8 @@
 	return change
 }
 
-// Declines reports whether a target takes nothing from this VM now, since it leaves or rests.
+// Declines reports whether a target takes nothing from this VM now, because it is
+// leaving or has asked for a rest.
 func (t *Table) Declines(id ids.Target, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
