--- a/internal/follow/clock.go
+++ b/internal/follow/clock.go
@@ -37,9 +37,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var last time.Time
-	for _, m := range c.samples {
-		if m.Revision != 0 && m.Revision < rev && m.Sent.After(last) {
-			last = m.Sent
+	for _, s := range c.samples {
+		if s.Revision != 0 && s.Revision < rev && s.Sent.After(last) {
+			last = s.Sent
 		}
 	}
 	return last
--- a/internal/follow/weights.go
+++ b/internal/follow/weights.go
@@ -249,7 +249,7 @@
 func (w *Weights) Left(m ids.Model, has ids.WeightsVersion, now time.Time) (left time.Duration, behind bool) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
-	number, _ := strconv.ParseUint(string(has), 10, 64) // no version counts as older than all
+	number, _ := strconv.ParseUint(string(has), 10, 64) // an empty version is parsed as zero: older than all
 	for _, n := range w.models[m] {
 		if n.number > number && n.valid(now) {
 			return w.within - now.Sub(n.at), true
