--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -154,16 +154,16 @@
 var simBounds = Bounds{Share: 0.1, Slack: 50}
 
 // simulate runs one rollout.
-func simulate(l scenario, w strategy, seed uint64) simResult {
+func simulate(s scenario, strat strategy, seed uint64) simResult {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	l.seed = int(seed)
-	order := &Order{OrderID: OrderID{Created: 1, Target: "v2"}, Service: "s", Within: l.within, HasStatus: true}
-	ledger := NewLedger(order.OrderID, w.judge())
-	versions := map[ids.SoftwareVersion]int{"v1": l.old, "v2": l.new}
-	step := w.next(simBounds, Record{Service: "s", Stable: "v1"}, Facts{Self: "a", Order: order, Versions: versions})
+	s.seed = int(seed)
+	order := &Order{OrderID: OrderID{Created: 1, Target: "v2"}, Service: "s", Within: s.within, HasStatus: true}
+	ledger := NewLedger(order.OrderID, strat.judge())
+	versions := map[ids.SoftwareVersion]int{"v1": s.old, "v2": s.new}
+	step := strat.next(simBounds, Record{Service: "s", Stable: "v1"}, Facts{Self: "a", Order: order, Versions: versions})
 	record, inForce := step.Record, step.Record
 	changedAt := time.Duration(0)
-	vms := make([]counts, l.vms)
+	vms := make([]counts, s.vms)
 	base := time.Unix(1_000_000, 0)
 	var out simResult
 	exposed, all := 0.0, 0.0
@@ -173,18 +173,18 @@
 		report Report
 	}
 	var inTransit []sent
-	for t := time.Duration(0); t < l.within; t += simStep {
+	for t := time.Duration(0); t < s.within; t += simStep {
 		if t-changedAt >= storeDelay {
 			inForce = record
 		}
-		for range draw.Poisson(rng, l.perSecond*simStep.Seconds()) {
+		for range draw.Poisson(rng, s.perSecond*simStep.Seconds()) {
 			all++
-			vm := &vms[rng.IntN(l.vms)]
+			vm := &vms[rng.IntN(s.vms)]
 			toCanary := inForce.Canary != "" && rng.Float64() < inForce.Share
 			if toCanary || out.end == Completed {
 				exposed++
 			}
-			a, target, route, answered := l.run(rng, t, toCanary, inForce)
+			a, target, route, answered := s.run(rng, t, toCanary, inForce)
 			if !answered {
 				continue
 			}
@@ -196,12 +196,12 @@
 			}
 		}
 		for i := range vms {
-			turn := time.Duration(i) * controllerStep / time.Duration(l.vms) / simStep * simStep
-			if (t-turn)%controllerStep != 0 {
+			offset := time.Duration(i) * controllerStep / time.Duration(s.vms) / simStep * simStep
+			if (t-offset)%controllerStep != 0 {
 				continue
 			}
-			r := Report{Service: "s", Order: order.OrderID, Cells: vms[i].export((t-turn)%fullReportInterval == 0)}
-			if rng.Float64() >= l.loss {
+			r := Report{Service: "s", Order: order.OrderID, Cells: vms[i].export((t-offset)%fullReportInterval == 0)}
+			if rng.Float64() >= s.loss {
 				inTransit = append(inTransit, sent{t + reportDelay, i, r})
 			}
 		}
@@ -217,9 +217,9 @@
 		}
 		f := Facts{
 			Self: "a", Order: order, Elapsed: t, Finding: ledger.Judge.Verdict(), Rate: ledger.Calls() / max(t.Seconds(), 0.1),
-			Versions: versions, Warm: l.new, Drained: record.Stage == Promoting && t-record.Entered >= drainTime,
+			Versions: versions, Warm: s.new, Drained: record.Stage == Promoting && t-record.Entered >= drainTime,
 		}
-		step = w.next(simBounds, record, f)
+		step = strat.next(simBounds, record, f)
 		if !step.Record.same(&record) {
 			record, changedAt = step.Record, t
 		}
@@ -228,39 +228,39 @@
 		}
 	}
 	if out.end == Running {
-		out.took = l.within
+		out.took = s.within
 	}
 	out.exposed = exposed / (simBounds.Share*all + simBounds.Slack)
 	return out
 }
 
 // run simulates one call.
-func (l *scenario) run(rng *rand.Rand, t time.Duration, toCanary bool, r Record) (a CallResult, target ids.Target, routeIndex int, answered bool) {
+func (s *scenario) run(rng *rand.Rand, t time.Duration, toCanary bool, r Record) (result CallResult, target ids.Target, routeIndex int, answered bool) {
 	x := rng.Float64()
-	for x -= l.routes[0].part; x > 0 && routeIndex < len(l.routes)-1; x -= l.routes[routeIndex].part {
+	for x -= s.routes[0].part; x > 0 && routeIndex < len(s.routes)-1; x -= s.routes[routeIndex].part {
 		routeIndex++
 	}
-	ro := l.routes[routeIndex]
+	ro := s.routes[routeIndex]
 	failed, took := ro.failed, float64(ro.took)*math.Exp(rng.NormFloat64()*ro.spread)
-	if l.slowdownOfBoth != nil {
-		took *= l.slowdownOfBoth(t)
+	if s.slowdownOfBoth != nil {
+		took *= s.slowdownOfBoth(t)
 	}
 	if toCanary {
-		n := max(int(math.Ceil(r.Part*float64(l.new))), 1)
+		n := max(int(math.Ceil(r.Part*float64(s.new))), 1)
 		i := rng.IntN(n)
 		target = ids.Target(fmt.Sprint("new", i))
-		m := moment{at: t, route: routeIndex, work: r.Share * float64(l.old) / float64(n)}
-		if l.failed != nil {
-			failed += (1 - failed) * l.failed(m)
+		m := moment{at: t, route: routeIndex, work: r.Share * float64(s.old) / float64(n)}
+		if s.failed != nil {
+			failed += (1 - failed) * s.failed(m)
 		}
-		if l.slower != nil {
-			took *= l.slower(m)
+		if s.slower != nil {
+			took *= s.slower(m)
 		}
-		if (i+l.seed)%l.new < l.faulty {
+		if (i+s.seed)%s.new < s.faulty {
 			failed += (1 - failed) * 0.3
 		}
-		if i < l.unresponsive {
-			return a, target, routeIndex, false
+		if i < s.unresponsive {
+			return result, target, routeIndex, false
 		}
 	}
 	if rng.Float64() < failed {
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -71,22 +71,22 @@
 }
 
 type simReplica struct {
-	name Replica
-	runs []*simRun
-	back time.Time // no runs before then
+	name        Replica
+	runs        []*simRun
+	availableAt time.Time // no runs before then
 }
 
 type simMessage struct {
-	to   int
-	from ids.VM
-	at   time.Time
-	what []Report
+	to      int
+	from    ids.VM
+	at      time.Time
+	reports []Report
 }
 
 type simFinding struct {
-	vm   int
-	at   time.Time
-	what []Finding
+	vm       int
+	at       time.Time
+	findings []Finding
 }
 
 type fleetSim struct {
@@ -248,7 +248,7 @@
 	}
 	var live []*simReplica
 	for _, rep := range f.replicas {
-		if !f.now.Before(rep.back) {
+		if !f.now.Before(rep.availableAt) {
 			live = append(live, rep)
 		}
 	}
@@ -300,7 +300,7 @@
 // end ends a replica. Its runs are retried at once, and their VMs detect the crash after
 // checkTime.
 func (f *fleetSim) end(rep *simReplica) {
-	if f.now.Before(rep.back) {
+	if f.now.Before(rep.availableAt) {
 		return
 	}
 	runs := rep.runs
@@ -314,7 +314,7 @@
 			f.findings = append(f.findings, simFinding{vm, f.now.Add(checkTime), byVM[vm]})
 		}
 	}
-	rep.name, rep.runs, rep.back = Replica(f.names), nil, f.now.Add(900*time.Millisecond)
+	rep.name, rep.runs, rep.availableAt = Replica(f.names), nil, f.now.Add(900*time.Millisecond)
 	for _, r := range runs {
 		again := *r
 		switch {
@@ -334,7 +334,7 @@
 			later = append(later, c)
 			continue
 		}
-		f.ledgers[c.vm].Crashed(c.what...)
+		f.ledgers[c.vm].Crashed(c.findings...)
 	}
 	f.findings = later
 	var waiting []simMessage
@@ -343,7 +343,7 @@
 			waiting = append(waiting, m)
 			continue
 		}
-		f.ledgers[m.to].Receive(m.from, m.what, f.tree)
+		f.ledgers[m.to].Receive(m.from, m.reports, f.tree)
 	}
 	f.messages = waiting
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -23,12 +23,12 @@
 const (
 	within         = 9 * time.Second  // how long old weights may be used
 	loadedWithin   = 14 * time.Second // after that, only few engines may still have them
-	beyond         = 4 * time.Second
+	loadGrace      = 4 * time.Second
 	loadTime       = 830 * time.Millisecond
 	reportLag      = 300 * time.Millisecond
 	reconcileEvery = 100 * time.Millisecond
 	leaseTerm      = 2200 * time.Millisecond
-	leaseAfter     = 2700 * time.Millisecond // WaitOut of the lease
+	leaseWaitOut   = 2700 * time.Millisecond
 	resendAfter    = 1500 * time.Millisecond // until a lost order is sent again
 	holderGap      = 7 * time.Second         // longest time without a lease holder seen in operation
 )
@@ -252,9 +252,9 @@
 }
 
 func (sim *simulation) newHolder(store objectapi.Store, vm ids.VM) *holder {
-	l := lease.New(store, "orders", vm, lease.Tuning{Duration: leaseTerm, Margin: 600 * time.Millisecond, WaitOut: leaseAfter}, nil)
+	l := lease.New(store, "orders", vm, lease.Tuning{Duration: leaseTerm, Margin: 600 * time.Millisecond, WaitOut: leaseWaitOut}, nil)
 	r := &Rollout{
-		VM: vm, Lease: l, Replicas: sim, Weights: sim, Client: sim, Targets: sim, ThrottleFor: within / 3, LoadGrace: beyond,
+		VM: vm, Lease: l, Replicas: sim, Weights: sim, Client: sim, Targets: sim, ThrottleFor: within / 3, LoadGrace: loadGrace,
 		OnOrder: sim.onOrder, OnGone: func(ids.Target, ids.Incarnation) {},
 	}
 	return &holder{lease: l, orders: newReconciler(r)}
