--- a/cmd/threadwall-lab/measure.go
+++ b/cmd/threadwall-lab/measure.go
@@ -81,7 +81,7 @@
 				out.Decide = append(out.Decide, capacity.Decide(size[0], size[1]))
 			}
 			for _, vms := range []int{2, 8, 22} {
-				row, err := capacity.News(capacity.NewsSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: 5 * time.Second})
+				row, err := capacity.MeasureUpdates(capacity.UpdatesSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: 5 * time.Second})
 				if err != nil {
 					return err
 				}
@@ -96,8 +96,8 @@
 
 // capacityOutput is what the capacity command prints.
 type capacityOutput struct {
-	Decide []capacity.DecideRow `json:"decide"`
-	News   []capacity.NewsRow   `json:"news"`
+	Decide []capacity.DecideRow  `json:"decide"`
+	News   []capacity.UpdatesRow `json:"news"`
 }
 
 func overheadCommand() *cli.Command {
--- a/cmd/threadwall-lab/soak.go
+++ b/cmd/threadwall-lab/soak.go
@@ -48,7 +48,7 @@
 			return eris.Wrap(err, "encode report")
 		}
 		_, _ = fmt.Fprintln(c.Root().Writer, string(line)) // as all commands print
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			broken++
 		}
 	}
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -50,7 +50,7 @@
 // DecideRow is the cost of a decision at one size.
 type DecideRow struct {
 	Replicas int     `json:"replicas"`
-	Beliefs  int     `json:"beliefs"`
+	Entries  int     `json:"beliefs"`
 	P50      float64 `json:"p50_us"`
 	P99      float64 `json:"p99_us"`
 	UpdateNS float64 `json:"update_ns"` // of one belief
@@ -81,7 +81,7 @@
 	}
 	update := time.Since(start)
 	return DecideRow{
-		Replicas: replicas, Beliefs: beliefs, P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
+		Replicas: replicas, Entries: beliefs, P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
 		UpdateNS: float64(update.Nanoseconds()) / decisions,
 	}
 }
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -28,24 +28,24 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// NewsSpec is one failure domain whose VMs tell each other news over real streams
+// UpdatesSpec is one failure domain whose VMs tell each other news over real streams
 // on loopback.
-type NewsSpec struct {
+type UpdatesSpec struct {
 	VMs, Targets int
 	Dispatches   float64 // fresh ones of a VM a second
 	Workspaces   int     // with demand, on each VM
 	Span         time.Duration
 }
 
-// NewsRow is what a VM spends on it.
-type NewsRow struct {
-	VMs       int     `json:"vms"`
-	BytesIn   float64 `json:"bytes_in_per_s"`
-	BytesOut  float64 `json:"bytes_out_per_s"`
-	Messages  float64 `json:"messages_out_per_s"`
-	CPU       float64 `json:"core_percent"` // of one core
-	HeapBytes float64 `json:"heap_bytes"`
-	Learned   float64 `json:"learned"` // part of the beliefs that peers hold
+// UpdatesRow is what a VM spends on it.
+type UpdatesRow struct {
+	VMs        int     `json:"vms"`
+	BytesIn    float64 `json:"bytes_in_per_s"`
+	BytesOut   float64 `json:"bytes_out_per_s"`
+	Messages   float64 `json:"messages_out_per_s"`
+	CPU        float64 `json:"core_percent"` // of one core
+	HeapBytes  float64 `json:"heap_bytes"`
+	Replicated float64 `json:"learned"` // part of the beliefs that peers hold
 }
 
 // newsSpan is how long news is counted.
@@ -54,8 +54,8 @@
 // warmUp lets connections come up before anything is counted.
 const warmUp = 1500 * time.Millisecond
 
-// News measures a domain. CPU and heap are those of the whole process, shared out.
-func News(spec NewsSpec) (NewsRow, error) {
+// MeasureUpdates measures a domain. CPU and heap are those of the whole process, shared out.
+func MeasureUpdates(spec UpdatesSpec) (UpdatesRow, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var nodes []*peers.Node
@@ -67,7 +67,7 @@
 	for i := range spec.VMs {
 		n, srv, addr, err := newsNode(fmt.Sprintf("entry-domain-%02d", i))
 		if err != nil {
-			return NewsRow{}, err
+			return UpdatesRow{}, err
 		}
 		nodes, servers = append(nodes, n), append(servers, srv)
 		records = append(records, platform.Record{ID: string(n.VM), Role: platform.RoleEntry, State: platform.StateLive, FailureDomain: "fd", PeerAddr: addr})
@@ -121,7 +121,7 @@
 
 // drive does what the daemon's gossip duty does, with dispatches and demand at
 // the given rates. It returns how many beliefs it made.
-func drive(ctx context.Context, n *peers.Node, i int, spec NewsSpec) int {
+func drive(ctx context.Context, n *peers.Node, i int, spec UpdatesSpec) int {
 	const heartbeat, news = time.Second, 250 * time.Millisecond
 	last, made, debt := time.Time{}, 0, 0.0
 	workspaces := make([]ids.Workspace, spec.Workspaces)
@@ -174,7 +174,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func newsRow(spec NewsSpec, nodes []*peers.Node, told []int, before, after counts, cpu time.Duration) NewsRow {
+func newsRow(spec UpdatesSpec, nodes []*peers.Node, told []int, before, after counts, cpu time.Duration) UpdatesRow {
 	per := float64(len(nodes)) * spec.Span.Seconds()
 	runtime.GC()
 	var mem runtime.MemStats
@@ -184,9 +184,9 @@
 		made += told[i] * len(nodes)
 		held += len(n.Fleet.Cache.Entries(1 << 20))
 	}
-	return NewsRow{
+	return UpdatesRow{
 		VMs: len(nodes), BytesIn: float64(after.in-before.in) / per, BytesOut: float64(after.out-before.out) / per,
 		Messages: float64(after.messages-before.messages) / per, CPU: 100 * cpu.Seconds() / per,
-		HeapBytes: float64(mem.HeapAlloc) / float64(len(nodes)), Learned: float64(held) / float64(max(made, 1)),
+		HeapBytes: float64(mem.HeapAlloc) / float64(len(nodes)), Replicated: float64(held) / float64(max(made, 1)),
 	}
 }
--- a/internal/capacity/plots.go
+++ b/internal/capacity/plots.go
@@ -138,7 +138,7 @@
 		decide = append(decide, Point{X: float64(replicas), Y: Decide(replicas, 100_000).P50})
 	}
 	for _, vms := range []int{2, 8, 15, 22} {
-		row, err := News(NewsSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: newsSpan})
+		row, err := MeasureUpdates(UpdatesSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: newsSpan})
 		if err != nil {
 			return err
 		}
--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -10,7 +10,7 @@
 )
 
 // next decides the only waiting store call, after the pauses before it.
-func next(t *testing.T, s *storetest.Store, f storetest.Fate) {
+func next(t *testing.T, s *storetest.Store, f storetest.Outcome) {
 	t.Helper()
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -18,7 +18,7 @@
 	if len(w) != 1 {
 		t.Fatalf("%d store calls wait, want 1", len(w))
 	}
-	s.Decide(w[0], f)
+	s.Resolve(w[0], f)
 	synctest.Wait()
 }
 
--- a/internal/claims/fuzz_test.go
+++ b/internal/claims/fuzz_test.go
@@ -38,7 +38,7 @@
 	store    *storetest.Store
 	runs     map[string]int
 	tries    []*try
-	weather  storetest.Weather
+	weather  storetest.FaultProfile
 	crashes  bool
 	maxTries int
 }
@@ -47,7 +47,7 @@
 // the outcome of the dispatch.
 func (m *model) start(vm int, key string, end outcome.Outcome) *try {
 	x := &try{key: key}
-	store := m.store.As(len(m.tries))
+	store := m.store.ForActor(len(m.tries))
 	m.tries = append(m.tries, x)
 	settler := NewSettler(store)
 	l := NewLedger(store, ids.VM(fmt.Sprint("vm", vm)), settler, nil)
@@ -105,7 +105,7 @@
 	storetest.Check(t, func(rt *rapid.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
 		defer m.store.Drain()
-		m.weather = storetest.DrawWeather(rt)
+		m.weather = storetest.DrawFaultProfile(rt)
 		m.maxTries = rapid.SampledFrom([]int{1, 2, 3, 20}).Draw(rt, "tries")
 		m.crashes = rapid.Bool().Draw(rt, "crashes")
 		steps := rapid.IntRange(10, 120).Draw(rt, "steps")
@@ -134,15 +134,15 @@
 			m.tries[rapid.IntRange(0, len(m.tries)-1).Draw(rt, "crash")].crashed.Store(true)
 		}
 	case 4, 5:
-		if n := m.store.Late(); n > 0 {
-			m.store.Land(rapid.IntRange(0, n-1).Draw(rt, "lands"))
+		if n := m.store.DelayedWrites(); n > 0 {
+			m.store.ApplyDelayed(rapid.IntRange(0, n-1).Draw(rt, "lands"))
 		}
 	case 6, 7:
 		time.Sleep(time.Second) // read-backs pause before they go on
 	default:
 		if len(waiting) > 0 {
 			c := waiting[rapid.IntRange(0, len(waiting)-1).Draw(rt, "call")]
-			m.store.Decide(c, m.weather.Draw(rt))
+			m.store.Resolve(c, m.weather.Draw(rt))
 		}
 	}
 }
--- a/internal/claims/settler_test.go
+++ b/internal/claims/settler_test.go
@@ -13,7 +13,7 @@
 func TestSettlementInProgressIsPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := storetest.New()
-		s := NewSettler(store.As(0))
+		s := NewSettler(store.ForActor(0))
 		ctx, cancel := context.WithCancel(t.Context())
 		go s.Run(ctx)
 		s.put(settlement{key: "k", record: Record{Attempt: "a"}, version: 1, state: StateRan})
--- a/internal/lease/fuzz_test.go
+++ b/internal/lease/fuzz_test.go
@@ -31,7 +31,7 @@
 // the result of every store call. Actions take up to WaitOut.
 type model struct {
 	store   *storetest.Store
-	weather storetest.Weather
+	weather storetest.FaultProfile
 	leases  []*Lease
 	busy    []atomic.Bool
 	actions []action
@@ -63,9 +63,9 @@
 // that fencing numbers increase with time.
 func TestOneHolder(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
-		m := &model{store: storetest.New(), weather: storetest.DrawWeather(rt), busy: make([]atomic.Bool, vms)}
+		m := &model{store: storetest.New(), weather: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
 		for i := range vms {
-			m.leases = append(m.leases, New(m.store.As(i), "orders", ids.VM(fmt.Sprint("vm", i)), DefaultTuning, nil))
+			m.leases = append(m.leases, New(m.store.ForActor(i), "orders", ids.VM(fmt.Sprint("vm", i)), DefaultTuning, nil))
 		}
 		defer m.store.Drain()
 		for range rapid.IntRange(20, 200).Draw(rt, "steps") {
@@ -86,12 +86,12 @@
 	case 4:
 		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 3, 7, 11, 21}).Draw(rt, "seconds")) * time.Second)
 	case 5:
-		if n := m.store.Late(); n > 0 {
-			m.store.Land(rapid.IntRange(0, n-1).Draw(rt, "lands"))
+		if n := m.store.DelayedWrites(); n > 0 {
+			m.store.ApplyDelayed(rapid.IntRange(0, n-1).Draw(rt, "lands"))
 		}
 	default:
 		if w := m.store.Waiting(); len(w) > 0 {
-			m.store.Decide(w[rapid.IntRange(0, len(w)-1).Draw(rt, "call")], m.weather.Draw(rt))
+			m.store.Resolve(w[rapid.IntRange(0, len(w)-1).Draw(rt, "call")], m.weather.Draw(rt))
 		}
 	}
 }
--- a/internal/lease/notice_test.go
+++ b/internal/lease/notice_test.go
@@ -24,9 +24,9 @@
 // numbers must be at least HandoverDelay apart.
 func TestOneHolderWithNotices(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
-		m := &model{store: storetest.New(), weather: storetest.DrawWeather(rt), busy: make([]atomic.Bool, vms)}
+		m := &model{store: storetest.New(), weather: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
 		for i := range vms {
-			m.leases = append(m.leases, New(m.store.As(i), "orders", ids.VM(fmt.Sprint("vm", i)), noticeTuning, nil))
+			m.leases = append(m.leases, New(m.store.ForActor(i), "orders", ids.VM(fmt.Sprint("vm", i)), noticeTuning, nil))
 		}
 		defer m.store.Drain()
 		var notices []Notice
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -197,7 +197,7 @@
 
 // onProxy brings a drawn fault of a path about.
 func (w *world) onProxy(p *Proxy, rng *rand.Rand, longest time.Duration) {
-	p.Set([]Fault{Delay, Silence, NoReply, Refuse}[rng.IntN(4)])
+	p.Set([]Fault{Delay, Blackhole, NoReply, Refuse}[rng.IntN(4)])
 	sleep(rng, longest)
 	p.Set(Pass)
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,11 +13,11 @@
 
 // The faults.
 const (
-	Pass    Fault = iota
-	Delay         // each piece of data comes later
-	Silence       // nothing passes either way; new connections are taken in and hang
-	NoReply       // what the client sends passes, nothing comes back
-	Refuse        // new connections are reset at once
+	Pass      Fault = iota
+	Delay           // each piece of data comes later
+	Blackhole       // nothing passes either way; new connections are taken in and hang
+	NoReply         // what the client sends passes, nothing comes back
+	Refuse          // new connections are reset at once
 )
 
 // delayTime is how much later data comes under Delay.
@@ -144,7 +144,7 @@
 func (p *Proxy) hold(reply bool) {
 	for {
 		switch f := Fault(p.fault.Load()); {
-		case f == Silence, f == NoReply && reply:
+		case f == Blackhole, f == NoReply && reply:
 			time.Sleep(pollEvery)
 		case f == Delay:
 			time.Sleep(delayTime)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -27,13 +27,13 @@
 
 // Report is what a soak found.
 type Report struct {
-	Seed   uint64         `json:"seed"`
-	Calls  int            `json:"calls"`
-	Served int            `json:"served"`
-	Runs   int            `json:"runs"`
-	Faults map[string]int `json:"faults"`
-	Broken []string       `json:"broken,omitempty"` // promises
-	Logs   []string       `json:"logs,omitempty"`   // left in place
+	Seed       uint64         `json:"seed"`
+	Calls      int            `json:"calls"`
+	Served     int            `json:"served"`
+	Runs       int            `json:"runs"`
+	Faults     map[string]int `json:"faults"`
+	Violations []string       `json:"broken,omitempty"` // promises
+	Logs       []string       `json:"logs,omitempty"`   // left in place
 }
 
 // Bounds of the time after the last fault.
@@ -78,7 +78,7 @@
 	stop()
 	c.wg.Wait()
 	w.judge(c.all(), &report)
-	if len(report.Broken) > 0 || o.Keep {
+	if len(report.Violations) > 0 || o.Keep {
 		report.Logs = w.logs()
 		return report, nil
 	}
@@ -96,10 +96,10 @@
 // aftermath waits until all is well again, and notes what is not.
 func (w *world) aftermath(r *Report) {
 	if !await(recoverTime, w.readyAll) {
-		r.Broken = append(r.Broken, "not all VMs are ready again after the last fault")
+		r.Violations = append(r.Violations, "not all VMs are ready again after the last fault")
 	}
 	if !await(settleTime, w.settled) {
-		r.Broken = append(r.Broken, "not all engines have the newest weights")
+		r.Violations = append(r.Violations, "not all engines have the newest weights")
 	}
 	time.Sleep(contact) // from now on nothing may go wrong
 }
@@ -111,5 +111,5 @@
 			r.Served++
 		}
 	}
-	r.Broken = append(r.Broken, w.check(calls)...)
+	r.Violations = append(r.Violations, w.check(calls)...)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -45,8 +45,8 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", r.seed, err)
 		}
-		if len(report.Broken) > 0 {
-			t.Errorf("seed %d (%s): %v, logs %v", r.seed, r.cause, report.Broken, report.Logs)
+		if len(report.Violations) > 0 {
+			t.Errorf("seed %d (%s): %v, logs %v", r.seed, r.cause, report.Violations, report.Logs)
 		}
 		if report.Served == 0 {
 			t.Errorf("seed %d: no call was served", r.seed)
--- a/internal/storetest/storetest.go
+++ b/internal/storetest/storetest.go
@@ -19,37 +19,37 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Fate is what becomes of a call.
-type Fate int
+// Outcome is what becomes of a call.
+type Outcome int
 
 // The fates. Reads know only Normal and Refused.
 const (
-	Normal     Fate = iota
-	Refused         // not applied, and the caller knows
-	LostAnswer      // applied, the caller does not know
-	LostWrite       // not applied, the caller does not know
-	Delayed         // applied later by Land, the caller does not know
+	Normal       Outcome = iota
+	Refused              // not applied, and the caller knows
+	LostResponse         // applied, the caller does not know
+	LostWrite            // not applied, the caller does not know
+	Delayed              // applied later by Land, the caller does not know
 )
 
-// Weather is how the store behaves in one drawn case.
-type Weather struct {
+// FaultProfile is how the store behaves in one drawn case.
+type FaultProfile struct {
 	good int // of ten calls
-	bad  []Fate
+	bad  []Outcome
 }
 
-// DrawWeather draws the behaviour of a case: how much goes wrong, and whether all
+// DrawFaultProfile draws the behaviour of a case: how much goes wrong, and whether all
 // kinds of trouble come together or one alone, which drives code far down a path.
-func DrawWeather(rt *rapid.T) Weather {
-	return Weather{
+func DrawFaultProfile(rt *rapid.T) FaultProfile {
+	return FaultProfile{
 		good: rapid.SampledFrom([]int{2, 4, 6, 9}).Draw(rt, "good of ten"),
-		bad: rapid.SampledFrom([][]Fate{
-			{Refused, LostAnswer, LostWrite, Delayed}, {Delayed}, {Delayed, Refused}, {LostAnswer}, {LostWrite},
+		bad: rapid.SampledFrom([][]Outcome{
+			{Refused, LostResponse, LostWrite, Delayed}, {Delayed}, {Delayed, Refused}, {LostResponse}, {LostWrite},
 		}).Draw(rt, "trouble"),
 	}
 }
 
 // Draw draws what becomes of a call.
-func (w Weather) Draw(rt *rapid.T) Fate {
+func (w FaultProfile) Draw(rt *rapid.T) Outcome {
 	if rapid.IntRange(0, 9).Draw(rt, "goes well") < w.good {
 		return Normal
 	}
@@ -59,7 +59,7 @@
 // Call is one waiting call.
 type Call struct {
 	Actor int
-	fate  chan Fate
+	fate  chan Outcome
 }
 
 // Store hands its calls to the test. Use New, and As for each actor.
@@ -81,8 +81,8 @@
 	return slices.SortedStableFunc(slices.Values(s.waiting), func(a, b *Call) int { return a.Actor - b.Actor })
 }
 
-// As returns the store as one actor uses it. An actor makes one call at a time.
-func (s *Store) As(actor int) objectapi.Store { return &view{Store: s, actor: actor} }
+// ForActor returns the store as one actor uses it. An actor makes one call at a time.
+func (s *Store) ForActor(actor int) objectapi.Store { return &view{Store: s, actor: actor} }
 
 // view is the store of one actor.
 type view struct {
@@ -90,8 +90,8 @@
 	actor int
 }
 
-// Decide lets one waiting call go on.
-func (s *Store) Decide(c *Call, f Fate) {
+// Resolve lets one waiting call go on.
+func (s *Store) Resolve(c *Call, f Outcome) {
 	s.mu.Lock()
 	for i, w := range s.waiting {
 		if w == c {
@@ -103,15 +103,15 @@
 	c.fate <- f
 }
 
-// Late returns how many delayed writes are still under way.
-func (s *Store) Late() int {
+// DelayedWrites returns how many delayed writes are still under way.
+func (s *Store) DelayedWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.late)
 }
 
-// Land applies a delayed write.
-func (s *Store) Land(i int) {
+// ApplyDelayed applies a delayed write.
+func (s *Store) ApplyDelayed(i int) {
 	s.mu.Lock()
 	f := s.late[i]
 	s.late = append(s.late[:i], s.late[i+1:]...)
@@ -126,8 +126,8 @@
 // writes land when nothing else is left to do.
 func (s *Store) Drain() {
 	s.drain()
-	for s.Late() > 0 {
-		s.Land(0)
+	for s.DelayedWrites() > 0 {
+		s.ApplyDelayed(0)
 	}
 	s.drain()
 }
@@ -136,7 +136,7 @@
 	for idle := 0; idle < idleSeconds; {
 		synctest.Wait()
 		if w := s.Waiting(); len(w) > 0 {
-			s.Decide(w[0], Normal)
+			s.Resolve(w[0], Normal)
 			idle = 0
 			continue
 		}
@@ -145,10 +145,10 @@
 	}
 }
 
-func (v *view) wait() Fate {
+func (v *view) wait() Outcome {
 	s := v.Store
 	s.mu.Lock()
-	c := &Call{Actor: v.actor, fate: make(chan Fate)}
+	c := &Call{Actor: v.actor, fate: make(chan Outcome)}
 	s.waiting = append(s.waiting, c)
 	s.mu.Unlock()
 	return <-c.fate
@@ -159,7 +159,7 @@
 	switch v.wait() {
 	case Refused:
 		return 0, objectapi.ErrUnavailable
-	case LostAnswer:
+	case LostResponse:
 		_, _ = do()
 		return 0, objectapi.ErrAmbiguous
 	case LostWrite:
