--- a/internal/storetest/storetest.go
+++ b/internal/storetest/storetest.go
@@ -1,7 +1,7 @@
-// Package storetest lets a test decide the order and the fate of every call that
-// concurrent code makes at the object API. It is scaffolding for stateful fuzzing
-// in a testing/synctest bubble: when all goroutines are blocked, the test picks
-// one waiting call and what becomes of it.
+// Package storetest lets a test control the order and the outcome of every object API
+// call that concurrent code makes. It supports stateful fuzzing in a testing/synctest
+// bubble: when all goroutines are blocked, the test picks one waiting call and its
+// outcome.
 package storetest
 
 import (
@@ -19,61 +19,62 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Outcome is what becomes of a call.
+// Outcome is the result of an object API call.
 type Outcome int
 
-// The fates. Reads know only Normal and Refused.
+// Outcomes of a call. A read fails with ErrUnavailable under all of them but Normal.
 const (
 	Normal       Outcome = iota
-	Refused              // not applied, and the caller knows
-	LostResponse         // applied, the caller does not know
-	LostWrite            // not applied, the caller does not know
-	Delayed              // applied later by Land, the caller does not know
+	Refused              // not applied; the caller gets ErrUnavailable
+	LostResponse         // applied; the caller gets ErrAmbiguous
+	LostWrite            // not applied; the caller gets ErrAmbiguous
+	Delayed              // applied later by ApplyDelayed; the caller gets ErrAmbiguous
 )
 
-// FaultProfile is how the store behaves in one drawn case.
+// FaultProfile sets how often calls fail in one drawn case, and with which outcomes.
 type FaultProfile struct {
-	good int // of ten calls
-	bad  []Outcome
+	normalOfTen int // calls of ten that end with Normal
+	faults      []Outcome
 }
 
-// DrawFaultProfile draws the behaviour of a case: how much goes wrong, and whether all
-// kinds of trouble come together or one alone, which drives code far down a path.
+// DrawFaultProfile draws the fault rate of a case and its kinds of faults. A case with a
+// single kind of fault drives the code further down one path than a mix does.
 func DrawFaultProfile(rt *rapid.T) FaultProfile {
 	return FaultProfile{
-		good: rapid.SampledFrom([]int{2, 4, 6, 9}).Draw(rt, "good of ten"),
-		bad: rapid.SampledFrom([][]Outcome{
+		normalOfTen: rapid.SampledFrom([]int{2, 4, 6, 9}).Draw(rt, "normal calls of ten"),
+		faults: rapid.SampledFrom([][]Outcome{
 			{Refused, LostResponse, LostWrite, Delayed}, {Delayed}, {Delayed, Refused}, {LostResponse}, {LostWrite},
 		}).Draw(rt, "trouble"),
 	}
 }
 
-// Draw draws what becomes of a call.
-func (w FaultProfile) Draw(rt *rapid.T) Outcome {
-	if rapid.IntRange(0, 9).Draw(rt, "goes well") < w.good {
+// Draw draws the outcome of a call.
+func (p FaultProfile) Draw(rt *rapid.T) Outcome {
+	if rapid.IntRange(0, 9).Draw(rt, "normal call") < p.normalOfTen {
 		return Normal
 	}
-	return rapid.SampledFrom(w.bad).Draw(rt, "fate")
+	return rapid.SampledFrom(p.faults).Draw(rt, "fate")
 }
 
-// Call is one waiting call.
+// Call is a call that waits for its outcome.
 type Call struct {
-	Actor int
-	fate  chan Outcome
+	Actor   int
+	outcome chan Outcome
 }
 
-// Store hands its calls to the test. Use New, and As for each actor.
+// Store holds each call until the test resolves it. Create it with New and use ForActor for
+// each actor.
 type Store struct {
 	objectapi.Store
 	mu      sync.Mutex
 	waiting []*Call
-	late    []func()
+	delayed []func()
 }
 
-// New returns a store over a memory.
+// New returns a store backed by memory.
 func New() *Store { return &Store{Store: objectapi.NewMemory()} }
 
-// Waiting returns the calls that wait for their fate, by actor: the order does
+// Waiting returns the calls that wait for their outcome, sorted by actor. The order does
 // not depend on the scheduler, so a drawn case is the same on every run.
 func (s *Store) Waiting() []*Call {
 	s.mu.Lock()
@@ -81,17 +82,17 @@
 	return slices.SortedStableFunc(slices.Values(s.waiting), func(a, b *Call) int { return a.Actor - b.Actor })
 }
 
-// ForActor returns the store as one actor uses it. An actor makes one call at a time.
-func (s *Store) ForActor(actor int) objectapi.Store { return &view{Store: s, actor: actor} }
+// ForActor returns the store for one actor. An actor must make one call at a time.
+func (s *Store) ForActor(actor int) objectapi.Store { return &actorStore{Store: s, actor: actor} }
 
-// view is the store of one actor.
-type view struct {
+// actorStore is the store of one actor.
+type actorStore struct {
 	*Store
 	actor int
 }
 
-// Resolve lets one waiting call go on.
-func (s *Store) Resolve(c *Call, f Outcome) {
+// Resolve ends one waiting call with the given outcome.
+func (s *Store) Resolve(c *Call, o Outcome) {
 	s.mu.Lock()
 	for i, w := range s.waiting {
 		if w == c {
@@ -100,30 +101,30 @@
 		}
 	}
 	s.mu.Unlock()
-	c.fate <- f
+	c.outcome <- o
 }
 
-// DelayedWrites returns how many delayed writes are still under way.
+// DelayedWrites returns how many delayed writes are not applied yet.
 func (s *Store) DelayedWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.late)
+	return len(s.delayed)
 }
 
-// ApplyDelayed applies a delayed write.
+// ApplyDelayed applies the i-th delayed write, with i less than DelayedWrites.
 func (s *Store) ApplyDelayed(i int) {
 	s.mu.Lock()
-	f := s.late[i]
-	s.late = append(s.late[:i], s.late[i+1:]...)
+	f := s.delayed[i]
+	s.delayed = append(s.delayed[:i], s.delayed[i+1:]...)
 	s.mu.Unlock()
 	f()
 }
 
-// idleSeconds of virtual time without a call mean that nothing is left to do.
+// idleSeconds is the virtual time without a call after which Drain takes all work as done.
 const idleSeconds = 3
 
-// Drain lets everything that is left go well, one call after another; delayed
-// writes land when nothing else is left to do.
+// Drain resolves all remaining calls with Normal, one after another. It applies delayed
+// writes once no call waits, then resolves the calls that follow.
 func (s *Store) Drain() {
 	s.drain()
 	for s.DelayedWrites() > 0 {
@@ -145,16 +146,16 @@
 	}
 }
 
-func (v *view) wait() Outcome {
+func (v *actorStore) wait() Outcome {
 	s := v.Store
 	s.mu.Lock()
-	c := &Call{Actor: v.actor, fate: make(chan Outcome)}
+	c := &Call{Actor: v.actor, outcome: make(chan Outcome)}
 	s.waiting = append(s.waiting, c)
 	s.mu.Unlock()
-	return <-c.fate
+	return <-c.outcome
 }
 
-func (v *view) write(do func() (objectapi.Revision, error)) (objectapi.Revision, error) {
+func (v *actorStore) write(do func() (objectapi.Revision, error)) (objectapi.Revision, error) {
 	s := v.Store
 	switch v.wait() {
 	case Refused:
@@ -166,7 +167,7 @@
 		return 0, objectapi.ErrAmbiguous
 	case Delayed:
 		s.mu.Lock()
-		s.late = append(s.late, func() { _, _ = do() })
+		s.delayed = append(s.delayed, func() { _, _ = do() })
 		s.mu.Unlock()
 		return 0, objectapi.ErrAmbiguous
 	default:
@@ -175,7 +176,7 @@
 }
 
 // Get implements objectapi.Store.
-func (v *view) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (v *actorStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	if v.wait() != Normal {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
@@ -183,22 +184,22 @@
 }
 
 // Create implements objectapi.Store.
-func (v *view) Create(ctx context.Context, key string, value []byte) (objectapi.Revision, error) {
+func (v *actorStore) Create(ctx context.Context, key string, value []byte) (objectapi.Revision, error) {
 	return v.write(func() (objectapi.Revision, error) { return v.Store.Store.Create(ctx, key, value) })
 }
 
 // Update implements objectapi.Store.
-func (v *view) Update(ctx context.Context, key string, value []byte, version objectapi.Revision) (objectapi.Revision, error) {
+func (v *actorStore) Update(ctx context.Context, key string, value []byte, version objectapi.Revision) (objectapi.Revision, error) {
 	return v.write(func() (objectapi.Revision, error) { return v.Store.Store.Update(ctx, key, value, version) })
 }
 
 // Delete implements objectapi.Store.
-func (v *view) Delete(ctx context.Context, key string, version objectapi.Revision) error {
+func (v *actorStore) Delete(ctx context.Context, key string, version objectapi.Revision) error {
 	_, err := v.write(func() (objectapi.Revision, error) { return 0, v.Store.Store.Delete(ctx, key, version) })
 	return err
 }
 
-// FixSeed makes rapid draw the same cases on every run. Call it from TestMain.
+// FixSeed makes rapid draw the same 600 cases on every run. Call it from TestMain.
 func FixSeed() {
 	for name, value := range map[string]string{"rapid.seed": "20261", "rapid.nofailfile": "true", "rapid.checks": "600"} {
 		if err := flag.Set(name, value); err != nil {
@@ -207,10 +208,9 @@
 	}
 }
 
-// Check runs a property, each case in a bubble of virtual time of its own. The
-// rapid check itself stays outside: it ends early when its clock has run on by a
-// day, which virtual time does at once. A property must let all its goroutines
-// end, also when it fails.
+// Check runs a property, each case in a synctest bubble of its own. The rapid check itself
+// stays outside the bubble: it ends early once its clock has advanced by a day, which
+// happens at once in virtual time. All goroutines of a property must end, even if it fails.
 func Check(t *testing.T, property func(*rapid.T)) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var failure any
@@ -218,7 +218,7 @@
 			defer func() { failure = recover() }()
 			property(rt)
 		})
-		// Rapid tells failures apart by where they are raised.
+		// Rapid identifies a failure by the place that raises it.
 		switch kind := fmt.Sprintf("%T", failure); {
 		case failure == nil:
 		case kind == "rapid.invalidData":
