--- a/internal/soak/allowance.go
+++ b/internal/soak/allowance.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// A workspace of the soak asks for several times its allowance all the time, of all VMs.
+// One workspace of the soak calls all VMs throughout the run, at several times its allowance.
 const (
 	limitedWorkspace = "limited"
 	limitedKey       = "key-limited"
 	limitedCallers   = 3
 	// limitedPause is the pause between two calls of one of its callers.
 	limitedPause = 10 * time.Millisecond
-	// Its allowance, in requests, and the window in which operators count.
-	limitedRate   = 20.0 // a second
+	// Its allowance, in requests, and the window over which operators count.
+	limitedRate   = 20.0 // requests/s
 	limitedBurst  = 20.0
 	limitedWindow = 3 * time.Second
-	// What operators tolerate beyond it.
+	// The excess that operators tolerate: a share of the allowance, and a number of requests.
 	limitedExcess = 0.1
 	limitedSlack  = 15.0
 )
 
-// timeOfDay is how the soak's logs give times.
+// timeOfDay is the layout of times in the report.
 const timeOfDay = "15:04:05.000"
 
-// wipedAt is when all VMs were killed.
-func (w *world) wipedAt() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// allKilledTimes returns the times at which all VMs were killed.
+func (h *harness) allKilledTimes() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var out []string
-	for _, at := range w.wiped {
+	for _, at := range h.allKilled {
 		out = append(out, at.Format(timeOfDay))
 	}
 	return out
 }
 
-// runLimited starts the callers of the limited workspace; they call until ctx ends.
+// runLimited starts the callers of the limited workspace, which call until ctx ends.
 func (c *callers) runLimited(ctx context.Context, seed uint64) {
 	for i := range limitedCallers {
 		rng := rand.New(rand.NewPCG(seed, uint64(1000+i)))
@@ -52,8 +52,9 @@
 	}
 }
 
-// allowance: in no window the limited workspace runs more than it is allowed, over all VMs,
-// whether they are cut off, killed, suspended or started again. A call counts once.
+// allowance checks that the limited workspace runs no more calls over all VMs than its
+// allowance in any window, also when VMs are partitioned, killed, suspended or restarted.
+// A call counts once, however often it ran.
 func (c *checker) allowance(calls []call) {
 	var sent []time.Time
 	for i := range calls {
@@ -76,7 +77,7 @@
 		}
 	}
 	if float64(most) > bound {
-		c.say("%d calls of the limited workspace ran in the %v before %s, %.0f are allowed; all VMs were killed at %v",
-			most, limitedWindow, when.Format(timeOfDay), allowed, c.w.wipedAt())
+		c.report("%d calls of the limited workspace ran in the %v before %s, allowed are %.0f; all VMs were killed at %v",
+			most, limitedWindow, when.Format(timeOfDay), allowed, c.h.allKilledTimes())
 	}
 }
--- a/internal/soak/apart.go
+++ b/internal/soak/apart.go
@@ -9,24 +9,24 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Faults that came later than the others. They are drawn apart, so that what a seed draws of
-// those stays what it was.
-var apart = []fault{
-	{"a request crashes replicas", func(w *world, rng *rand.Rand) { w.repeatFatal(rng) }},
-	{"suspend a VM", func(w *world, rng *rand.Rand) { suspend(rng, w.anyVM(rng)) }},
-	{"suspend half of the VMs", func(w *world, rng *rand.Rand) {
-		suspend(rng, w.vms[:(len(w.vms)+1)/2]...)
+// extraFaults were added after the others. They have a random source of their own, so that
+// a seed still draws the same sequence from faults.
+var extraFaults = []fault{
+	{"a request crashes replicas", func(h *harness, rng *rand.Rand) { h.repeatFatal(rng) }},
+	{"suspend a VM", func(h *harness, rng *rand.Rand) { suspend(rng, h.anyVM(rng)) }},
+	{"suspend half of the VMs", func(h *harness, rng *rand.Rand) {
+		suspend(rng, h.vms[:(len(h.vms)+1)/2]...)
 	}},
 }
 
 const (
-	// apartSeeds is in how many seeds there are such faults: one in three.
-	apartSeeds = 3
-	// suspension is how far the clock of a suspended VM goes on while its timers stand still.
+	// extraFaultSeeds is the number of seeds in a row of which one has extra faults: one in three.
+	extraFaultSeeds = 3
+	// suspension is how far the clock of a suspended VM advances while its timers stand still.
 	suspension = 3 * time.Second
 )
 
-// suspend stops processes for a while, in which their clocks go on for longer.
+// suspend stops processes for up to a second and advances their clocks by suspension.
 func suspend(rng *rand.Rand, vms ...*process) {
 	for _, p := range vms {
 		defer p.begin()()
@@ -34,25 +34,25 @@
 	}
 	sleep(rng, time.Second)
 	for _, p := range vms {
-		p.signal(syscall.SIGUSR2) // it is handled first of all when the process goes on
+		p.signal(syscall.SIGUSR2) // the process handles it before anything else once it continues
 		p.signal(syscall.SIGCONT)
 	}
 }
 
-// injectApart draws such faults one after the other until ctx ends, if the seed has any.
-// The function that it returns waits for the last, and tells how many there were by name.
-func (w *world) injectApart(ctx context.Context, seed uint64) (wait func() map[string]int) {
-	if seed%apartSeeds != 0 {
+// injectExtraFaults draws extra faults one after the other until ctx ends, if the seed has any.
+// The returned function waits for the last fault and returns their number by name.
+func (h *harness) injectExtraFaults(ctx context.Context, seed uint64) (wait func() map[string]int) {
+	if seed%extraFaultSeeds != 0 {
 		return func() map[string]int { return nil }
 	}
-	rng := rand.New(rand.NewPCG(seed, apartSeeds))
+	rng := rand.New(rand.NewPCG(seed, extraFaultSeeds))
 	counts := make(chan map[string]int, 1)
 	go func() {
 		n := map[string]int{}
 		for timing.Sleep(ctx, time.Duration(rng.Int64N(int64(time.Second)))) {
-			f := apart[rng.IntN(len(apart))]
+			f := extraFaults[rng.IntN(len(extraFaults))]
 			n[f.name]++
-			f.do(w, rng)
+			f.do(h, rng)
 		}
 		counts <- n
 	}()
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -14,23 +14,23 @@
 	"github.com/threadwall/threadwall/internal/lab/platformlab"
 )
 
-// call is one call of a caller and what became of it.
+// call is one call of a caller, and its result.
 type call struct {
-	id      string
-	path    string
-	key     string
-	vm      *process
-	sent    time.Time
-	ended   time.Time
-	status  int // zero: no answer
-	body    string
-	broken  bool // the answer broke off
-	signed  bool
-	calm    bool // nothing was wrong with its VM, nor anywhere else, from before it to its end
-	version int  // configuration that was confirmed long before it was sent
+	id        string
+	path      string
+	key       string
+	vm        *process
+	sent      time.Time
+	ended     time.Time
+	status    int // 0: no response
+	body      string
+	broken    bool // the response was cut off
+	signed    bool
+	faultFree bool // no fault on its VM or outside the VMs, from faultFreeTime before it was sent to its end
+	version   int  // newest configuration that was confirmed propagationTime before it was sent
 }
 
-// Paths of the soak's routes, by kind.
+// Paths of the routes, by kind.
 const (
 	pathOnce   = "/once/"
 	pathRepeat = "/repeat/"
@@ -39,19 +39,19 @@
 
 var paths = []string{pathOnce, pathRepeat, pathStream}
 
-// callers make calls without end, each over kept connections of its own.
+// callers make calls continuously, each over its own keep-alive connections.
 type callers struct {
-	w      *world
+	h      *harness
 	number atomic.Int64
 	mu     sync.Mutex
 	calls  []call
 	wg     sync.WaitGroup
 }
 
-// callPause is the pause between two calls of one caller.
+// callPause is the mean pause between two calls of one caller.
 const callPause = 15 * time.Millisecond
 
-// run starts n callers that call until ctx ends.
+// run starts n callers, which call until ctx ends.
 func (c *callers) run(ctx context.Context, n int, seed uint64) {
 	for i := range n {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
@@ -59,29 +59,29 @@
 		c.wg.Go(func() {
 			defer transport.CloseIdleConnections()
 			for ctx.Err() == nil {
-				c.one(rng, transport)
+				c.callRandom(rng, transport)
 				time.Sleep(callPause/2 + rand.N(callPause))
 			}
 		})
 	}
 }
 
-// deadline is how long callers wait.
+// deadline is how long a caller waits for a response.
 const deadline = 2 * time.Second
 
-// one makes one call of a random kind, with one of the keys that change.
-func (c *callers) one(rng *rand.Rand, transport *http.Transport) {
-	c.call(rng, transport, paths[rng.IntN(len(paths))], c.w.key(rng.IntN(keyCount)))
+// callRandom makes one call of a random kind, with one of the keys that change.
+func (c *callers) callRandom(rng *rand.Rand, transport *http.Transport) {
+	c.call(rng, transport, paths[rng.IntN(len(paths))], c.h.key(rng.IntN(keyCount)))
 }
 
 // call makes one call to a random VM.
 func (c *callers) call(rng *rand.Rand, transport *http.Transport, path, key string) {
-	w := c.w
+	h := c.h
 	out := call{
 		id: fmt.Sprintf("s%08d", c.number.Add(1)), path: path, key: key,
-		vm: w.vms[rng.IntN(len(w.vms))], version: w.confirmed(),
+		vm: h.vms[rng.IntN(len(h.vms))], version: h.confirmed(),
 	}
-	calm := w.calm(out.vm)
+	faultFree := h.faultFree(out.vm)
 	out.sent = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
@@ -92,7 +92,7 @@
 	}
 	req, err := spec.Request(ctx, "http://"+out.vm.listen)
 	if err != nil {
-		panic(err) // the soak's own addresses are always valid
+		panic(err) // addresses of the harness are always valid
 	}
 	resp, err := transport.RoundTrip(req)
 	if err == nil {
@@ -102,26 +102,26 @@
 		_ = resp.Body.Close()
 	}
 	out.ended = time.Now()
-	out.calm = calm && w.calm(out.vm)
+	out.faultFree = faultFree && h.faultFree(out.vm)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls = append(c.calls, out)
 }
 
-// all returns the calls so far.
+// all returns a copy of the calls made so far.
 func (c *callers) all() []call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]call(nil), c.calls...)
 }
 
-// want is the body of a whole answer.
-func (c *call) want() string {
+// wantBody returns the body of a complete response to the call.
+func (c *call) wantBody() string {
 	if c.path != pathStream {
 		return "answer to " + c.id
 	}
 	var b strings.Builder
-	for n := 1; n <= pieces; n++ {
+	for n := 1; n <= chunks; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d of %s\n\n", n, n, c.id)
 	}
 	return b.String()
--- a/internal/soak/calm_test.go
+++ b/internal/soak/calm_test.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// TestNotCalmWhileAFaultLasts lets a fault last for longer than the time after which a VM
-// counts as calm again: it does not count so before the fault is over, nor right after.
-func TestNotCalmWhileAFaultLasts(t *testing.T) {
+// TestNotFaultFreeDuringFault lets a fault last longer than faultFreeTime. The VM must not count as
+// free of faults while the fault lasts, nor until faultFreeTime after its end.
+func TestNotFaultFreeDuringFault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &process{cmd: &exec.Cmd{}}
-		if !p.calm(contact) {
-			t.Error("a VM without faults is not calm")
+		if !p.faultFree(faultFreeTime) {
+			t.Error("a VM that had no fault does not count as fault-free")
 		}
 		first, second := p.begin(), p.begin()
 		for range 3 {
-			time.Sleep(contact + time.Millisecond)
-			if p.calm(contact) {
-				t.Error("a VM counts as calm while a fault lasts")
+			time.Sleep(faultFreeTime + time.Millisecond)
+			if p.faultFree(faultFreeTime) {
+				t.Error("a VM counts as fault-free while a fault lasts")
 			}
 		}
 		first()
-		time.Sleep(contact + time.Millisecond)
-		if p.calm(contact) {
-			t.Error("a VM counts as calm while another fault lasts")
+		time.Sleep(faultFreeTime + time.Millisecond)
+		if p.faultFree(faultFreeTime) {
+			t.Error("a VM counts as fault-free while a second fault lasts")
 		}
 		second()
-		if p.calm(contact) {
-			t.Error("a VM counts as calm right after a fault")
+		if p.faultFree(faultFreeTime) {
+			t.Error("a VM counts as fault-free right after a fault")
 		}
-		time.Sleep(contact + time.Millisecond)
-		if !p.calm(contact) {
-			t.Error("a VM is not calm again")
+		time.Sleep(faultFreeTime + time.Millisecond)
+		if !p.faultFree(faultFreeTime) {
+			t.Error("a VM does not count as fault-free again after faultFreeTime")
 		}
 	})
 }
 
-// TestNewKeyInCalmTimes turns calls away whose key is gone, is so new that VMs need not know
-// it yet, is older than that, or was there from the start: only the first two are right.
-func TestNewKeyInCalmTimes(t *testing.T) {
+// TestKeyRefusedWithoutFault checks refused calls whose key is revoked, was issued less than
+// propagationTime ago, is older, or existed from the start. Only the first two may be refused.
+func TestKeyRefusedWithoutFault(t *testing.T) {
 	now := time.Now()
-	w := &world{revoked: map[string]time.Time{"gone": now}, born: map[string]time.Time{"new": now}}
-	c := &checker{w: w}
+	h := &harness{revoked: map[string]time.Time{"gone": now}, issued: map[string]time.Time{"new": now}}
+	c := &checker{h: h}
 	for _, k := range []struct {
 		key  string
 		sent time.Duration // after the change
 		want bool
-	}{{"gone", 0, true}, {"new", 0, true}, {"new", inForce - 1, true}, {"new", inForce, false}, {"first", 0, false}} {
+	}{{"gone", 0, true}, {"new", 0, true}, {"new", propagationTime - 1, true}, {"new", propagationTime, false}, {"first", 0, false}} {
 		if got := c.good(&call{key: k.key, sent: now.Add(k.sent), status: 401}); got != k.want {
-			t.Errorf("key %q, sent %v after the change, turned away: good is %v", k.key, k.sent, got)
+			t.Errorf("refused call with key %q, sent %v after the change: good() = %v", k.key, k.sent, got)
 		}
 	}
 }
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -10,106 +10,108 @@
 	"github.com/threadwall/threadwall/internal/lab/platformlab"
 )
 
-// A request that crashes each replica that runs it, and is repeated at all VMs.
+// A fatal request crashes each replica that runs it, and is repeated at all VMs.
 
 const (
-	// fatalBody is the beginning of such requests.
+	// fatalBody is the beginning of the body of a fatal request.
 	fatalBody = "fatal"
-	// fatalWork is how long a replica runs one before it ends.
+	// fatalWork is how long a replica runs a fatal request before it crashes.
 	fatalWork = 30 * time.Millisecond
-	// fatalEvery is the pause between two repeats.
-	fatalEvery = 200 * time.Millisecond
-	// fatalMost is how many replicas one may reach later than contact after the third
-	// has ended.
-	fatalMost = 3
+	// fatalInterval is the pause between two repeats.
+	fatalInterval = 200 * time.Millisecond
+	// maxFatalReplicas is how many replicas a fatal request may reach once all VMs can know of its
+	// first maxFatalReplicas crashes: faultFreeTime and a second after the last of those runs.
+	maxFatalReplicas = 3
 )
 
-// fatalCall is one repeat.
+// fatalCall is one repeat of a fatal request.
 type fatalCall struct {
-	id   string
-	sent time.Time
-	calm bool // nothing was wrong with its VM for a while
+	id        string
+	sent      time.Time
+	faultFree bool // its VM had no fault for faultFreeTime
 }
 
-// crashUnder ends a replica that such a request has crashed; another one comes.
-func (w *world) crashUnder(r *replica) {
-	end := w.begin()
+// onFatalCrash takes a replica that a fatal request crashed out of the list. A second later
+// it removes the replica from the store and starts another in its place.
+func (h *harness) onFatalCrash(r *replica) {
+	end := h.begin()
 	r.proxy.Close()
-	w.mu.Lock()
-	for i, o := range w.replicas {
+	h.mu.Lock()
+	for i, o := range h.replicas {
 		if o == r {
-			w.replicas = append(w.replicas[:i], w.replicas[i+1:]...)
+			h.replicas = append(h.replicas[:i], h.replicas[i+1:]...)
 			break
 		}
 	}
-	w.crashes++
-	w.mu.Unlock()
+	h.crashes++
+	h.mu.Unlock()
 	time.AfterFunc(time.Second, func() {
 		defer end()
-		w.store.Remove("servers", r.ID)
-		w.replace(r)
+		h.store.Remove("servers", r.ID)
+		h.replace(r)
 	})
 }
 
-// repeatFatal sends one such request again and again for some seconds.
-func (w *world) repeatFatal(rng *rand.Rand) {
-	defer w.begin()()
+// repeatFatal sends one fatal request 15 to 39 times, every fatalInterval, to random VMs.
+func (h *harness) repeatFatal(rng *rand.Rand) {
+	defer h.begin()()
 	transport := &http.Transport{DisableCompression: true, DisableKeepAlives: true}
 	body := fmt.Sprint(fatalBody, " ", rng.Uint64())
 	for range 15 + rng.IntN(25) {
-		p := w.anyVM(rng)
+		p := h.anyVM(rng)
 		id := fmt.Sprintf("f%016x", rng.Uint64())
-		w.mu.Lock()
-		w.fatal[body] = append(w.fatal[body], fatalCall{id, time.Now(), p.calm(contact)})
-		w.mu.Unlock()
-		go w.sendFatal(p, id, body, transport)
-		time.Sleep(fatalEvery)
+		h.mu.Lock()
+		h.fatal[body] = append(h.fatal[body], fatalCall{id, time.Now(), p.faultFree(faultFreeTime)})
+		h.mu.Unlock()
+		go h.sendFatal(p, id, body, transport)
+		time.Sleep(fatalInterval)
 	}
 }
 
-func (w *world) sendFatal(p *process, id, body string, transport *http.Transport) {
+func (h *harness) sendFatal(p *process, id, body string, transport *http.Transport) {
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
-	call := platformlab.Call{ID: id, Host: host, Path: pathRepeat + "x", Key: w.key(0), Body: body, Deadline: deadline}
+	call := platformlab.Call{ID: id, Host: host, Path: pathRepeat + "x", Key: h.key(0), Body: body, Deadline: deadline}
 	req, err := call.Request(ctx, "http://"+p.listen)
 	if err != nil {
-		panic(err) // the soak's own addresses are always valid
+		panic(err) // addresses of the harness are always valid
 	}
 	if resp, err := transport.RoundTrip(req); err == nil {
 		_ = resp.Body.Close()
 	}
 }
 
-// fatalBound: such a request reaches few replicas once all VMs can know of it. VMs that
-// were all killed have forgotten.
+// fatalBound checks that a fatal request reaches at most maxFatalReplicas replicas once all
+// VMs can know of it. When all VMs are killed, the fleet loses that knowledge.
 func (c *checker) fatalBound() {
-	for body, calls := range c.w.fatal {
-		var ends []time.Time // runs end soon after they begin
+	for body, calls := range c.h.fatal {
+		var ends []time.Time // starts of runs, which end soon after
 		for _, k := range calls {
 			for _, r := range c.runs[k.id] {
 				ends = append(ends, r.At)
 			}
 		}
-		if len(ends) < fatalMost {
+		if len(ends) < maxFatalReplicas {
 			continue
 		}
-		known := ends[fatalMost-1].Add(contact + time.Second) // it has ended by then, and a crash more
+		known := ends[maxFatalReplicas-1].Add(faultFreeTime + time.Second) // allows for the end of that run and one more crash
 		late := 0
 		for _, k := range calls {
-			if k.calm && k.sent.After(known) && !c.w.forgotten(known, k.sent) {
+			if k.faultFree && k.sent.After(known) && !c.h.allKilledBetween(known, k.sent) {
 				late += len(c.runs[k.id])
 			}
 		}
-		if late > fatalMost {
-			c.say("the request %q reached %d replicas after all VMs could know that it crashes them", body, late)
+		if late > maxFatalReplicas {
+			c.report("request %q reached %d replicas after all VMs could know that it crashes replicas", body, late)
 		}
 	}
 }
 
-// forgotten tells whether all VMs were killed between two moments, or shortly before.
-func (w *world) forgotten(from, to time.Time) bool {
-	for _, at := range w.wiped {
-		if at.After(from.Add(-2*contact)) && at.Before(to) {
+// allKilledBetween reports whether all VMs were killed between two times, or less than twice
+// faultFreeTime before.
+func (h *harness) allKilledBetween(from, to time.Time) bool {
+	for _, at := range h.allKilled {
+		if at.After(from.Add(-2*faultFreeTime)) && at.Before(to) {
 			return true
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,146 +11,146 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// fault is one kind of trouble; it returns when it is over.
+// fault is a kind of fault that the soak injects. do returns when the fault is over.
 type fault struct {
 	name string
-	do   func(w *world, rng *rand.Rand)
+	do   func(h *harness, rng *rand.Rand)
 }
 
-// faults are all kinds that a seed draws from. Those of one VM are noted on it;
-// the others count as trouble anywhere.
+// faults are the kinds that every seed draws from. A fault of one VM is recorded on its
+// process; the others are recorded on the harness.
 var faults = []fault{
-	{"kill a VM", func(w *world, rng *rand.Rand) { w.restart(w.anyVM(rng), syscall.SIGKILL, rng) }},
-	{"stop a VM", func(w *world, rng *rand.Rand) { w.restart(w.anyVM(rng), syscall.SIGTERM, rng) }},
-	{"stop a VM, and kill it on the way", func(w *world, rng *rand.Rand) {
-		p := w.anyVM(rng)
+	{"kill a VM", func(h *harness, rng *rand.Rand) { h.restart(h.anyVM(rng), syscall.SIGKILL, rng) }},
+	{"stop a VM", func(h *harness, rng *rand.Rand) { h.restart(h.anyVM(rng), syscall.SIGTERM, rng) }},
+	{"stop a VM, and kill it on the way", func(h *harness, rng *rand.Rand) {
+		p := h.anyVM(rng)
 		p.signal(syscall.SIGTERM)
 		sleep(rng, time.Second)
-		w.restart(p, syscall.SIGKILL, rng)
+		h.restart(p, syscall.SIGKILL, rng)
 	}},
-	{"pause a VM", func(w *world, rng *rand.Rand) {
-		p := w.anyVM(rng)
+	{"pause a VM", func(h *harness, rng *rand.Rand) {
+		p := h.anyVM(rng)
 		defer p.begin()()
 		p.signal(syscall.SIGSTOP)
 		sleep(rng, 3*time.Second)
 		p.signal(syscall.SIGCONT)
 	}},
-	{"hang up a VM", func(w *world, rng *rand.Rand) { w.anyVM(rng).signal(syscall.SIGHUP) }},
-	{"kill all VMs", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		for _, p := range w.vms {
+	{"hang up a VM", func(h *harness, rng *rand.Rand) { h.anyVM(rng).signal(syscall.SIGHUP) }},
+	{"kill all VMs", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		for _, p := range h.vms {
 			p.signal(syscall.SIGKILL)
 		}
-		w.mu.Lock()
-		w.wiped = append(w.wiped, time.Now())
-		w.mu.Unlock()
+		h.mu.Lock()
+		h.allKilled = append(h.allKilled, time.Now())
+		h.mu.Unlock()
 		sleep(rng, 500*time.Millisecond)
-		for _, p := range w.vms {
-			w.restart(p, syscall.SIGKILL, rng)
+		for _, p := range h.vms {
+			h.restart(p, syscall.SIGKILL, rng)
 		}
 	}},
-	{"cut a VM from the store", func(w *world, rng *rand.Rand) {
-		p := w.anyVM(rng)
+	{"cut a VM from the store", func(h *harness, rng *rand.Rand) {
+		p := h.anyVM(rng)
 		defer p.begin()()
-		w.onProxy(p.store, rng, 4*time.Second)
+		h.injectProxyFault(p.store, rng, 4*time.Second)
 	}},
-	{"reset a VM's connections to the store", func(w *world, rng *rand.Rand) {
-		p := w.anyVM(rng)
-		p.touch()
+	{"reset a VM's connections to the store", func(h *harness, rng *rand.Rand) {
+		p := h.anyVM(rng)
+		p.markFault()
 		p.store.Reset()
 	}},
-	{"cut a replica off", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		w.onProxy(w.anyReplica(rng).proxy, rng, 2*time.Second)
+	{"cut a replica off", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		h.injectProxyFault(h.anyReplica(rng).proxy, rng, 2*time.Second)
 	}},
-	{"reset a replica's connections", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		w.anyReplica(rng).proxy.Reset()
+	{"reset a replica's connections", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		h.anyReplica(rng).proxy.Reset()
 	}},
-	{"store down", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		w.store.Set(platformlab.Trouble{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
+	{"store down", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		h.store.Set(platformlab.Trouble{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
 		sleep(rng, 4*time.Second)
-		w.store.Set(platformlab.Trouble{})
+		h.store.Set(platformlab.Trouble{})
 	}},
-	{"store slow, and loses answers", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		w.store.Set(platformlab.Trouble{Slow: 150 * time.Millisecond, LoseWrites: 0.4})
+	{"store slow, and loses answers", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		h.store.Set(platformlab.Trouble{Slow: 150 * time.Millisecond, LoseWrites: 0.4})
 		sleep(rng, 3*time.Second)
-		w.store.Set(platformlab.Trouble{})
+		h.store.Set(platformlab.Trouble{})
 	}},
-	{"store forgets its history", func(w *world, _ *rand.Rand) {
-		defer w.begin()()
-		w.store.Compact()
+	{"store forgets its history", func(h *harness, _ *rand.Rand) {
+		defer h.begin()()
+		h.store.Compact()
 	}},
-	{"replica loses answers", func(w *world, rng *rand.Rand) {
-		w.misbehave(rng, func(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) })
+	{"replica loses answers", func(h *harness, rng *rand.Rand) {
+		h.injectResponses(rng, func(http.ResponseWriter, *http.Request) bool { panic(http.ErrAbortHandler) })
 	}},
-	{"replica fails", func(w *world, rng *rand.Rand) {
-		w.misbehave(rng, func(rw http.ResponseWriter, _ *http.Request) bool {
+	{"replica fails", func(h *harness, rng *rand.Rand) {
+		h.injectResponses(rng, func(rw http.ResponseWriter, _ *http.Request) bool {
 			platformlab.Fail(rw)
 			return true
 		})
 	}},
-	{"replica hangs", func(w *world, rng *rand.Rand) {
-		w.misbehave(rng, func(_ http.ResponseWriter, req *http.Request) bool { <-req.Context().Done(); return true })
+	{"replica hangs", func(h *harness, rng *rand.Rand) {
+		h.injectResponses(rng, func(_ http.ResponseWriter, req *http.Request) bool { <-req.Context().Done(); return true })
 	}},
-	{"replica answers without a signature", func(w *world, rng *rand.Rand) {
-		w.misbehave(rng, func(rw http.ResponseWriter, _ *http.Request) bool {
+	{"replica answers without a signature", func(h *harness, rng *rand.Rand) {
+		h.injectResponses(rng, func(rw http.ResponseWriter, _ *http.Request) bool {
 			_, _ = rw.Write([]byte("rubbish"))
 			return true
 		})
 	}},
-	{"replica crashes", func(w *world, rng *rand.Rand) {
-		defer w.begin()()
-		r := w.takeReplica(rng)
+	{"replica crashes", func(h *harness, rng *rand.Rand) {
+		defer h.begin()()
+		r := h.takeReplica(rng)
 		r.Crash()
 		sleep(rng, time.Second)
-		w.store.Remove("servers", r.ID)
-		w.replace(r)
+		h.store.Remove("servers", r.ID)
+		h.replace(r)
 	}},
-	{"replica drains", func(w *world, rng *rand.Rand) {
-		r := w.takeReplica(rng)
+	{"replica drains", func(h *harness, rng *rand.Rand) {
+		r := h.takeReplica(rng)
 		r.Drain()
-		w.mu.Lock()
-		w.left[r.ID] = time.Now()
-		w.mu.Unlock()
-		w.replace(r)
+		h.mu.Lock()
+		h.left[r.ID] = time.Now()
+		h.mu.Unlock()
+		h.replace(r)
 		time.Sleep(drainTime + time.Second)
-		defer w.begin()()
+		defer h.begin()()
 		r.Crash()
-		w.store.Remove("servers", r.ID)
+		h.store.Remove("servers", r.ID)
 	}},
-	{"a key is taken away", func(w *world, rng *rand.Rand) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+	{"a key is taken away", func(h *harness, rng *rand.Rand) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
 		i := rng.IntN(keyCount)
-		old := w.keys[i]
-		w.keys[i] = w.newKey()
-		w.config.Tenants[i].APIKeys = []string{w.keys[i]}
-		w.config.Version += 1 + rng.IntN(3)
-		w.write()
-		w.revoked[old], w.born[w.keys[i]] = time.Now(), time.Now()
-	}},
-	{"configurations in a row", func(w *world, rng *rand.Rand) {
+		old := h.keys[i]
+		h.keys[i] = h.newKey()
+		h.config.Tenants[i].APIKeys = []string{h.keys[i]}
+		h.config.Version += 1 + rng.IntN(3)
+		h.write()
+		h.revoked[old], h.issued[h.keys[i]] = time.Now(), time.Now()
+	}},
+	{"configurations in a row", func(h *harness, rng *rand.Rand) {
 		for range 5 {
-			w.mu.Lock()
-			w.config.Version++
-			w.write()
-			w.mu.Unlock()
+			h.mu.Lock()
+			h.config.Version++
+			h.write()
+			h.mu.Unlock()
 			sleep(rng, 60*time.Millisecond)
 		}
 	}},
-	{"new weights", func(w *world, _ *rand.Rand) {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.weights++
-		w.store.Put("versions", model, map[string]any{"model": model, "version": w.weights})
+	{"new weights", func(h *harness, _ *rand.Rand) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.weights++
+		h.store.Put("versions", model, map[string]any{"model": model, "version": h.weights})
 	}},
 }
 
-// inject draws faults until ctx ends, several at a time, and waits for the last.
-func (w *world) inject(ctx context.Context, rng *rand.Rand, done func(name string)) {
+// inject draws faults until ctx ends, up to faultsAtOnce at a time, and waits for the last.
+func (h *harness) inject(ctx context.Context, rng *rand.Rand, done func(name string)) {
 	slots := make(chan struct{}, faultsAtOnce)
 	for timing.Sleep(ctx, time.Duration(rng.Int64N(int64(faultPause)))) {
 		f := faults[rng.IntN(len(faults))]
@@ -159,7 +159,7 @@
 		done(f.name)
 		go func() {
 			defer func() { <-slots }()
-			f.do(w, own)
+			f.do(h, own)
 		}()
 	}
 	for range faultsAtOnce {
@@ -168,21 +168,22 @@
 }
 
 const (
-	// faultsAtOnce is how many faults may go on together.
+	// faultsAtOnce is the number of faults that may last at the same time.
 	faultsAtOnce = 3
-	// faultPause is the longest pause between the beginnings of two faults.
+	// faultPause is the longest drawn pause before the next fault.
 	faultPause = 1200 * time.Millisecond
 )
 
-// sleep waits for a drawn part of longest.
+// sleep waits for a drawn time between a quarter of longest and longest.
 func sleep(rng *rand.Rand, longest time.Duration) {
 	time.Sleep(longest/4 + time.Duration(rng.Int64N(int64(longest)*3/4)))
 }
 
-func (w *world) anyVM(rng *rand.Rand) *process { return w.vms[rng.IntN(len(w.vms))] }
+func (h *harness) anyVM(rng *rand.Rand) *process { return h.vms[rng.IntN(len(h.vms))] }
 
-// restart ends a process by a signal and starts it again.
-func (w *world) restart(p *process, s syscall.Signal, rng *rand.Rand) {
+// restart ends a process by a signal and starts it again. A process that outlives its grace
+// period by a second gets SIGKILL.
+func (h *harness) restart(p *process, s syscall.Signal, rng *rand.Rand) {
 	p.signal(s)
 	if !p.await(grace + time.Second) {
 		p.signal(syscall.SIGKILL) // as the platform does
@@ -190,50 +191,50 @@
 	}
 	sleep(rng, 500*time.Millisecond)
 	if err := p.start(); err != nil {
-		panic(err) // the soak can't go on without its processes
+		panic(err) // the soak needs all its processes
 	}
-	p.touch()
+	p.markFault()
 }
 
-// onProxy brings a drawn fault of a path about.
-func (w *world) onProxy(p *Proxy, rng *rand.Rand, longest time.Duration) {
+// injectProxyFault applies a drawn fault to a proxy for a drawn time.
+func (h *harness) injectProxyFault(p *Proxy, rng *rand.Rand, longest time.Duration) {
 	p.Set([]Fault{Delay, Blackhole, NoReply, Refuse}[rng.IntN(4)])
 	sleep(rng, longest)
 	p.Set(Pass)
 }
 
-func (w *world) anyReplica(rng *rand.Rand) *replica {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.replicas[rng.IntN(len(w.replicas))]
+func (h *harness) anyReplica(rng *rand.Rand) *replica {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.replicas[rng.IntN(len(h.replicas))]
 }
 
-// takeReplica takes one out of the list, so that nothing else happens to it.
-func (w *world) takeReplica(rng *rand.Rand) *replica {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	i := rng.IntN(len(w.replicas))
-	r := w.replicas[i]
-	w.replicas = append(w.replicas[:i], w.replicas[i+1:]...)
+// takeReplica removes a random replica from the list, so that no other fault hits it.
+func (h *harness) takeReplica(rng *rand.Rand) *replica {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	i := rng.IntN(len(h.replicas))
+	r := h.replicas[i]
+	h.replicas = append(h.replicas[:i], h.replicas[i+1:]...)
 	return r
 }
 
-// replace starts a replica in the place of one that is gone.
-func (w *world) replace(r *replica) {
-	if err := w.addReplica(r.Service); err != nil {
-		panic(err) // the soak can't go on without its replicas
+// replace starts a replica of the same service.
+func (h *harness) replace(r *replica) {
+	if err := h.addReplica(r.Service); err != nil {
+		panic(err) // the soak needs all its replicas
 	}
 }
 
-// misbehave lets a replica answer a part of its requests badly for a while.
-func (w *world) misbehave(rng *rand.Rand, badly func(http.ResponseWriter, *http.Request) bool) {
-	defer w.begin()()
-	r := w.anyReplica(rng)
+// injectResponses has a replica answer half of its requests with respond for a drawn time.
+func (h *harness) injectResponses(rng *rand.Rand, respond func(http.ResponseWriter, *http.Request) bool) {
+	defer h.begin()()
+	r := h.anyReplica(rng)
 	r.Answer(func(rw http.ResponseWriter, req *http.Request) bool {
 		if rand.IntN(2) == 0 {
 			return false
 		}
-		return badly(rw, req)
+		return respond(rw, req)
 	})
 	sleep(rng, 2*time.Second)
 	r.Answer(nil)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,8 +16,8 @@
 	"github.com/threadwall/threadwall/internal/lab/loopback"
 )
 
-// process is one threadwalld. Only processes that the soak started are signalled,
-// by their ids.
+// process is one threadwalld process. The soak signals only processes that it started, by
+// their ids.
 type process struct {
 	name     string
 	program  string
@@ -27,18 +27,18 @@
 	ready    string
 	store    *Proxy
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	gone    chan struct{}
-	faulty  time.Time // when the last fault on it or on its path to the store began or ended
-	faults  int       // those that last
-	stopped bool      // SIGTERM was sent, it has not started again
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	exited    chan struct{}
+	lastFault time.Time // start or end of the last fault on the process or its path to the store
+	faults    int       // number of faults that last
+	stopped   bool      // SIGTERM was sent and the process has not started again
 	// signalled are the times at which the process got a signal or started.
 	signalled []time.Time
 }
 
-// newProcess writes settings for a VM and starts it. In fleets beyond directFleet VMs
-// one reads the store for the others.
+// newProcess writes settings for a VM and starts it. In fleets of more than directFleet VMs,
+// one VM reads the store for the others.
 func newProcess(dir, program, name, storeAddr string, directFleet int) (*process, error) {
 	store, err := NewProxy(storeAddr)
 	if err != nil {
@@ -47,8 +47,8 @@
 	p := &process{
 		name: name, program: program, store: store,
 		settings: filepath.Join(dir, name+".json"), log: filepath.Join(dir, name+".log"),
-		// Addresses of this process, which outlives those that listen there: one that is
-		// down finds them free again, and nobody else hears the calls meant for it.
+		// The addresses are reserved by this process, which outlives the daemons that listen
+		// on them: a restarted daemon finds them free, and no other program gets its calls.
 		listen: loopback.Addr(), ready: loopback.Addr(),
 	}
 	s := map[string]any{
@@ -70,7 +70,7 @@
 	return p, p.start()
 }
 
-// start starts the process, unless it runs.
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,42 +81,42 @@
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
-	defer func() { _ = out.Close() }() // the process has its own
+	defer func() { _ = out.Close() }() // the process has its own descriptor
 	cmd := exec.Command(p.program, "run", "-s", p.settings)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := cmd.Start(); err != nil {
 		return eris.Wrapf(err, "start %s", p.name)
 	}
-	gone := make(chan struct{})
-	p.cmd, p.gone, p.stopped = cmd, gone, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.stopped = cmd, exited, false
 	p.signalled = append(p.signalled, time.Now())
 	go func() {
-		_ = cmd.Wait() // how it ended shows in its log
+		_ = cmd.Wait() // its log shows how it ended
 		p.mu.Lock()
 		p.cmd = nil
 		p.mu.Unlock()
-		close(gone)
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal, if the process runs.
+// signal sends a signal if the process is running, and records a fault either way.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faulty = time.Now()
-	p.signalled = append(p.signalled, p.faulty)
+	p.lastFault = time.Now()
+	p.signalled = append(p.signalled, p.lastFault)
 	if s == syscall.SIGTERM {
 		p.stopped = true
 	}
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may just have ended
+		_ = p.cmd.Process.Signal(s) // fails if the process has just ended
 	}
 }
 
-// signalledBetween tells whether the process got a signal or started between two moments: it
-// may have forgotten what it knew.
+// signalledBetween reports whether the process got a signal or started between two times, and
+// so may have lost its state.
 func (p *process) signalledBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,52 +128,52 @@
 	return false
 }
 
-// touch notes a fault on the process's path.
-func (p *process) touch() {
+// markFault records a fault on the process or its path.
+func (p *process) markFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faulty = time.Now()
+	p.lastFault = time.Now()
 }
 
-// begin notes that a fault on the process or its path has begun. The function that it
-// returns notes its end; it must be called.
+// begin records the start of a fault on the process or its path. The caller must call the
+// returned function at the end of the fault.
 func (p *process) begin() (end func()) {
-	p.touch()
+	p.markFault()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults++
 	return func() {
-		p.touch()
+		p.markFault()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.faults--
 	}
 }
 
-// calm tells whether the process runs, has no fault and had none for a while.
-func (p *process) calm(since time.Duration) bool {
+// faultFree reports whether the process is running, has no fault and had none for the given time.
+func (p *process) faultFree(since time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil && !p.stopped && p.faults == 0 && time.Since(p.faulty) > since
+	return p.cmd != nil && !p.stopped && p.faults == 0 && time.Since(p.lastFault) > since
 }
 
-// await waits until the process has ended.
+// await waits for the process to end, for at most limit, and reports whether it did.
 func (p *process) await(limit time.Duration) bool {
 	p.mu.Lock()
-	gone, running := p.gone, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
 	if !running {
 		return true
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
 	}
 }
 
-// isReady asks as the platform's balancer does.
+// isReady checks readiness as the platform's load balancer does.
 func (p *process) isReady() bool {
 	c := http.Client{Timeout: time.Second}
 	resp, err := c.Get(fmt.Sprintf("http://%s/threadwall/ready", p.ready))
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Fault is what a proxy does to its connections.
+// Fault is the fault that a Proxy applies to its connections.
 type Fault int32
 
-// The faults.
+// Faults of a Proxy. Pass is none.
 const (
 	Pass      Fault = iota
-	Delay           // each piece of data comes later
-	Blackhole       // nothing passes either way; new connections are taken in and hang
-	NoReply         // what the client sends passes, nothing comes back
+	Delay           // each chunk of data is delayed by delayTime
+	Blackhole       // no data passes in either direction; new connections are accepted and hang
+	NoReply         // data from the client passes, no data comes back
 	Refuse          // new connections are reset at once
 )
 
-// delayTime is how much later data comes under Delay.
+// delayTime is the delay of each chunk of data under Delay.
 const delayTime = 80 * time.Millisecond
 
-// pollEvery is how often a silenced copy looks whether it may go on.
-const pollEvery = 5 * time.Millisecond
+// pollInterval is how often a blocked copy checks the fault.
+const pollInterval = 5 * time.Millisecond
 
-// Proxy passes TCP connections on to a target on loopback, and does it badly when
-// told to. Safe for concurrent use.
+// Proxy forwards TCP connections to a target on loopback and injects a fault when one is
+// set. It is safe for concurrent use.
 type Proxy struct {
 	target string
 	l      net.Listener
@@ -37,7 +37,7 @@
 	conns map[net.Conn]bool
 }
 
-// NewProxy listens on a port of its own.
+// NewProxy starts a proxy for target on a free loopback port. The caller must close it.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,23 +48,23 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.l.Addr().String() }
 
-// Set changes the fault.
+// Set replaces the fault, also for open connections.
 func (p *Proxy) Set(f Fault) { p.fault.Store(int32(f)) }
 
-// Reset cuts all connections at hand.
+// Reset resets all open connections.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		_ = c.(*net.TCPConn).SetLinger(0) // an open connection takes the option
+		_ = c.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
 		_ = c.Close()
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and resets all open connections.
 func (p *Proxy) Close() {
 	_ = p.l.Close()
 	p.Reset()
@@ -116,7 +116,7 @@
 	}
 }
 
-// copy passes data one way; the end of one side ends the other.
+// copy forwards data in one direction. EOF of one side half-closes the other; an error resets it.
 func (p *Proxy) copy(to, from net.Conn, reply bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -140,12 +140,12 @@
 	_ = from.Close()
 }
 
-// hold waits as long as the fault wants.
+// hold blocks for as long as the fault delays or blocks data of this direction.
 func (p *Proxy) hold(reply bool) {
 	for {
 		switch f := Fault(p.fault.Load()); {
 		case f == Blackhole, f == NoReply && reply:
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		case f == Delay:
 			time.Sleep(delayTime)
 			return
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// regressions are seeds that once broke a promise, with the cause. What a seed draws
-// is fixed; how it falls in time is not, so each cause has a test of its own, too.
+// regressions are seeds that once showed a fault, with its cause. The draws of a seed are
+// fixed but their timing is not, so each cause also has a test of its own.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{1, "VMs with short key lifetimes became unready by turns: the watch's wait did not follow them (settings, platform TestCalmDay)"},
-	{7000, "VMs that read the store through a peer became unready by turns: waits and questions did not follow short key lifetimes (edge TestProofsOutlastTheirWay)"},
-	{1796241844309321909, "all engines were told to load at once though half of them could have served meanwhile (rollout TestSomeServeMeanwhile)"},
-	{1796242706000003003, "a failure in place of a broken stream's rest ended the stream as if it were whole (forward TestFailureInPlaceOfTheRest)"},
-	{54, "VMs that were killed together took demand that came up for too little (allowance TestPatterns)"},
-	{61, "the same, killed three times in a row"},
-	{74, "the same"},
-	{211, "VMs that had just started took what was asked of them for a tenth (allowance TestKilledAgainAndAgain)"},
-	{221, "a VM that got SIGHUP right after its start ended without a word (hangup TestHangupAtStart)"},
-	{323, "engines got their orders though the only other one had asked for a rest meanwhile (rollout TestRestWhileOrdersAreDue)"},
-	{110, "a decision took the snapshot from before a change that was being taken in (fleet TestSnapshotShowsMarkedChanges)"},
+	{1, "VMs with short key lifetimes became unready alternately: the wait of a watch did not depend on the key lifetime (settings, platform TestCalmDay)"},
+	{7000, "VMs that read the store through a peer became unready alternately: waits and read intervals did not depend on the key lifetime (edge TestProofsAreRenewedInTime)"},
+	{1796241844309321909, "all engines were ordered to load weights at the same time although half of them could have kept serving (rollout TestHalfServeAfterHolderGap)"},
+	{1796242706000003003, "a failure response to the resumption of a broken stream ended the stream as if it were complete (forward TestFailureOnResumeCutsStream)"},
+	{54, "VMs that were killed together estimated rising demand too low (allowance TestScenarios)"},
+	{61, "as seed 54, with VMs killed three times in a row"},
+	{74, "as seed 54"},
+	{211, "VMs that had just started estimated the demand they received at a tenth of its value (allowance TestRepeatedKills)"},
+	{221, "a VM that received SIGHUP right after its start ended without a log line (hangup TestHangupAtStart)"},
+	{323, "engines received orders although the only other engine had asked for a rest in the meantime (rollout TestRestDuringRollout)"},
+	{110, "a decision used a snapshot older than a change that was being applied (fleet TestSnapshotShowsMarkedChanges)"},
 }
 
 // build builds the daemon.
@@ -36,8 +36,8 @@
 	return program
 }
 
-// TestSoak runs the daemon as processes under drawn faults for some seconds. Bounds in
-// time are left out: CI's machine may be busy.
+// TestSoak runs daemon processes under drawn faults for 3 s with each seed. It does not check
+// timing bounds, because the CI machine may be busy.
 func TestSoak(t *testing.T) {
 	program := build(t)
 	for _, r := range regressions {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,13 +1,13 @@
-// Package soak runs threadwalld as real processes against stand-ins of the
-// platform, injects drawn faults from outside, and checks the promises from what
-// callers and replicas see.
+// Package soak runs threadwalld as real processes against a simulated platform,
+// injects randomly drawn faults from outside, and checks the router's guarantees
+// against what callers and replicas record.
 //
-// Faults overlap and come in series: connections to the store and to replicas are
-// delayed, silenced, cut one way, refused or reset by proxies; processes are
-// stopped, paused, killed and started again by signals; the store is down, slow,
-// loses answers or its history; replicas crash, drain, lose answers or hang;
-// configurations and weights change and keys are taken away. A seed draws the
-// faults; their effect in time differs from run to run.
+// Faults overlap and repeat. Proxies delay, block, block in one direction, refuse or
+// reset connections to the store and to replicas. Signals stop, pause, kill and
+// restart processes. The store is down, slow, or loses responses or its history.
+// Replicas crash, drain, lose responses or hang. Configurations and weights change
+// and keys are revoked. A seed determines the drawn faults; their timing differs
+// from run to run.
 package soak
 
 import (
@@ -21,52 +21,52 @@
 	"github.com/threadwall/threadwall/internal/lab/platformlab"
 )
 
-// Sizes and bounds of the soak's world.
+// Sizes and time bounds of the harness.
 const (
 	host     = "soak.example"
 	model    = "m"
-	pieces   = 6
+	chunks   = 6
 	keyCount = 4
 
 	keyTTL = 2 * time.Second
 	grace  = 4 * time.Second
-	// inForce is how long after its confirmation a configuration is in force at VMs
-	// without trouble.
-	inForce = 2 * time.Second
-	// contact is for how long nothing may have been wrong for bounds in time to hold.
-	contact = 3 * time.Second
-	// drainTime is how long a draining replica goes on to serve.
+	// propagationTime is how long a VM without faults may take to apply a configuration after
+	// the store confirmed it.
+	propagationTime = 2 * time.Second
+	// faultFreeTime is how long no fault may have occurred for timing bounds to hold.
+	faultFreeTime = 3 * time.Second
+	// drainTime is how long a draining replica continues to serve.
 	drainTime = 2 * time.Second
 )
 
-// world is one soak's processes and stand-ins.
-type world struct {
+// harness holds the processes of one soak and its simulated platform.
+type harness struct {
 	dir    string
 	store  *platformlab.Store
 	ledger *platformlab.Ledger
 	vms    []*process
-	// calmServes: calls while nothing is wrong must be served, and bounds in time hold.
-	calmServes bool
-
-	mu        sync.Mutex
-	replicas  []*replica
-	started   int
-	config    config
-	confirms  []confirm
-	revoked   map[string]time.Time // keys, by when their loss was confirmed
-	born      map[string]time.Time // when a key that replaced another was confirmed
-	left      map[string]time.Time // replicas, by when their leaving was confirmed
-	keys      [keyCount]string
-	keyNumber int
-	weights   int
-	fatal     map[string][]fatalCall // repeats, by their body
-	crashes   int                    // of replicas, under them
-	wiped     []time.Time            // when all VMs were killed
-	trouble   time.Time              // when anything but a VM's own trouble last began or ended
-	active    int                    // such troubles that go on
-}
-
-// replica is a stand-in behind a proxy.
+	// checkTiming: calls without a fault must be served, and timing bounds must hold.
+	checkTiming bool
+
+	mu           sync.Mutex
+	replicas     []*replica
+	started      int
+	config       config
+	confirms     []confirm
+	revoked      map[string]time.Time // when the store confirmed the revocation of a key
+	issued       map[string]time.Time // when the store confirmed a key that replaced another
+	left         map[string]time.Time // when a replica began to drain, by its id
+	keys         [keyCount]string
+	keyNumber    int
+	weights      int
+	fatal        map[string][]fatalCall // repeats of fatal requests, by body
+	crashes      int                    // of replicas that ran fatal requests
+	allKilled    []time.Time            // when all VMs were killed
+	lastFault    time.Time              // start or end of the last fault outside the VMs
+	activeFaults int                    // number of faults outside the VMs that last
+}
+
+// replica is a simulated replica behind a proxy.
 type replica struct {
 	*platformlab.Replica
 	proxy *Proxy
@@ -84,12 +84,12 @@
 type tenant struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"apiKeys"`
-	// Allowance, in requests; zero: none.
+	// Allowance in requests; 0 means none.
 	RatePerS float64 `json:"ratePerS,omitempty"`
 	Burst    float64 `json:"burst,omitempty"`
 }
 
-// confirm is when the store confirmed a version.
+// confirm is a configuration version and when the store confirmed it.
 type confirm struct {
 	version int
 	at      time.Time
@@ -102,10 +102,11 @@
 	}
 }
 
-// newWorld starts everything: vms processes, engines and service replicas.
-func newWorld(dir, program string, vms, directFleet int) (*world, error) {
-	w := &world{dir: dir, store: platformlab.NewStore(), ledger: &platformlab.Ledger{}, revoked: map[string]time.Time{}, born: map[string]time.Time{}, left: map[string]time.Time{}, fatal: map[string][]fatalCall{}, weights: 1}
-	w.config = config{
+// newHarness starts the store, three replicas of each service and vms processes. The caller
+// must close the returned harness, also after an error.
+func newHarness(dir, program string, vms, directFleet int) (*harness, error) {
+	h := &harness{dir: dir, store: platformlab.NewStore(), ledger: &platformlab.Ledger{}, revoked: map[string]time.Time{}, issued: map[string]time.Time{}, left: map[string]time.Time{}, fatal: map[string][]fatalCall{}, weights: 1}
+	h.config = config{
 		Version: 1,
 		Routes: []map[string]any{
 			route(pathOnce, "non_idempotent", "svc", 1, false), route(pathRepeat, "idempotent", "svc", 2, false),
@@ -115,55 +116,56 @@
 		Limits:   map[string]int{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
 	}
 	for i := range keyCount {
-		w.keys[i] = w.newKey()
-		w.config.Tenants = append(w.config.Tenants, tenant{Name: fmt.Sprint("t", i), APIKeys: []string{w.keys[i]}})
+		h.keys[i] = h.newKey()
+		h.config.Tenants = append(h.config.Tenants, tenant{Name: fmt.Sprint("t", i), APIKeys: []string{h.keys[i]}})
 	}
-	w.config.Tenants = append(w.config.Tenants, tenant{
+	h.config.Tenants = append(h.config.Tenants, tenant{
 		Name: limitedWorkspace, APIKeys: []string{limitedKey}, RatePerS: limitedRate, Burst: limitedBurst,
 	})
-	w.write()
-	w.store.Put("versions", model, map[string]any{"model": model, "version": w.weights})
+	h.write()
+	h.store.Put("versions", model, map[string]any{"model": model, "version": h.weights})
 	for range 3 {
-		if err := w.addReplica("llm"); err != nil {
-			return w, err
+		if err := h.addReplica("llm"); err != nil {
+			return h, err
 		}
-		if err := w.addReplica("svc"); err != nil {
-			return w, err
+		if err := h.addReplica("svc"); err != nil {
+			return h, err
 		}
 	}
 	for i := range vms {
-		p, err := newProcess(dir, program, fmt.Sprint("vm", i), strings.TrimPrefix(w.store.URL(), "http://"), directFleet)
+		p, err := newProcess(dir, program, fmt.Sprint("vm", i), strings.TrimPrefix(h.store.URL(), "http://"), directFleet)
 		if err != nil {
-			return w, err
+			return h, err
 		}
-		w.vms = append(w.vms, p)
+		h.vms = append(h.vms, p)
 	}
-	return w, nil
+	return h, nil
 }
 
-func (w *world) newKey() string {
-	w.keyNumber++
-	return fmt.Sprintf("key-%d", w.keyNumber)
+func (h *harness) newKey() string {
+	h.keyNumber++
+	return fmt.Sprintf("key-%d", h.keyNumber)
 }
 
-// write stores the configuration. The lock is held, or nobody else is there yet.
-func (w *world) write() {
-	w.store.Put("config", "main", w.config)
-	w.confirms = append(w.confirms, confirm{w.config.Version, time.Now()})
+// write stores the configuration. The caller holds mu, unless no other goroutine uses the
+// harness yet.
+func (h *harness) write() {
+	h.store.Put("config", "main", h.config)
+	h.confirms = append(h.confirms, confirm{h.config.Version, time.Now()})
 }
 
 // addReplica starts a replica of a service behind a proxy.
-func (w *world) addReplica(service string) error {
-	w.mu.Lock()
-	w.started++
-	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, w.started), Service: service, Zone: "z1", Work: 3 * time.Millisecond}}
+func (h *harness) addReplica(service string) error {
+	h.mu.Lock()
+	h.started++
+	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, h.started), Service: service, Zone: "z1", Work: 3 * time.Millisecond}}
 	if service == "llm" {
-		r.Model, r.Pieces, r.Pause = model, pieces, 5*time.Millisecond
-		r.SetVersion(w.weights)
+		r.Model, r.Pieces, r.Pause = model, chunks, 5*time.Millisecond
+		r.SetVersion(h.weights)
 	}
-	r.Fatal = &platformlab.Fatal{Body: fatalBody, Work: fatalWork, Crashed: func(*platformlab.Replica) { w.crashUnder(r) }}
-	w.mu.Unlock()
-	if err := r.Listen(w.ledger); err != nil {
+	r.Fatal = &platformlab.Fatal{Body: fatalBody, Work: fatalWork, Crashed: func(*platformlab.Replica) { h.onFatalCrash(r) }}
+	h.mu.Unlock()
+	if err := r.Listen(h.ledger); err != nil {
 		return err
 	}
 	proxy, err := NewProxy(r.Addr())
@@ -171,76 +173,77 @@
 		return err
 	}
 	r.proxy = proxy
-	r.Register(w.store, proxy.Addr())
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.replicas = append(w.replicas, r)
+	r.Register(h.store, proxy.Addr())
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.replicas = append(h.replicas, r)
 	return nil
 }
 
-// key returns the i-th key that holds now.
-func (w *world) key(i int) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.keys[i]
+// key returns the i-th key that is valid now.
+func (h *harness) key(i int) string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.keys[i]
 }
 
-// confirmed returns the newest version that was confirmed long enough ago to be in
-// force.
-func (w *world) confirmed() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// confirmed returns the newest version that the store confirmed more than propagationTime
+// ago.
+func (h *harness) confirmed() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	version := 0
-	for _, c := range w.confirms {
-		if time.Since(c.at) > inForce {
+	for _, c := range h.confirms {
+		if time.Since(c.at) > propagationTime {
 			version = c.version
 		}
 	}
 	return version
 }
 
-// begin notes that a trouble begins that is not one VM's own; the function that it
-// returns notes its end.
-func (w *world) begin() (end func()) {
-	w.note(1)
-	return func() { w.note(-1) }
+// begin records the start of a fault outside the VMs. The caller must call the returned
+// function at the end of the fault.
+func (h *harness) begin() (end func()) {
+	h.countFault(1)
+	return func() { h.countFault(-1) }
 }
 
-func (w *world) note(change int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.active += change
-	w.trouble = time.Now()
+func (h *harness) countFault(change int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.activeFaults += change
+	h.lastFault = time.Now()
 }
 
-// calm tells whether nothing has been wrong with a VM, nor anywhere, for a while.
-func (w *world) calm(p *process) bool {
-	w.mu.Lock()
-	quiet := w.active == 0 && time.Since(w.trouble) > contact
-	w.mu.Unlock()
-	return quiet && p.calm(contact)
+// faultFree reports whether neither the VM nor anything outside the VMs had a fault for
+// faultFreeTime.
+func (h *harness) faultFree(p *process) bool {
+	h.mu.Lock()
+	quiet := h.activeFaults == 0 && time.Since(h.lastFault) > faultFreeTime
+	h.mu.Unlock()
+	return quiet && p.faultFree(faultFreeTime)
 }
 
-// close ends all that the soak started.
-func (w *world) close() {
-	for _, p := range w.vms {
+// close ends all processes and replicas, and the store.
+func (h *harness) close() {
+	for _, p := range h.vms {
 		p.end()
 	}
-	for _, r := range w.replicas {
+	for _, r := range h.replicas {
 		r.Crash()
 		r.proxy.Close()
 	}
-	w.store.Close()
+	h.store.Close()
 }
 
-// logs returns the names of the processes' logs.
-func (w *world) logs() []string {
-	names, err := filepath.Glob(filepath.Join(w.dir, "*.log"))
+// logs returns the paths of the log files of the processes.
+func (h *harness) logs() []string {
+	names, err := filepath.Glob(filepath.Join(h.dir, "*.log"))
 	if err != nil {
 		return nil // the pattern is fixed and valid
 	}
 	return names
 }
 
-// makeDir returns a directory for settings and logs.
+// makeDir creates a temporary directory for settings and logs.
 func makeDir() (string, error) { return os.MkdirTemp("", "threadwall-soak-") }
