--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,2 +1,3 @@
-// Package e2e tests whole requests: callers, VMs in this process, stand-ins.
+// Package e2e tests requests end to end: from callers through VMs that run in the test
+// process to a simulated platform with engines and services.
 package e2e
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -20,8 +20,8 @@
 
 const workspace = "redes-cartago"
 
-// world is an example with VMs in this process.
-type world struct {
+// harness runs an example platform with VMs in the test process.
+type harness struct {
 	*testing.T
 	s   *lab.StandIns
 	vms *lab.VMs
@@ -29,19 +29,20 @@
 
 var domains = []ids.FailureDomain{"sala-heredia", "sala-cartago"}
 
-func start(t *testing.T, each int) *world {
+// start starts VMs in each of the domains, with the number of VMs per domain given by each.
+func start(t *testing.T, each int) *harness {
 	t.Helper()
 	return startOn(t, each, nil)
 }
 
-// startOn starts VMs on a network of the test's own.
-func startOn(t *testing.T, each int, network func(*lab.StandIns) func(settings.Settings) (string, string)) *world {
+// startOn starts VMs whose store and peer addresses are set by network.
+func startOn(t *testing.T, each int, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
 	t.Helper()
 	return startWith(t, each, lab.StartOptions{}, network)
 }
 
-// startWith starts stand-ins with some options.
-func startWith(t *testing.T, each int, o lab.StartOptions, network func(*lab.StandIns) func(settings.Settings) (string, string)) *world {
+// startWith starts the platform with options, and VMs as startOn does.
+func startWith(t *testing.T, each int, o lab.StartOptions, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
 	t.Helper()
 	ex, err := lab.ReadExample("../../examples/solano")
 	if err != nil {
@@ -61,11 +62,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { vms.Stop(context.Background()) })
-	return &world{T: t, s: s, vms: vms}
+	return &harness{T: t, s: s, vms: vms}
 }
 
-func (w *world) client() openai.Client {
-	return openai.NewClient(option.WithBaseURL(w.vms.Entries()[0]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
+func (h *harness) client() openai.Client {
+	return openai.NewClient(option.WithBaseURL(h.vms.Entries()[0]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
 }
 
 func params(question string) openai.ChatCompletionNewParams {
@@ -77,7 +78,7 @@
 	}
 }
 
-// wantText is the whole answer that the stand-in gives to a question.
+// wantText returns the complete response of a simulated engine to a question.
 func wantText(question string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -87,16 +88,16 @@
 }
 
 // arm sets a fault on all engines.
-func (w *world) arm(f lab.Fault, count int) {
-	for _, e := range w.s.Engines {
+func (h *harness) arm(f lab.Fault, count int) {
+	for _, e := range h.s.Engines {
 		e.Faults().Arm(lab.FaultSpec{Fault: f, Count: count})
 	}
 }
 
-// stream asks by the official client and returns the text and the stream's error.
-func (w *world) stream(question string) (string, error) {
-	c := w.client()
-	st := c.Chat.Completions.NewStreaming(w.Context(), params(question))
+// stream sends a question with the official client and returns the streamed text and the error.
+func (h *harness) stream(question string) (string, error) {
+	c := h.client()
+	st := c.Chat.Completions.NewStreaming(h.Context(), params(question))
 	defer func() { _ = st.Close() }()
 	var b strings.Builder
 	for st.Next() {
@@ -107,15 +108,15 @@
 	return b.String(), st.Err()
 }
 
-func TestOfficialClientWhole(t *testing.T) {
-	w := start(t, 1)
-	c := w.client()
+func TestOfficialClient(t *testing.T) {
+	h := start(t, 1)
+	c := h.client()
 	got, err := c.Chat.Completions.New(t.Context(), params("whole?"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got.Choices[0].Message.Content != wantText("whole?", 20) || got.Choices[0].FinishReason != "stop" {
-		t.Fatalf("answer %+v", got.Choices[0])
+		t.Fatalf("response %+v", got.Choices[0])
 	}
 	if !strings.Contains(got.ID, "req-") || got.Usage.PromptTokens == 0 {
 		t.Fatalf("id %q, usage %+v", got.ID, got.Usage)
@@ -132,150 +133,152 @@
 	}
 }
 
-// Each fault of a target must leave the caller with the whole answer: the stream
-// is resumed, or another replica continues it.
-func TestStreamsAreWholeUnderFaults(t *testing.T) {
-	w := start(t, 1)
+// TestStreamsCompleteUnderFaults checks that a caller gets the complete response under each
+// fault of a target: the stream is resumed, or another replica continues it.
+func TestStreamsCompleteUnderFaults(t *testing.T) {
+	h := start(t, 1)
 	for _, f := range []lab.Fault{
 		"", lab.FaultTruncate, lab.FaultCloseEarly, lab.FaultDuplicate, lab.FaultReorder, lab.FaultCross,
 	} {
-		w.arm(f, 1)
+		h.arm(f, 1)
 		q := "fault " + string(f)
-		text, err := w.stream(q)
+		text, err := h.stream(q)
 		if err != nil || text != wantText(q, 20) {
 			t.Errorf("fault %q: error %v, text %q", f, err, text)
 		}
-		w.arm(f, 0)
+		h.arm(f, 0)
 	}
 }
 
-// A target that refuses with "not run" is followed by another.
+// TestRefusalsAreRetried checks that a request that a target refused as not run is sent to
+// another target.
 func TestRefusalsAreRetried(t *testing.T) {
-	w := start(t, 1)
+	h := start(t, 1)
 	armed := 0
-	for _, e := range w.s.Engines {
+	for _, e := range h.s.Engines {
 		if armed++; armed <= 3 {
 			e.Faults().Arm(lab.FaultSpec{Fault: lab.FaultRefuse, Count: 1})
 		}
 	}
 	for i := range 10 {
 		q := fmt.Sprint("refused ", i)
-		if text, err := w.stream(q); err != nil || text != wantText(q, 20) {
+		if text, err := h.stream(q); err != nil || text != wantText(q, 20) {
 			t.Errorf("error %v, text %q", err, text)
 		}
 	}
 }
 
-// A target that breaks and has forgotten the answer when asked to resume (it
-// restarted, say) is followed by another, since the template allows it.
-func TestForgottenAnswerIsContinued(t *testing.T) {
-	w := start(t, 1)
-	w.arm(lab.FaultForget, -1)
-	for _, e := range w.s.Engines {
+// TestLostResponseIsContinued breaks streams at targets that no longer have the response when
+// asked to resume it, for example after a restart. Another target continues such a stream,
+// since the template allows it.
+func TestLostResponseIsContinued(t *testing.T) {
+	h := start(t, 1)
+	h.arm(lab.FaultForget, -1)
+	for _, e := range h.s.Engines {
 		e.Faults().Arm(lab.FaultSpec{Fault: lab.FaultTruncate, Count: 1})
 	}
-	first := true
+	noneContinued := true
 	for i := range 8 {
 		q := fmt.Sprint("forgotten ", i)
-		text, err := w.stream(q)
+		text, err := h.stream(q)
 		if err == nil && text != wantText(q, 20) {
-			t.Errorf("looks complete with %q", text)
+			t.Errorf("stream looks complete with %q", text)
 		}
-		if err == nil && w.vms.Daemons[0].Metrics().Retries > 0 {
-			first = false
+		if err == nil && h.vms.Daemons[0].Metrics().Retries > 0 {
+			noneContinued = false
 		}
 	}
-	if first {
+	if noneContinued {
 		t.Error("no stream was continued")
 	}
 }
 
-// A caller whose connection breaks while its booking runs gets the answer when it
-// asks again; the booking runs once.
-func TestBookingOutlivesItsCaller(t *testing.T) {
-	w := start(t, 1)
-	for _, svc := range w.s.Services {
+// TestBookingSurvivesCallerDisconnect checks that a caller whose connection breaks while its
+// booking runs gets the response when it repeats the call, and that the booking runs once.
+func TestBookingSurvivesCallerDisconnect(t *testing.T) {
+	h := start(t, 1)
+	for _, svc := range h.s.Services {
 		svc.Faults().Arm(lab.FaultSpec{Fault: lab.FaultStall, Count: 1})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, w.vms.Entries()[0]+"/v1/services/booking/bookings", strings.NewReader("{}"))
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, h.vms.Entries()[0]+"/v1/services/booking/bookings", strings.NewReader("{}"))
 	req.Header.Set("Authorization", "Bearer "+lab.KeyOf(workspace))
 	req.Header.Set("Idempotency-Key", "gone")
 	go func() {
-		waitFor(t, func() bool { objects, _, _ := w.s.Store.List(t.Context(), "claims/"); return len(objects) == 1 })
+		waitFor(t, func() bool { objects, _, _ := h.s.Store.List(t.Context(), "claims/"); return len(objects) == 1 })
 		cancel()
 	}()
 	if _, err := http.DefaultClient.Do(req); err == nil {
-		t.Fatal("the first caller was answered")
+		t.Fatal("the first caller got a response")
 	}
 	waitFor(t, func() bool {
-		resp, _ := w.post(1, "/v1/services/booking/bookings", lab.KeyOf(workspace), "gone", "{}")
+		resp, _ := h.post(1, "/v1/services/booking/bookings", lab.KeyOf(workspace), "gone", "{}")
 		return resp.StatusCode == http.StatusOK
 	})
-	if w.runs("gone") != 1 {
-		t.Errorf("%d runs", w.runs("gone"))
+	if h.runs("gone") != 1 {
+		t.Errorf("%d runs", h.runs("gone"))
 	}
 }
 
-// A refusal after an attempt that may have run must not say "not run", whatever
-// the last target said.
-func TestNotRunIsTrueOverAllAttempts(t *testing.T) {
-	w := start(t, 1)
-	for _, r := range w.s.Records {
+// TestNotRunCoversAllAttempts checks that a refusal after an attempt that may have run does
+// not claim "not run", whatever the last target reported.
+func TestNotRunCoversAllAttempts(t *testing.T) {
+	h := start(t, 1)
+	for _, r := range h.s.Records {
 		fault := lab.FaultRefuse
 		if r.ID == "yard-1" {
 			fault = lab.FaultLostAnswer
 		}
-		if e := w.s.Engines[r.ID]; e != nil {
+		if e := h.s.Engines[r.ID]; e != nil {
 			e.Faults().Arm(lab.FaultSpec{Fault: fault, Count: -1})
 		}
 	}
-	ran, untrue := int64(0), 0
+	ran, wrong := int64(0), 0
 	for i := range 40 {
-		before := w.served()
-		resp, body := w.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "",
+		before := h.served()
+		resp, body := h.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "",
 			fmt.Sprintf(`{"model":"yard","max_tokens":3,"messages":[{"role":"user","content":"q %d"}]}`, i))
 		if resp.StatusCode == http.StatusOK {
-			t.Fatalf("answered: %s", body)
+			t.Fatalf("unexpected success: %s", body)
 		}
-		if w.served() > before {
+		if h.served() > before {
 			ran++
 			if resp.Header.Get("X-Threadwall-Outcome") == "not-run" {
-				untrue++
+				wrong++
 			}
 		}
 	}
-	if ran == 0 || untrue > 0 {
-		t.Errorf("%d requests ran, %d of them were told not-run", ran, untrue)
+	if ran == 0 || wrong > 0 {
+		t.Errorf("%d requests ran, %d of them were reported as not-run", ran, wrong)
 	}
 }
 
-// served returns how many answers the engines generated to their end.
-func (w *world) served() int64 {
+// served returns how many responses the engines completed.
+func (h *harness) served() int64 {
 	var n int64
-	for _, e := range w.s.Engines {
+	for _, e := range h.s.Engines {
 		n += e.Served.Load()
 	}
 	return n
 }
 
-// A target that breaks every time, also when resumed, must yield an error and
-// never a stream that looks complete.
+// TestBrokenStreamIsNeverComplete checks that a stream that breaks at every attempt, also when
+// resumed, ends with an error and does not look complete.
 func TestBrokenStreamIsNeverComplete(t *testing.T) {
-	w := start(t, 1)
-	w.arm(lab.FaultTruncate, -1)
-	text, err := w.stream("broken?")
+	h := start(t, 1)
+	h.arm(lab.FaultTruncate, -1)
+	text, err := h.stream("broken?")
 	if err == nil {
 		t.Fatalf("no error after %q", text)
 	}
 	if !strings.HasPrefix(wantText("broken?", 20), text) {
-		t.Fatalf("delivered %q is no prefix of the answer", text)
+		t.Fatalf("delivered text %q is no prefix of the response", text)
 	}
 }
 
-func (w *world) post(entry int, path, key, idem, body string) (*http.Response, string) {
-	w.Helper()
-	req, _ := http.NewRequestWithContext(w.Context(), http.MethodPost, w.vms.Entries()[entry]+path, strings.NewReader(body))
+func (h *harness) post(entry int, path, key, idem, body string) (*http.Response, string) {
+	h.Helper()
+	req, _ := http.NewRequestWithContext(h.Context(), http.MethodPost, h.vms.Entries()[entry]+path, strings.NewReader(body))
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
@@ -284,7 +287,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		w.Fatal(err)
+		h.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, _ := io.ReadAll(resp.Body)
@@ -292,7 +295,7 @@
 }
 
 func TestTypedErrors(t *testing.T) {
-	w := start(t, 1)
+	h := start(t, 1)
 	key := lab.KeyOf(workspace)
 	chat := func(model, rest string) string {
 		return `{"model":"` + model + `","messages":[{"role":"user","content":"x"}]` + rest + `}`
@@ -317,7 +320,7 @@
 		{"old key", "/v1/services/booking/x", key, "017f22e2-79b0-7cc3-98c4-dc0c0c07398f", "{}", 422, "idempotency_key_expired", "not-run"},
 		{"path", "/v1/none", key, "", "{}", 400, "invalid_request", "not-run"},
 	} {
-		resp, body := w.post(0, c.path, c.key, c.idem, c.body)
+		resp, body := h.post(0, c.path, c.key, c.idem, c.body)
 		var e struct {
 			Error struct{ Code, Outcome, Message, RequestID string }
 		}
@@ -328,68 +331,69 @@
 	}
 }
 
-func (w *world) runs(key string) int { return w.s.Booked()[key] }
+func (h *harness) runs(key string) int { return h.s.Booked()[key] }
 
 func TestBookings(t *testing.T) {
-	w := start(t, 1)
+	h := start(t, 1)
 	key := lab.KeyOf(workspace)
 	book := func(entry int, idem, body string) (*http.Response, string) {
-		return w.post(entry, "/v1/services/booking/bookings", key, idem, body)
+		return h.post(entry, "/v1/services/booking/bookings", key, idem, body)
 	}
 	first, a := book(0, "k1", `{"d":1}`)
 	again, b := book(1, "k1", `{"d":1}`)
-	if first.StatusCode != 200 || again.StatusCode != 200 || a != b || w.runs("k1") != 1 {
-		t.Fatalf("duplicate: %q then %q, %d runs", a, b, w.runs("k1"))
+	if first.StatusCode != 200 || again.StatusCode != 200 || a != b || h.runs("k1") != 1 {
+		t.Fatalf("duplicate: %q then %q, %d runs", a, b, h.runs("k1"))
 	}
-	if resp, body := book(1, "k1", `{"d":2}`); resp.StatusCode != 422 || w.runs("k1") != 1 {
+	if resp, body := book(1, "k1", `{"d":2}`); resp.StatusCode != 422 || h.runs("k1") != 1 {
 		t.Fatalf("other body: %d %s", resp.StatusCode, body)
 	}
 
 	arm := func(f lab.Fault, n int) {
-		for _, svc := range w.s.Services {
+		for _, svc := range h.s.Services {
 			svc.Faults().Arm(lab.FaultSpec{Fault: f, Count: n})
 		}
 	}
 	arm(lab.FaultLostAnswer, 1)
 	resp, body := book(0, "k2", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "unknown" {
-		t.Fatalf("lost answer: %s", body)
+		t.Fatalf("lost response: %s", body)
 	}
 	arm(lab.FaultLostAnswer, 0)
 	resp, body = book(1, "k2", "{}")
-	if resp.Header.Get("X-Threadwall-Outcome") != "unknown" || w.runs("k2") != 1 {
-		t.Fatalf("after a lost answer: %s, %d runs", body, w.runs("k2"))
+	if resp.Header.Get("X-Threadwall-Outcome") != "unknown" || h.runs("k2") != 1 {
+		t.Fatalf("after a lost response: %s, %d runs", body, h.runs("k2"))
 	}
 
 	arm(lab.FaultRefuse, 1) // each of the two replicas refuses once
 	resp, body = book(0, "k3", "{}")
-	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || w.runs("k3") != 0 {
-		t.Fatalf("refused by all: %s, %d runs", body, w.runs("k3"))
+	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || h.runs("k3") != 0 {
+		t.Fatalf("refused by all: %s, %d runs", body, h.runs("k3"))
 	}
-	if resp, body = book(1, "k3", "{}"); resp.StatusCode != 200 || w.runs("k3") != 1 {
-		t.Fatalf("after a true refusal: %d %s, %d runs", resp.StatusCode, body, w.runs("k3"))
+	if resp, body = book(1, "k3", "{}"); resp.StatusCode != 200 || h.runs("k3") != 1 {
+		t.Fatalf("after a refusal as not run: %d %s, %d runs", resp.StatusCode, body, h.runs("k3"))
 	}
 
-	w.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.Set(lab.Trouble{Down: true})
 	resp, body = book(0, "k4", "{}")
-	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || w.runs("k4") != 0 {
-		t.Fatalf("store down: %s, %d runs", body, w.runs("k4"))
+	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || h.runs("k4") != 0 {
+		t.Fatalf("store down: %s, %d runs", body, h.runs("k4"))
 	}
-	if text, err := w.stream("store down?"); err != nil || text != wantText("store down?", 20) {
+	if text, err := h.stream("store down?"); err != nil || text != wantText("store down?", 20) {
 		t.Fatalf("prompt with the store down: %v", err)
 	}
-	w.s.Store.Set(lab.Trouble{LostAnswer: 1})
+	h.s.Store.Set(lab.Trouble{LostAnswer: 1})
 	resp, body = book(0, "k5", "{}")
-	if resp.StatusCode != 200 || w.runs("k5") != 1 {
-		t.Fatalf("lost store answers: %d %s, %d runs", resp.StatusCode, body, w.runs("k5"))
+	if resp.StatusCode != 200 || h.runs("k5") != 1 {
+		t.Fatalf("lost store responses: %d %s, %d runs", resp.StatusCode, body, h.runs("k5"))
 	}
 }
 
-// Cancelling a request by closing its connection reaches the target.
+// TestCancelReachesTarget checks that closing the connection of a request cancels it at the
+// target.
 func TestCancelReachesTarget(t *testing.T) {
-	w := start(t, 1)
+	h := start(t, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	c := w.client()
+	c := h.client()
 	p := params("cancel?")
 	p.MaxTokens = openai.Int(100_000)
 	st := c.Chat.Completions.NewStreaming(ctx, p)
@@ -399,19 +403,19 @@
 	cancel()
 	waitFor(t, func() bool {
 		var n int64
-		for _, e := range w.s.Engines {
+		for _, e := range h.s.Engines {
 			n += e.Cancelled.Load()
 		}
 		return n == 1
 	})
 }
 
-// waitFor waits for a condition that must come; the bound only ends a failed test.
+// waitFor polls until cond holds. It fails the test after 20 s.
 func waitFor(t *testing.T, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it did not come about")
+			t.Fatal("condition not met within 20 s")
 		}
 	}
 }
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -10,13 +10,13 @@
 	"github.com/threadwall/threadwall/internal/lab"
 )
 
-// A prompt, or a call of a service, crashed whatever ran it and was asked again and again.
-// The interface for callers of threadwall's own has the same gap as that for opaque calls:
-// its bounds on attempts and its retry budget count within one call, so that each repeat
-// was sent on, to two or three targets. Eight seconds of repeats, one each 250 ms:
+// A prompt or service call that crashes its target, and is repeated by callers, used to reach
+// ever more targets. Limits on attempts and the retry budget apply within one call, for
+// threadwall's own API as for opaque calls, so that each repeat reached two or three targets.
+// Results before quarantine applied to them, for 8 s of repeats every 250 ms:
 //
-//	prompt:  36 targets crashed, 12 of them more than three seconds after the third
-//	service: 28 targets crashed, 15 of them more than three seconds after the third
+//	prompt:  36 targets crashed, 12 of them more than 3 s after the third
+//	service: 28 targets crashed, 15 of them more than 3 s after the third
 const (
 	fatalText   = "crashes-what-runs-it"
 	fatalRest   = 300 * time.Millisecond
@@ -25,30 +25,31 @@
 	mostAfter   = 3
 )
 
-// TestFatalRequests repeats what crashes targets at VMs of two failure domains, and asks for
-// the bound on what it reaches after it is to be known, and that others are served.
+// TestFatalRequests repeats a request that crashes its target at VMs of two failure domains.
+// At most mostAfter targets may crash later than knownAfter after the third crash, when all
+// VMs must know of the request. Other calls must be served.
 func TestFatalRequests(t *testing.T) {
 	key := lab.KeyOf(workspace)
-	for name, ask := range map[string]func(w *world, n int) int{
-		"prompt": func(w *world, n int) int {
+	for name, ask := range map[string]func(h *harness, n int) int{
+		"prompt": func(h *harness, n int) int {
 			body := fmt.Sprintf(`{"model":"yard","stream":true,"messages":[{"role":"user","content":%q}]}`, fatalText)
-			resp, _ := w.post(n%len(w.vms.Entries()), "/v1/chat/completions", key, "", body)
+			resp, _ := h.post(n%len(h.vms.Entries()), "/v1/chat/completions", key, "", body)
 			return resp.StatusCode
 		},
-		"service": func(w *world, n int) int {
-			resp, _ := w.post(n%len(w.vms.Entries()), "/v1/services/booking/x", key, fmt.Sprint("fatal-", n), fatalText)
+		"service": func(h *harness, n int) int {
+			resp, _ := h.post(n%len(h.vms.Entries()), "/v1/services/booking/x", key, fmt.Sprint("fatal-", n), fatalText)
 			return resp.StatusCode
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startWith(t, 2, lab.StartOptions{Fatal: fatalText, FatalRest: fatalRest}, nil)
+			h := startWith(t, 2, lab.StartOptions{Fatal: fatalText, FatalRest: fatalRest}, nil)
 			statuses := map[int]int{}
 			for n := range int(8 * time.Second / repeatEvery) {
-				statuses[ask(w, n)]++
+				statuses[ask(h, n)]++
 				time.Sleep(repeatEvery)
 			}
-			crashes := w.s.Crashes()
+			crashes := h.s.Crashes()
 			if len(crashes) < 3 {
 				t.Fatalf("only %d targets crashed", len(crashes))
 			}
@@ -60,11 +61,11 @@
 			}
 			t.Logf("%d targets crashed, %d of them more than %v after the third; statuses %v", len(crashes), late, knownAfter, statuses)
 			if late > mostAfter {
-				t.Errorf("%d targets crashed after the request was to be known, %d are allowed", late, mostAfter)
+				t.Errorf("%d targets crashed after all VMs had to know of the request, allowed are %d", late, mostAfter)
 			}
 			time.Sleep(fatalRest)
-			if resp, body := w.post(0, "/v1/services/booking/x", key, "other", "harmless"); resp.StatusCode != http.StatusOK {
-				t.Errorf("another call got %d, %s", resp.StatusCode, strings.TrimSpace(body))
+			if resp, body := h.post(0, "/v1/services/booking/x", key, "other", "harmless"); resp.StatusCode != http.StatusOK {
+				t.Errorf("another call got status %d: %s", resp.StatusCode, strings.TrimSpace(body))
 			}
 		})
 	}
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -24,10 +24,11 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// A graceful shutdown says "not ready" first, and cuts no request in flight.
+// TestGracefulShutdown checks that a graceful shutdown, which reports not ready first, does not
+// cut off a request in flight.
 func TestGracefulShutdown(t *testing.T) {
-	w := start(t, 1)
-	c := w.client()
+	h := start(t, 1)
+	c := h.client()
 	p := params("in flight?")
 	p.MaxTokens = openai.Int(400)
 	st := c.Chat.Completions.NewStreaming(t.Context(), p)
@@ -36,69 +37,71 @@
 	}
 	text := st.Current().Choices[0].Delta.Content
 	stopped := make(chan error)
-	go func() { stopped <- w.vms.Daemons[0].Stop(context.Background()) }()
+	go func() { stopped <- h.vms.Daemons[0].Stop(context.Background()) }()
 	for st.Next() {
 		if ch := st.Current().Choices; len(ch) > 0 {
 			text += ch[0].Delta.Content
 		}
 	}
 	if st.Err() != nil || text != wantText("in flight?", 400) {
-		t.Fatalf("cut by the shutdown: %v", st.Err())
+		t.Fatalf("request cut off by the shutdown: %v", st.Err())
 	}
 	if err := <-stopped; err != nil {
 		t.Fatal(err)
 	}
-	w.vms.Daemons = w.vms.Daemons[1:]
+	h.vms.Daemons = h.vms.Daemons[1:]
 }
 
-// A target that leaves gets no new work, also while the platform is unreachable.
+// TestLeavingTarget checks that a leaving target gets no new requests, also while the platform
+// is unreachable.
 func TestLeavingTarget(t *testing.T) {
-	w := start(t, 2)
-	w.s.Store.Set(lab.Trouble{Down: true})
-	var leaver string
-	for _, r := range w.s.Records {
+	h := start(t, 2)
+	h.s.Store.Set(lab.Trouble{Down: true})
+	var leaving string
+	for _, r := range h.s.Records {
 		if r.Role == platform.RoleEngine {
-			leaver = r.ID
+			leaving = r.ID
 			break
 		}
 	}
-	w.s.Engines[leaver].SetLeaving(true)
+	h.s.Engines[leaving].SetLeaving(true)
 	waitFor(t, func() bool {
-		for _, d := range w.vms.Daemons {
+		for _, d := range h.vms.Daemons {
 			for _, x := range d.Status().Targets {
-				if string(x.ID) == leaver && x.StateName != "leaving" {
+				if string(x.ID) == leaving && x.StateName != "leaving" {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	before := w.s.Engines[leaver].Served.Load()
+	before := h.s.Engines[leaving].Served.Load()
 	for i := range 40 {
 		q := fmt.Sprint("leaving ", i)
-		if text, err := w.stream(q); err != nil || text != wantText(q, 20) {
+		if text, err := h.stream(q); err != nil || text != wantText(q, 20) {
 			t.Fatal(err)
 		}
 	}
-	if got := w.s.Engines[leaver].Served.Load(); got != before {
+	if got := h.s.Engines[leaving].Served.Load(); got != before {
 		t.Fatalf("the leaving target got %d requests", got-before)
 	}
 }
 
-// A change of configuration is in force on every VM, though not every VM watches.
-func TestConfigurationSpreads(t *testing.T) {
-	w := start(t, 3)
-	o, err := w.s.Store.Get(t.Context(), "config/workspace/"+workspace)
+// TestConfigurationPropagates checks that a configuration change reaches every VM, although not
+// every VM watches the store.
+func TestConfigurationPropagates(t *testing.T) {
+	h := start(t, 3)
+	o, err := h.s.Store.Get(t.Context(), "config/workspace/"+workspace)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := bytes.Replace(o.Value, []byte(`"weight":2`), []byte(`"weight":9`), 1)
-	rev, err := w.s.Store.Update(t.Context(), o.Key, changed, o.Version)
+	rev, err := h.s.Store.Update(t.Context(), o.Key, changed, o.Version)
 	if err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, func() bool {
-		for _, d := range w.vms.Daemons {
+		for _, d := range h.vms.Daemons {
 			if d.Node.Config.Revision() < rev || d.Config.Get().Workspaces[workspace].Limits.Weight != 9 {
 				return false
 			}
@@ -107,17 +110,18 @@
 	})
 }
 
-// Weights change on all engines of a domain while requests are served: no request
-// fails, and none is told cached tokens of the old weights' blocks.
+// TestRollingWeights changes the weights on all engines of a domain while requests are
+// served. No request may fail, and the engines must follow fenced orders. The test does not
+// check that responses report no cached tokens of the old weights.
 func TestRollingWeights(t *testing.T) {
-	w := start(t, 1)
+	h := start(t, 1)
 	var moved []string
-	for _, r := range w.s.Records {
+	for _, r := range h.s.Records {
 		if r.Role == platform.RoleEngine && r.FailureDomain == domains[0] {
 			moved = append(moved, r.ID)
 			intent := orders.Intent{Target: ids.Target(r.ID), Desired: orders.DesiredState{Weights: "w2"}}
 			value, _ := json.Marshal(intent)
-			if _, err := w.s.Store.Create(t.Context(), orders.Prefix+r.ID, value); err != nil {
+			if _, err := h.s.Store.Create(t.Context(), orders.Prefix+r.ID, value); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -126,69 +130,70 @@
 	waitFor(t, func() bool {
 		q := fmt.Sprint("rolling ", asked)
 		asked++
-		if text, err := w.stream(q); err != nil || text != wantText(q, 20) {
+		if text, err := h.stream(q); err != nil || text != wantText(q, 20) {
 			t.Fatalf("request %d: %v", asked, err)
 		}
 		for _, id := range moved {
-			if w.s.Engines[id].Weights() != "w2" {
+			if h.s.Engines[id].Weights() != "w2" {
 				return false
 			}
 		}
 		return true
 	})
 	for _, id := range moved {
-		if got := w.s.Engines[id].Ordered(); len(got) == 0 || got[0] == 0 {
+		if got := h.s.Engines[id].Ordered(); len(got) == 0 || got[0] == 0 {
 			t.Errorf("%s followed orders with fences %v", id, got)
 		}
 	}
 }
 
-// restart replaces a VM by a new life of it, with the same settings.
-func (w *world) restart(i int) *daemon.Daemon {
-	w.Helper()
-	old := w.vms.Daemons[i]
+// restart replaces a VM by a new incarnation with the same settings.
+func (h *harness) restart(i int) *daemon.Daemon {
+	h.Helper()
+	old := h.vms.Daemons[i]
 	if err := old.Stop(context.Background()); err != nil {
-		w.Fatal(err)
+		h.Fatal(err)
 	}
 	d, err := daemon.New(old.Settings, daemon.Options{LogTo: io.Discard})
 	if err != nil {
-		w.Fatal(err)
+		h.Fatal(err)
 	}
-	if err := d.Start(w.Context()); err != nil {
-		w.Fatal(err)
+	if err := d.Start(h.Context()); err != nil {
+		h.Fatal(err)
 	}
-	w.vms.Daemons[i] = d
+	h.vms.Daemons[i] = d
 	return d
 }
 
-// A restarted VM has its peer's configuration, targets and cache beliefs when it
-// says that it is ready, with the platform down.
+// TestRestartKeepsKnowledge checks that a VM restarted with the platform down has the
+// configuration, the targets and the cache view of its peer once it reports ready.
 func TestRestartKeepsKnowledge(t *testing.T) {
-	w := start(t, 2)
+	h := start(t, 2)
 	for i := range 6 {
-		if _, err := w.stream(fmt.Sprint("warm ", i)); err != nil {
+		if _, err := h.stream(fmt.Sprint("warm ", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	peer := w.vms.Daemons[1]
+	peer := h.vms.Daemons[1]
 	waitFor(t, func() bool { return len(peer.Fleet.Cache.Entries(100)) > 0 })
-	w.s.Store.Set(lab.Trouble{Down: true})
-	d := w.restart(0)
+	h.s.Store.Set(lab.Trouble{Down: true})
+	d := h.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready })
 	if got, want := len(d.Fleet.Cache.Entries(100)), len(peer.Fleet.Cache.Entries(100)); got < want || want == 0 {
-		t.Errorf("%d beliefs after the restart, the peer has %d", got, want)
+		t.Errorf("%d cache view entries after the restart, the peer has %d", got, want)
 	}
 	if d.Node.Config.Revision() != peer.Node.Config.Revision() {
-		t.Errorf("configuration %d, the peer has %d", d.Node.Config.Revision(), peer.Node.Config.Revision())
+		t.Errorf("configuration revision %d, the peer has %d", d.Node.Config.Revision(), peer.Node.Config.Revision())
 	}
-	if text, err := w.stream("after the restart"); err != nil || text != wantText("after the restart", 20) {
+	if text, err := h.stream("after the restart"); err != nil || text != wantText("after the restart", 20) {
 		t.Errorf("%v", err)
 	}
 }
 
-// A configuration of several large documents reaches a restarted VM from a peer.
+// TestLargeConfigurationFromPeer checks that a restarted VM gets a configuration of eight
+// documents of 900,000 bytes each from a peer.
 func TestLargeConfigurationFromPeer(t *testing.T) {
-	w := start(t, 2)
+	h := start(t, 2)
 	var last objectapi.Revision
 	for i := range 8 {
 		o := config.Object{Kind: config.KindDocument, Name: fmt.Sprint("large-", i), Document: &config.Document{Text: strings.Repeat("x", 900_000)}}
@@ -196,53 +201,55 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if last, err = w.s.Store.Create(t.Context(), o.Key(), value); err != nil {
+		if last, err = h.s.Store.Create(t.Context(), o.Key(), value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, func() bool { return w.vms.Daemons[1].Node.Config.Revision() >= last })
-	w.s.Store.Set(lab.Trouble{Down: true})
-	d := w.restart(0)
+	waitFor(t, func() bool { return h.vms.Daemons[1].Node.Config.Revision() >= last })
+	h.s.Store.Set(lab.Trouble{Down: true})
+	d := h.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready && d.Node.Config.Revision() >= last })
 }
 
-// All VMs of a domain but one restart at once, with the platform down.
-func TestHerdWithOneSurvivor(t *testing.T) {
-	w := start(t, 4)
-	w.s.Store.Set(lab.Trouble{Down: true})
-	herd := []int{1, 2, 3}
+// TestConcurrentRestartsWithOnePeer restarts all VMs of a domain but one at the same time,
+// with the platform down.
+func TestConcurrentRestartsWithOnePeer(t *testing.T) {
+	h := start(t, 4)
+	h.s.Store.Set(lab.Trouble{Down: true})
+	restarted := []int{1, 2, 3}
 	done := make(chan *daemon.Daemon)
-	for _, i := range herd {
-		go func() { done <- w.restart(i) }()
+	for _, i := range restarted {
+		go func() { done <- h.restart(i) }()
 	}
-	for range herd {
+	for range restarted {
 		d := <-done
 		waitFor(t, func() bool { return d.Status().Ready })
 	}
 }
 
-// With no peer and no platform, a VM is not ready and says why.
-func TestNotReadySaysWhy(t *testing.T) {
-	w := start(t, 1)
-	w.s.Store.Set(lab.Trouble{Down: true})
-	d := w.restart(0)
+// TestNotReadyReportsReason checks that a VM with neither a peer nor the platform is not ready
+// and reports the reason.
+func TestNotReadyReportsReason(t *testing.T) {
+	h := start(t, 1)
+	h.s.Store.Set(lab.Trouble{Down: true})
+	d := h.restart(0)
 	waitFor(t, func() bool { return strings.Contains(d.Status().Reason, "neither a peer nor the object API") })
-	if resp, body := w.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "", "{}"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
+	if resp, body := h.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "", "{}"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, %s", resp.StatusCode, body)
 	}
 }
 
-// Every recorded decision comes out the same when it is made again from its
-// record; a record that was tampered with does not.
+// TestDecisionsReplay checks that replaying a recorded decision gives the recorded choice, and
+// that a changed record gives another.
 func TestDecisionsReplay(t *testing.T) {
-	w := start(t, 2)
+	h := start(t, 2)
 	for i := range 30 {
-		if _, err := w.stream(fmt.Sprint("replay ", i%7)); err != nil {
+		if _, err := h.stream(fmt.Sprint("replay ", i%7)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	n := 0
-	for _, d := range w.vms.Daemons {
+	for _, d := range h.vms.Daemons {
 		for _, e := range d.Events.Events("") {
 			var rec routing.Record
 			if e.Kind != timeline.KindDecision || json.Unmarshal(e.Detail, &rec) != nil || len(rec.Levels) == 0 {
@@ -267,7 +274,7 @@
 	}
 }
 
-// link returns a link to an address that ends with the test.
+// link returns a link to an address. The link is closed at the end of the test.
 func link(t *testing.T, to string) *lab.Link {
 	t.Helper()
 	k, err := lab.NewLink(to)
@@ -278,12 +285,12 @@
 	return k
 }
 
-// One of two failure domains is cut off from the other's VMs and from the
-// platform. Both go on serving; the cut-off one refuses bookings with a true "not
-// run"; when the cut heals, it takes over the configuration of the others.
-func TestDomainCutOff(t *testing.T) {
+// TestDomainPartition partitions one of two failure domains from the VMs of the other and from
+// the platform. Both domains keep serving. The partitioned domain refuses bookings as not run,
+// and gets the configuration of the other VMs after the partition heals.
+func TestDomainPartition(t *testing.T) {
 	var links []*lab.Link
-	w := startOn(t, 1, func(s *lab.StandIns) func(settings.Settings) (string, string) {
+	h := startOn(t, 1, func(s *lab.StandIns) func(settings.Settings) (string, string) {
 		storeLink := link(t, strings.TrimPrefix(s.StoreURL, "http://"))
 		links = append(links, storeLink)
 		return func(set settings.Settings) (string, string) {
@@ -298,39 +305,39 @@
 	for _, k := range links {
 		k.Cut(true)
 	}
-	for i := range w.vms.Daemons {
-		c := openai.NewClient(option.WithBaseURL(w.vms.Entries()[i]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
+	for i := range h.vms.Daemons {
+		c := openai.NewClient(option.WithBaseURL(h.vms.Entries()[i]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
 		got, err := c.Chat.Completions.New(t.Context(), params("cut off?"))
 		if err != nil || got.Choices[0].Message.Content != wantText("cut off?", 20) {
 			t.Fatalf("VM %d: %v", i, err)
 		}
 	}
 	book := func(vm int, key string) (int, string) {
-		resp, _ := w.post(vm, "/v1/services/booking/bookings", lab.KeyOf(workspace), key, "{}")
+		resp, _ := h.post(vm, "/v1/services/booking/bookings", lab.KeyOf(workspace), key, "{}")
 		return resp.StatusCode, resp.Header.Get("X-Threadwall-Outcome")
 	}
-	if status, told := book(0, "cut"); status != 503 || told != "not-run" || w.runs("cut") != 0 {
-		t.Errorf("booking in the cut-off domain: %d %s, %d runs", status, told, w.runs("cut"))
+	if status, outcome := book(0, "cut"); status != 503 || outcome != "not-run" || h.runs("cut") != 0 {
+		t.Errorf("booking in the partitioned domain: %d %s, %d runs", status, outcome, h.runs("cut"))
 	}
-	if status, told := book(1, "cut"); status != 200 || told != "ran" {
-		t.Errorf("the same booking in the other domain: %d %s", status, told)
+	if status, outcome := book(1, "cut"); status != 200 || outcome != "ran" {
+		t.Errorf("the same booking in the other domain: %d %s", status, outcome)
 	}
 	o := config.Object{Kind: config.KindDocument, Name: "during-the-cut", Document: &config.Document{Text: "text"}}
 	value, _ := json.Marshal(o)
-	rev, err := w.s.Store.Create(t.Context(), o.Key(), value)
+	rev, err := h.s.Store.Create(t.Context(), o.Key(), value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, func() bool { return w.vms.Daemons[1].Node.Config.Revision() >= rev })
-	if got := w.vms.Daemons[0].Node.Config.Revision(); got >= rev {
-		t.Fatalf("the cut-off domain has revision %d", got)
+	waitFor(t, func() bool { return h.vms.Daemons[1].Node.Config.Revision() >= rev })
+	if got := h.vms.Daemons[0].Node.Config.Revision(); got >= rev {
+		t.Fatalf("the partitioned domain has revision %d", got)
 	}
 	for _, k := range links {
 		k.Cut(false)
 	}
-	waitFor(t, func() bool { return w.vms.Daemons[0].Node.Config.Revision() >= rev })
+	waitFor(t, func() bool { return h.vms.Daemons[0].Node.Config.Revision() >= rev })
 	waitFor(t, func() bool { status, _ := book(0, "cut"); return status == 200 })
-	if w.runs("cut") != 1 {
-		t.Errorf("the booking ran %d times", w.runs("cut"))
+	if h.runs("cut") != 1 {
+		t.Errorf("the booking ran %d times", h.runs("cut"))
 	}
 }
