--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -1,6 +1,6 @@
-// Package capacity measures slopes of what a VM holds and does. It calls the
-// product's own code in plain loops; docs/CAPACITY.md works out from the figures
-// what that comes to at the size to design for.
+// Package capacity measures how the memory, CPU time and traffic of a VM grow with the
+// size of the deployment. It calls production code in plain loops. docs/CAPACITY.md
+// extrapolates the figures to the size to design for.
 package capacity
 
 import (
@@ -19,9 +19,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// DecideFleet returns a fleet of so many replicas with so many beliefs, for
+// DecideFleet returns a fleet with the given numbers of replicas and cache view entries, for
 // measurements of decisions.
-func DecideFleet(replicas, beliefs int) *fleet.Fleet {
+func DecideFleet(replicas, entries int) *fleet.Fleet {
 	var records []platform.Record
 	for i := range replicas {
 		records = append(records, platform.Record{
@@ -31,15 +31,16 @@
 	}
 	members := membership.New("vm", membership.DefaultTuning)
 	members.Platform(records, time.Now())
-	f := fleet.New(members, cacheview.New(beliefs, nil), loadview.New(), routing.NewCost(), nil)
-	life := cacheview.GenerationOf(1, "w")
-	for i := range beliefs {
-		f.Cache.Add(ids.Target(fmt.Sprint("engine-", i%replicas)), life, []prefix.Level{{ID: prefix.ID(i + 1), Tokens: 64}})
+	f := fleet.New(members, cacheview.New(entries, nil), loadview.New(), routing.NewCost(), nil)
+	generation := cacheview.GenerationOf(1, "w")
+	for i := range entries {
+		f.Cache.Add(ids.Target(fmt.Sprint("engine-", i%replicas)), generation, []prefix.Level{{ID: prefix.ID(i + 1), Tokens: 64}})
 	}
 	return f
 }
 
-// DecideRequest is a prompt of three levels, the first of them held widely.
+// DecideRequest returns the i-th request. Its prompt has three levels, and all requests share
+// the first.
 func DecideRequest(i int) routing.Request {
 	return routing.Request{
 		Model: "m", FailureDomain: "fd", Tokens: 9000, RecomputeWeight: 0.2, Seed: uint64(i),
@@ -47,23 +48,25 @@
 	}
 }
 
-// DecideRow is the cost of a decision at one size.
+// DecideRow is the cost of a decision with one number of replicas and cache view entries.
 type DecideRow struct {
 	Replicas int     `json:"replicas"`
 	Entries  int     `json:"beliefs"`
 	P50      float64 `json:"p50_us"`
 	P99      float64 `json:"p99_us"`
-	UpdateNS float64 `json:"update_ns"` // of one belief
+	UpdateNS float64 `json:"update_ns"` // time to add one cache view entry
 }
 
+// decisions is the number of decisions, and of cache view updates, in a measurement.
 const decisions = 100_000
 
-// Decide measures decisions and belief updates at one size.
-func Decide(replicas, beliefs int) DecideRow {
-	f := DecideFleet(replicas, beliefs)
+// Decide measures decisions and cache view updates with the given numbers of replicas and
+// cache view entries.
+func Decide(replicas, entries int) DecideRow {
+	f := DecideFleet(replicas, entries)
 	h := hdrhistogram.New(1, 1_000_000_000, 3)
-	sc := f.Acquire()
-	defer f.Release(sc)
+	scratch := f.Acquire()
+	defer f.Release(scratch)
 	var requests []routing.Request
 	for i := range 1000 {
 		requests = append(requests, DecideRequest(i*37))
@@ -71,17 +74,17 @@
 	for i := range decisions {
 		r := requests[i%len(requests)]
 		start := time.Now()
-		f.Decide(&r, nil, sc)
+		f.Decide(&r, nil, scratch)
 		_ = h.RecordValue(time.Since(start).Nanoseconds())
 	}
-	life := cacheview.GenerationOf(1, "w")
+	generation := cacheview.GenerationOf(1, "w")
 	start := time.Now()
 	for i := range decisions {
-		f.Cache.Add("engine-1", life, []prefix.Level{{ID: prefix.ID(i * 7), Tokens: 64}})
+		f.Cache.Add("engine-1", generation, []prefix.Level{{ID: prefix.ID(i * 7), Tokens: 64}})
 	}
 	update := time.Since(start)
 	return DecideRow{
-		Replicas: replicas, Entries: beliefs, P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
+		Replicas: replicas, Entries: entries, P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
 		UpdateNS: float64(update.Nanoseconds()) / decisions,
 	}
 }
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -28,33 +28,34 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// UpdatesSpec is one failure domain whose VMs tell each other news over real streams
-// on loopback.
+// UpdatesSpec describes one failure domain whose VMs exchange updates over gRPC streams on
+// loopback.
 type UpdatesSpec struct {
 	VMs, Targets int
-	Dispatches   float64 // fresh ones of a VM a second
-	Workspaces   int     // with demand, on each VM
+	Dispatches   float64 // per VM and second, each with a new prefix
+	Workspaces   int     // with demand on each VM
 	Span         time.Duration
 }
 
-// UpdatesRow is what a VM spends on it.
+// UpdatesRow is the mean cost of these updates to one VM.
 type UpdatesRow struct {
 	VMs        int     `json:"vms"`
 	BytesIn    float64 `json:"bytes_in_per_s"`
 	BytesOut   float64 `json:"bytes_out_per_s"`
 	Messages   float64 `json:"messages_out_per_s"`
-	CPU        float64 `json:"core_percent"` // of one core
+	CPU        float64 `json:"core_percent"` // percent of one core
 	HeapBytes  float64 `json:"heap_bytes"`
-	Replicated float64 `json:"learned"` // part of the beliefs that peers hold
+	Replicated float64 `json:"learned"` // fraction of cache view entries that reached the VMs
 }
 
-// newsSpan is how long news is counted.
-const newsSpan = 5 * time.Second
+// updatesSpan is how long updates are counted for the plots.
+const updatesSpan = 5 * time.Second
 
-// warmUp lets connections come up before anything is counted.
+// warmUp is the time for connections to open before the count starts.
 const warmUp = 1500 * time.Millisecond
 
-// MeasureUpdates measures a domain. CPU and heap are those of the whole process, shared out.
+// MeasureUpdates measures the updates of a domain for spec.Span. CPU time and heap are those
+// of the whole process, divided by the number of VMs.
 func MeasureUpdates(spec UpdatesSpec) (UpdatesRow, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -65,7 +66,7 @@
 		records = append(records, platform.Record{ID: fmt.Sprint("engine-", i), Role: platform.RoleEngine, State: platform.StateLive, Incarnation: 1, Weights: "w", FailureDomain: "fd"})
 	}
 	for i := range spec.VMs {
-		n, srv, addr, err := newsNode(fmt.Sprintf("entry-domain-%02d", i))
+		n, srv, addr, err := newUpdatesNode(fmt.Sprintf("entry-domain-%02d", i))
 		if err != nil {
 			return UpdatesRow{}, err
 		}
@@ -85,9 +86,9 @@
 		n.Fleet.Refresh()
 	}
 	var wg sync.WaitGroup
-	told := make([]int, len(nodes))
+	added := make([]int, len(nodes))
 	for i, n := range nodes {
-		wg.Go(func() { told[i] = drive(ctx, n, i, spec) })
+		wg.Go(func() { added[i] = drive(ctx, n, i, spec) })
 	}
 	time.Sleep(warmUp)
 	before, cpu := counters(nodes), cpuTime()
@@ -95,10 +96,10 @@
 	after, used := counters(nodes), cpuTime()-cpu
 	cancel()
 	wg.Wait()
-	return newsRow(spec, nodes, told, before, after, used), nil
+	return updatesRow(spec, nodes, added, before, after, used), nil
 }
 
-func newsNode(vm string) (*peers.Node, *grpc.Server, string, error) {
+func newUpdatesNode(vm string) (*peers.Node, *grpc.Server, string, error) {
 	f := fleet.New(membership.New(ids.VM(vm), membership.DefaultTuning), cacheview.New(128<<10, nil), loadview.New(), routing.NewCost(), nil)
 	n := &peers.Node{
 		VM: ids.VM(vm), Domain: "fd", Incarnation: 1_700_000_000_000, Fleet: f, Allowances: allowance.New(ids.VM(vm), nil),
@@ -116,25 +117,25 @@
 	return n, srv, l.Addr().String(), nil
 }
 
-// ampleRate is a limit that nothing meets, in requests/s.
+// ampleRate is a limit that no workspace reaches, in requests/s.
 const ampleRate = 1e6
 
-// drive does what the daemon's gossip duty does, with dispatches and demand at
-// the given rates. It returns how many beliefs it made.
+// drive sends updates as the daemon's gossip loop does, with dispatches and demand at the
+// rates of spec. It returns the number of cache view entries that it added.
 func drive(ctx context.Context, n *peers.Node, i int, spec UpdatesSpec) int {
-	const heartbeat, news = time.Second, 250 * time.Millisecond
-	last, made, debt := time.Time{}, 0, 0.0
+	const heartbeat, updateInterval = time.Second, 250 * time.Millisecond
+	last, added, due := time.Time{}, 0, 0.0
 	workspaces := make([]ids.Workspace, spec.Workspaces)
 	for w := range workspaces {
 		workspaces[w] = ids.Workspace(fmt.Sprint("workspace-", w))
 		n.Allowances.SetLimit(workspaces[w], allowance.Limit{Rate: ampleRate, Burst: ampleRate})
 	}
 	for step := 0; ctx.Err() == nil; step++ {
-		pause := n.NewsEvery(news, heartbeat)
-		for debt += spec.Dispatches * pause.Seconds(); debt >= 1; debt-- {
-			made++
-			id := prefix.ID(uint64(i+1)<<40 + uint64(made))
-			n.Fleet.Cache.Expect(ids.Target(fmt.Sprint("engine-", (made*7+i)%spec.Targets)), []prefix.Level{{ID: id, Tokens: 9000}}, 3000)
+		pause := n.NewsEvery(updateInterval, heartbeat)
+		for due += spec.Dispatches * pause.Seconds(); due >= 1; due-- {
+			added++
+			id := prefix.ID(uint64(i+1)<<40 + uint64(added))
+			n.Fleet.Cache.Expect(ids.Target(fmt.Sprint("engine-", (added*7+i)%spec.Targets)), []prefix.Level{{ID: id, Tokens: 9000}}, 3000)
 		}
 		for _, ws := range workspaces {
 			n.Allowances.Take(allowance.Call{Workspace: ws, Cost: 1})
@@ -151,7 +152,7 @@
 		case <-time.After(pause):
 		}
 	}
-	return made
+	return added
 }
 
 type counts struct{ in, out, messages int64 }
@@ -174,19 +175,19 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func newsRow(spec UpdatesSpec, nodes []*peers.Node, told []int, before, after counts, cpu time.Duration) UpdatesRow {
+func updatesRow(spec UpdatesSpec, nodes []*peers.Node, added []int, before, after counts, cpu time.Duration) UpdatesRow {
 	per := float64(len(nodes)) * spec.Span.Seconds()
 	runtime.GC()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	made, held := 0, 0
+	expected, held := 0, 0
 	for i, n := range nodes {
-		made += told[i] * len(nodes)
+		expected += added[i] * len(nodes)
 		held += len(n.Fleet.Cache.Entries(1 << 20))
 	}
 	return UpdatesRow{
 		VMs: len(nodes), BytesIn: float64(after.in-before.in) / per, BytesOut: float64(after.out-before.out) / per,
 		Messages: float64(after.messages-before.messages) / per, CPU: 100 * cpu.Seconds() / per,
-		HeapBytes: float64(mem.HeapAlloc) / float64(len(nodes)), Replicated: float64(held) / float64(max(made, 1)),
+		HeapBytes: float64(mem.HeapAlloc) / float64(len(nodes)), Replicated: float64(held) / float64(max(expected, 1)),
 	}
 }
--- a/internal/capacity/plots.go
+++ b/internal/capacity/plots.go
@@ -13,12 +13,12 @@
 	"github.com/threadwall/threadwall/internal/yardstick"
 )
 
-// Sizes of plots.
+// Sizes of the plots.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	barWidth   = 9  // points
-	cutSeconds = 10 // longer bars are cut
+	cutSeconds = 10 // bars are cut at this height
 	halfGroup  = 0.5
 	legendRoom = 1.35
 )
@@ -40,7 +40,7 @@
 	color.RGBA{R: 60, G: 140, B: 70, A: 255},
 }
 
-// PlotPolicies draws one figure of each policy on each workload as bars.
+// PlotPolicies draws the figure of each policy on each workload as bars, to name.svg in dir.
 func PlotPolicies(dir, name, title string, results []*yardstick.Result, figure func(*yardstick.Result) float64) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -73,21 +73,21 @@
 	return save(p, dir, name)
 }
 
-// Point is one measured size and its cost.
+// Point is a measured value Y at X.
 type Point struct{ X, Y float64 }
 
-// Line is a named row of points.
+// Line is a series of points.
 type Line struct {
-	Name   string // in the legend; none if empty
+	Name   string // in the legend; a line without a name is not in it
 	Points []Point
 }
 
-// PlotSlope draws how a cost grows.
+// PlotSlope draws one line without a legend, to name.svg in dir.
 func PlotSlope(dir, name, title, x, y string, points []Point) error {
 	return PlotLines(dir, name, title, x, y, []Line{{Points: points}})
 }
 
-// PlotLines draws lines over the same axes, which begin at 0.
+// PlotLines draws lines over shared axes that begin at 0, to name.svg in dir.
 func PlotLines(dir, name, title, x, y string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -117,7 +117,7 @@
 	return eris.Wrapf(p.Save(plotWidth, plotHeight, filepath.Join(dir, name+".svg")), "plot %s", name)
 }
 
-// Plots measures and draws the plots of docs/plots.
+// Plots runs the measurements and draws the plots of docs/plots into dir.
 func Plots(dir string) error {
 	var results []*yardstick.Result
 	for _, w := range yardstick.Workloads(1) {
@@ -133,19 +133,19 @@
 	if err := PlotPolicies(dir, "ttft-p99", fmt.Sprintf("TTFT p99 in seconds, cut at %d", cutSeconds), results, p99); err != nil {
 		return err
 	}
-	var decide, news []Point
+	var decide, updates []Point
 	for _, replicas := range []int{9, 40, 153, 300, 600} {
 		decide = append(decide, Point{X: float64(replicas), Y: Decide(replicas, 100_000).P50})
 	}
 	for _, vms := range []int{2, 8, 15, 22} {
-		row, err := MeasureUpdates(UpdatesSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: newsSpan})
+		row, err := MeasureUpdates(UpdatesSpec{VMs: vms, Targets: 153, Dispatches: 1.5, Workspaces: 10, Span: updatesSpan})
 		if err != nil {
 			return err
 		}
-		news = append(news, Point{X: float64(vms), Y: row.BytesIn})
+		updates = append(updates, Point{X: float64(vms), Y: row.BytesIn})
 	}
-	if err := PlotSlope(dir, "decide", "Decision, 100,000 beliefs", "replicas", "p50 in microseconds", decide); err != nil {
+	if err := PlotSlope(dir, "decide", "Decision, 100,000 cache view entries", "replicas", "p50 in microseconds", decide); err != nil {
 		return err
 	}
-	return PlotSlope(dir, "news", "News between VMs of a domain", "VMs", "bytes/s in, and as much out", news)
+	return PlotSlope(dir, "news", "Updates between VMs of a domain", "VMs", "bytes/s in, and as much out", updates)
 }
