--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -73,8 +73,8 @@
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
 	_, revoked := c.h.revoked[k.key]
-	born, replaced := c.h.issued[k.key]
-	early := replaced && k.sent.Before(born.Add(propagationTime))
+	issuedAt, replaced := c.h.issued[k.key]
+	early := replaced && k.sent.Before(issuedAt.Add(propagationTime))
 	if k.key == limitedKey {
 		return k.status == http.StatusTooManyRequests
 	}
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -85,16 +85,16 @@
 // VMs can know of it. When all VMs are killed, the fleet loses that knowledge.
 func (c *checker) fatalBound() {
 	for body, calls := range c.h.fatal {
-		var ends []time.Time // starts of runs, which end soon after
+		var starts []time.Time // of runs, which end soon after
 		for _, k := range calls {
 			for _, r := range c.runs[k.id] {
-				ends = append(ends, r.At)
+				starts = append(starts, r.At)
 			}
 		}
-		if len(ends) < maxFatalReplicas {
+		if len(starts) < maxFatalReplicas {
 			continue
 		}
-		known := ends[maxFatalReplicas-1].Add(faultFreeTime + time.Second) // allows for the end of that run and one more crash
+		known := starts[maxFatalReplicas-1].Add(faultFreeTime + time.Second) // allows for the end of that run and one more crash
 		late := 0
 		for _, k := range calls {
 			if k.faultFree && k.sent.After(known) && !c.h.allKilledBetween(known, k.sent) {
