--- a/cmd/threadwall-lab/soak.go
+++ b/cmd/threadwall-lab/soak.go
@@ -48,7 +48,7 @@
 			return eris.Wrap(err, "encode report")
 		}
 		_, _ = fmt.Fprintln(c.Root().Writer, string(line))
-		if len(report.Broken) > 0 {
+		if len(report.Violations) > 0 {
 			failedSeeds++
 		}
 	}
