--- a/cmd/threadwall-lab/main.go
+++ b/cmd/threadwall-lab/main.go
@@ -77,8 +77,8 @@
 		return err
 	}
 	for _, r := range rows {
-		if r.Lost > 0 || r.Doubled > 0 {
-			return eris.Errorf("policy %s: %d lost, %d doubled", r.Policy, r.Lost, r.Doubled)
+		if r.Lost > 0 || r.Duplicates > 0 {
+			return eris.Errorf("policy %s: %d lost, %d doubled", r.Policy, r.Lost, r.Duplicates)
 		}
 	}
 	return nil
@@ -100,7 +100,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(t, "policy\trequests\twhole\tlost\tdoubled\trefused\thit rate\trecomputed tokens\tTTFT p50\tp95\tp99 ms\t")
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%.1f\t%.1f\t%.1f\t\n", r.Policy, r.Requests, r.Whole, r.Lost, r.Doubled,
+		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%d\t%.1f\t%.1f\t%.1f\t\n", r.Policy, r.Requests, r.Completed, r.Lost, r.Duplicates,
 			r.Refused, r.HitRate, r.RecomputedTokens, r.TTFT.P50, r.TTFT.P95, r.TTFT.P99)
 	}
 	return t.Flush()
@@ -199,9 +199,9 @@
 				return err
 			}
 			out.Result.Booked, out.Result.NotRun = out.Booked, out.NotRun
-			doubled, untrue := lab.Doubled(runs, out.Result)
+			doubled, untrue := lab.CheckRuns(runs, out.Result)
 			fmt.Printf("requests %d, whole %d, refused %d, unknown %d, caller retries %d; bookings run %d, doubled %d, untrue answers %d, lost or wrong %d\n",
-				out.Requests, out.Whole, out.Refused, out.Unknown, out.Retries, len(runs), doubled, untrue, out.Lost)
+				out.Requests, out.Completed, out.Refused, out.Unknown, out.Retries, len(runs), doubled, untrue, out.Lost)
 			for _, w := range out.Wrong {
 				fmt.Println(" ", w)
 			}
--- a/cmd/threadwall-lab/measure.go
+++ b/cmd/threadwall-lab/measure.go
@@ -181,7 +181,7 @@
 			if err != nil {
 				return err
 			}
-			row, err := lab.Spread(ctx, ex, c.Int("vms"))
+			row, err := lab.MeasurePropagation(ctx, ex, c.Int("vms"))
 			if err != nil {
 				return err
 			}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -328,7 +328,7 @@
 	}
 }
 
-func (w *world) runs(key string) int { return w.s.Booked()[key] }
+func (w *world) runs(key string) int { return w.s.Runs()[key] }
 
 func TestBookings(t *testing.T) {
 	w := start(t, 1)
@@ -370,7 +370,7 @@
 		t.Fatalf("after a true refusal: %d %s, %d runs", resp.StatusCode, body, w.runs("k3"))
 	}
 
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	resp, body = book(0, "k4", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || w.runs("k4") != 0 {
 		t.Fatalf("store down: %s, %d runs", body, w.runs("k4"))
@@ -378,7 +378,7 @@
 	if text, err := w.stream("store down?"); err != nil || text != wantText("store down?", 20) {
 		t.Fatalf("prompt with the store down: %v", err)
 	}
-	w.s.Store.Set(lab.Trouble{LostAnswer: 1})
+	w.s.Store.SetFaults(lab.StoreFaults{LostResponse: 1})
 	resp, body = book(0, "k5", "{}")
 	if resp.StatusCode != 200 || w.runs("k5") != 1 {
 		t.Fatalf("lost store answers: %d %s, %d runs", resp.StatusCode, body, w.runs("k5"))
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := startWith(t, 2, lab.StartOptions{Fatal: fatalText, FatalRest: fatalRest}, nil)
+			w := startWith(t, 2, lab.StartOptions{CrashText: fatalText, RestartDelay: fatalRest}, nil)
 			statuses := map[int]int{}
 			for n := range int(8 * time.Second / repeatEvery) {
 				statuses[ask(w, n)]++
--- a/internal/e2e/rest_test.go
+++ b/internal/e2e/rest_test.go
@@ -44,7 +44,7 @@
 	}
 	for i, r := range resting {
 		// Only the first VM is asked.
-		if n := r.Faults().Struck(lab.FaultRest); n > 1 {
+		if n := r.Faults().Triggered(lab.FaultRest); n > 1 {
 			t.Errorf("target %d asked for rest %d times within one", i, n)
 		}
 	}
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -54,7 +54,7 @@
 // A target that leaves gets no new work, also while the platform is unreachable.
 func TestLeavingTarget(t *testing.T) {
 	w := start(t, 2)
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	var leaver string
 	for _, r := range w.s.Records {
 		if r.Role == platform.RoleEngine {
@@ -137,7 +137,7 @@
 		return true
 	})
 	for _, id := range moved {
-		if got := w.s.Engines[id].Ordered(); len(got) == 0 || got[0] == 0 {
+		if got := w.s.Engines[id].AppliedFences(); len(got) == 0 || got[0] == 0 {
 			t.Errorf("%s followed orders with fences %v", id, got)
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	peer := w.vms.Daemons[1]
 	waitFor(t, func() bool { return len(peer.Fleet.Cache.Entries(100)) > 0 })
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := w.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready })
 	if got, want := len(d.Fleet.Cache.Entries(100)), len(peer.Fleet.Cache.Entries(100)); got < want || want == 0 {
@@ -201,7 +201,7 @@
 		}
 	}
 	waitFor(t, func() bool { return w.vms.Daemons[1].Node.Config.Revision() >= last })
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := w.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready && d.Node.Config.Revision() >= last })
 }
@@ -209,7 +209,7 @@
 // All VMs of a domain but one restart at once, with the platform down.
 func TestHerdWithOneSurvivor(t *testing.T) {
 	w := start(t, 4)
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	herd := []int{1, 2, 3}
 	done := make(chan *daemon.Daemon)
 	for _, i := range herd {
@@ -224,7 +224,7 @@
 // With no peer and no platform, a VM is not ready and says why.
 func TestNotReadySaysWhy(t *testing.T) {
 	w := start(t, 1)
-	w.s.Store.Set(lab.Trouble{Down: true})
+	w.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := w.restart(0)
 	waitFor(t, func() bool { return strings.Contains(d.Status().Reason, "neither a peer nor the object API") })
 	if resp, body := w.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "", "{}"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -296,7 +296,7 @@
 		}
 	})
 	for _, k := range links {
-		k.Cut(true)
+		k.SetDown(true)
 	}
 	for i := range w.vms.Daemons {
 		c := openai.NewClient(option.WithBaseURL(w.vms.Entries()[i]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
@@ -326,7 +326,7 @@
 		t.Fatalf("the cut-off domain has revision %d", got)
 	}
 	for _, k := range links {
-		k.Cut(false)
+		k.SetDown(false)
 	}
 	waitFor(t, func() bool { return w.vms.Daemons[0].Node.Config.Revision() >= rev })
 	waitFor(t, func() bool { status, _ := book(0, "cut"); return status == 200 })
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -34,9 +34,9 @@
 type DemoRow struct {
 	Policy           string  `json:"policy"`
 	Requests         int     `json:"requests"`
-	Whole            int     `json:"whole"`
+	Completed        int     `json:"whole"`
 	Lost             int     `json:"lost"`
-	Doubled          int     `json:"doubled"`
+	Duplicates       int     `json:"doubled"`
 	Refused          int     `json:"refused"`
 	Unknown          int     `json:"unknown"`
 	HitRate          float64 `json:"hit_rate"`
@@ -97,9 +97,9 @@
 
 func demoRow(policy string, s *StandIns, res *Result) DemoRow {
 	prompted, cached := s.Tokens()
-	doubled, untrue := Doubled(s.Booked(), res)
+	doubled, untrue := CheckRuns(s.Runs(), res)
 	row := DemoRow{
-		Policy: policy, Requests: res.Requests, Whole: res.Whole, Lost: res.Lost + untrue, Doubled: doubled,
+		Policy: policy, Requests: res.Requests, Completed: res.Completed, Lost: res.Lost + untrue, Duplicates: doubled,
 		Refused: res.Refused, Unknown: res.Unknown, RecomputedTokens: prompted - cached,
 		TTFT: QuantilesOf(res.TTFT), Seconds: res.Seconds,
 	}
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -74,8 +74,8 @@
 	ordered []uint64
 
 	faults Faults
-	// Prompted, Cached and Cancelled count tokens and answers.
-	Prompted, Cached, Cancelled, Served atomic.Int64
+	// PromptTokens, CachedTokens and Cancelled count tokens and answers.
+	PromptTokens, CachedTokens, Cancelled, Served atomic.Int64
 }
 
 // NewEngine returns an engine with an empty cache.
@@ -277,8 +277,8 @@
 	e.prefill.Unlock()
 	e.load(-g.prompt, 1)
 	defer e.load(0, -1)
-	e.Prompted.Add(int64(g.prompt))
-	e.Cached.Add(int64(g.cached))
+	e.PromptTokens.Add(int64(g.prompt))
+	e.CachedTokens.Add(int64(g.cached))
 	tick := time.NewTicker(e.spec.TokenEvery)
 	defer tick.Stop()
 	for i := g.skip; i < g.total; i++ {
--- a/internal/lab/example.go
+++ b/internal/lab/example.go
@@ -23,13 +23,13 @@
 
 // ExampleLoad is an example's load.json: the workload that its users bring.
 type ExampleLoad struct {
-	Template   string `json:"template"`
-	Parameter  string `json:"parameter"`
-	Text       string `json:"text"` // "contract" or "history"
-	TextsPer   int    `json:"texts_per_workspace"`
-	Service    string `json:"service"`
-	MaxTokens  int    `json:"max_tokens"`
-	Workspaces []string
+	Template          string `json:"template"`
+	Parameter         string `json:"parameter"`
+	Text              string `json:"text"` // "contract" or "history"
+	TextsPerWorkspace int    `json:"texts_per_workspace"`
+	Service           string `json:"service"`
+	MaxTokens         int    `json:"max_tokens"`
+	Workspaces        []string
 }
 
 // ReadExample reads an example directory.
@@ -73,6 +73,6 @@
 	}
 	return LoadSpec{
 		Entries: entries, Workspaces: e.Load.Workspaces, Template: e.Load.Template, Parameter: e.Load.Parameter,
-		Texts: text, TextsPer: e.Load.TextsPer, Service: e.Load.Service, MaxTokens: e.Load.MaxTokens,
+		Texts: text, TextsPerWorkspace: e.Load.TextsPerWorkspace, Service: e.Load.Service, MaxTokens: e.Load.MaxTokens,
 	}
 }
--- a/internal/lab/fatal.go
+++ b/internal/lab/fatal.go
@@ -19,11 +19,11 @@
 }
 
 // serve starts an incarnation.
-func (f *fatal) serve(addr string, inc ids.Incarnation) (*Served, error) {
+func (f *fatal) serve(addr string, inc ids.Incarnation) (*Server, error) {
 	if f.text == "" {
 		return Serve(addr, f.start(inc))
 	}
-	var srv *Served
+	var srv *Server
 	ready := make(chan struct{})
 	next := f.start(inc)
 	srv, err := Serve(addr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 }
 
 // crash ends an incarnation and has the next one start later.
-func (f *fatal) crash(srv *Served) {
+func (f *fatal) crash(srv *Server) {
 	f.s.mu.Lock()
 	f.s.crashes = append(f.s.crashes, time.Now())
 	f.s.mu.Unlock()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -27,7 +27,7 @@
 	FaultForget     Fault = "forget"      // not know an answer that is to be resumed
 	FaultLostAnswer Fault = "lost-answer" // run the call, lose the answer
 	FaultFail       Fault = "fail"        // answer 500 without having run
-	FaultLateEvents Fault = "lose-events" // leave entries out of the cache feed
+	FaultLoseEvents Fault = "lose-events" // leave entries out of the cache feed
 )
 
 // faultFromEvent is the first event of a stream that faults touch.
@@ -93,8 +93,8 @@
 	return f.take(FaultRefuse)
 }
 
-// Struck returns how often a fault has struck.
-func (f *Faults) Struck(name Fault) int {
+// Triggered returns how often a fault has struck.
+func (f *Faults) Triggered(name Fault) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Hits[name]
@@ -102,7 +102,7 @@
 
 // lossy leaves entries out of a batch of cache events.
 func (f *Faults) lossy(events []cacheview.Event) []cacheview.Event {
-	if len(events) < 4 || !f.take(FaultLateEvents) {
+	if len(events) < 4 || !f.take(FaultLoseEvents) {
 		return events
 	}
 	i := len(events) / 2
--- a/internal/lab/http.go
+++ b/internal/lab/http.go
@@ -21,22 +21,22 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Served is a handler that listens on loopback.
-type Served struct {
+// Server is a handler that listens on loopback.
+type Server struct {
 	Addr string
 	srv  *http.Server
 }
 
 // Serve starts a handler on addr; "127.0.0.1:0" takes a free port.
-func Serve(addr string, h http.Handler) (*Served, error) {
+func Serve(addr string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %s", addr)
 	}
-	s := &Served{Addr: l.Addr().String(), srv: &http.Server{Handler: h}}
+	s := &Server{Addr: l.Addr().String(), srv: &http.Server{Handler: h}}
 	go func() { _ = s.srv.Serve(l) }()
 	return s, nil
 }
 
 // Close ends it at once, as a crash would.
-func (s *Served) Close() { _ = s.srv.Close() }
+func (s *Server) Close() { _ = s.srv.Close() }
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -36,11 +36,11 @@
 // Close ends the link.
 func (k *Link) Close() {
 	_ = k.l.Close()
-	k.Cut(true)
+	k.SetDown(true)
 }
 
-// Cut cuts the link, or mends it.
-func (k *Link) Cut(cut bool) {
+// SetDown cuts the link, or mends it.
+func (k *Link) SetDown(cut bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cut = cut
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -25,21 +25,21 @@
 
 // LoadSpec is a mixed workload of streamed prompts and bookings.
 type LoadSpec struct {
-	Entries      []string // http://ip:port of VMs' callers' interfaces
-	Workspaces   []string // names; a workspace's key is KeyOf(name)
-	Template     string
-	Parameter    string // the template's request parameter
-	Texts        func(workspace string, i int) string
-	TextsPer     int // distinct parameter texts of one workspace
-	Service      string
-	Requests     int
-	BookingShare float64 // part of requests that are bookings
-	Concurrency  int
-	Rate         float64 // requests/s; 0: as fast as Concurrency allows
-	MaxTokens    int
-	Seed         uint64
-	Retries      int // of a caller, for bookings and refused prompts
-	Progress     func(done, total int)
+	Entries           []string // http://ip:port of VMs' callers' interfaces
+	Workspaces        []string // names; a workspace's key is KeyOf(name)
+	Template          string
+	Parameter         string // the template's request parameter
+	Texts             func(workspace string, i int) string
+	TextsPerWorkspace int // distinct parameter texts of one workspace
+	Service           string
+	Requests          int
+	BookingShare      float64 // part of requests that are bookings
+	Concurrency       int
+	Rate              float64 // requests/s; 0: as fast as Concurrency allows
+	MaxTokens         int
+	Seed              uint64
+	Retries           int // of a caller, for bookings and refused prompts
+	Progress          func(done, total int)
 }
 
 // KeyOf returns the API key of an example workspace.
@@ -47,17 +47,17 @@
 
 // Result is what callers saw.
 type Result struct {
-	Requests int                     `json:"requests"`
-	Whole    int                     `json:"whole"`
-	Lost     int                     `json:"lost"`    // never got a whole answer or a true refusal, or got a wrong one
-	Refused  int                     `json:"refused"` // ended with a refusal, after all retries
-	Unknown  int                     `json:"unknown"` // bookings whose end the caller was honestly not told
-	Retries  int                     `json:"retries"`
-	Seconds  float64                 `json:"seconds"`
-	TTFT     *hdrhistogram.Histogram `json:"-"`
-	Booked   []string                `json:"-"` // keys that callers were told ran
-	NotRun   []string                `json:"-"` // keys that callers were told did not run
-	Wrong    []string                `json:"-"` // first few descriptions of wrong answers
+	Requests  int                     `json:"requests"`
+	Completed int                     `json:"whole"`
+	Lost      int                     `json:"lost"`    // never got a whole answer or a true refusal, or got a wrong one
+	Refused   int                     `json:"refused"` // ended with a refusal, after all retries
+	Unknown   int                     `json:"unknown"` // bookings whose end the caller was honestly not told
+	Retries   int                     `json:"retries"`
+	Seconds   float64                 `json:"seconds"`
+	TTFT      *hdrhistogram.Histogram `json:"-"`
+	Booked    []string                `json:"-"` // keys that callers were told ran
+	NotRun    []string                `json:"-"` // keys that callers were told did not run
+	Wrong     []string                `json:"-"` // first few descriptions of wrong answers
 }
 
 // histogram bounds, in microseconds.
@@ -196,7 +196,7 @@
 	body, _ := json.Marshal(promptBody{
 		Model: "template:" + l.spec.Template, Stream: true, MaxTokens: l.spec.MaxTokens,
 		Messages: []promptMessage{{Role: "user", Content: question}},
-		Metadata: map[string]string{l.spec.Parameter: l.spec.Texts(ws, min(int(r.ExpFloat64()*3), l.spec.TextsPer-1))},
+		Metadata: map[string]string{l.spec.Parameter: l.spec.Texts(ws, min(int(r.ExpFloat64()*3), l.spec.TextsPerWorkspace-1))},
 	})
 	start := time.Now()
 	for try := 0; ; try++ {
@@ -204,7 +204,7 @@
 		if err == nil && resp.StatusCode == http.StatusOK {
 			why := l.readStream(resp, AnswerTag(question), start)
 			if why == "" {
-				l.add(func(res *Result) { res.Whole++ })
+				l.add(func(res *Result) { res.Completed++ })
 				return
 			}
 			if try >= l.spec.Retries || strings.HasPrefix(why, "wrong") {
@@ -296,7 +296,7 @@
 		resp, err := l.post(ctx, l.entry(r)+"/v1/services/"+l.spec.Service+"/bookings", ws, key, body)
 		if err == nil && resp.StatusCode == http.StatusOK {
 			drain(resp)
-			l.add(func(res *Result) { res.Whole++; res.Booked = append(res.Booked, key) })
+			l.add(func(res *Result) { res.Completed++; res.Booked = append(res.Booked, key) })
 			return
 		}
 		if err == nil {
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -58,8 +58,8 @@
 	return e.running + e.queued
 }
 
-// Ordered returns the fencing numbers of the orders that were followed.
-func (e *Engine) Ordered() []uint64 {
+// AppliedFences returns the fencing numbers of the orders that were followed.
+func (e *Engine) AppliedFences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.ordered)
--- a/internal/lab/platformlab/replica.go
+++ b/internal/lab/platformlab/replica.go
@@ -50,8 +50,8 @@
 	return append([]Run(nil), l.runs...)
 }
 
-// Of returns the runs of one request.
-func (l *Ledger) Of(request string) []Run {
+// RunsOf returns the runs of one request.
+func (l *Ledger) RunsOf(request string) []Run {
 	var out []Run
 	for _, r := range l.Runs() {
 		if r.Request == request {
@@ -63,20 +63,20 @@
 
 // Replica is one incarnation of a target.
 type Replica struct {
-	ID      string
-	Service string
-	Zone    string
-	Model   string        // set: it serves a model
-	Work    time.Duration // for each request
-	Pieces  int           // events of a stream
-	Pause   time.Duration // between events
-	Born    int64         // its start in Unix milliseconds; zero: it does not say
-	// Fatal is set for a replica that some requests crash.
-	Fatal *Fatal
+	ID            string
+	Service       string
+	Zone          string
+	Model         string        // set: it serves a model
+	ServiceTime   time.Duration // for each request
+	Chunks        int           // events of a stream
+	ChunkInterval time.Duration // between events
+	StartedMS     int64         // its start in Unix milliseconds; zero: it does not say
+	// CrashOn is set for a replica that some requests crash.
+	CrashOn *CrashRule
 	// Software is the version of its software; empty: v1.
 	Software string
-	// Cold is for how long it says that it is slow after its start.
-	Cold time.Duration
+	// WarmUp is for how long it says that it is slow after its start.
+	WarmUp time.Duration
 
 	store     *Store
 	ledger    *Ledger
@@ -169,7 +169,7 @@
 
 func (r *Replica) register() {
 	r.mu.Lock()
-	e := entry{Version: cmp.Or(r.Software, "v1"), Cold: r.Cold.Milliseconds(), Service: r.Service, Address: r.published, Zone: r.Zone, Slots: slots, State: r.state, Born: r.Born}
+	e := entry{Version: cmp.Or(r.Software, "v1"), Cold: r.WarmUp.Milliseconds(), Service: r.Service, Address: r.published, Zone: r.Zone, Slots: slots, State: r.state, Born: r.StartedMS}
 	if r.Model != "" {
 		e.Models = []modelState{{r.Model, r.version}}
 	}
@@ -191,11 +191,11 @@
 // Crash ends the replica at once; its entry stays.
 func (r *Replica) Crash() { _ = r.server.Close() }
 
-// Silence lets requests hang.
-func (r *Replica) Silence(on bool) { r.silent.Store(on) }
+// SetUnresponsive lets requests hang.
+func (r *Replica) SetUnresponsive(on bool) { r.silent.Store(on) }
 
-// Answer lets f answer requests; it returns false for the usual answer. Nil: none.
-func (r *Replica) Answer(f func(w http.ResponseWriter, req *http.Request) bool) {
+// SetHandler lets f answer requests; it returns false for the usual answer. Nil: none.
+func (r *Replica) SetHandler(f func(w http.ResponseWriter, req *http.Request) bool) {
 	if f == nil {
 		r.answers.Store(nil)
 		return
@@ -236,8 +236,8 @@
 
 // says adds when the replica started to what it says of itself.
 func (r *Replica) says(body map[string]any) map[string]any {
-	if r.Born != 0 {
-		body["born"] = r.Born
+	if r.StartedMS != 0 {
+		body["born"] = r.StartedMS
 	}
 	return body
 }
@@ -290,7 +290,7 @@
 	case <-req.Context().Done():
 		return
 	}
-	reply(w, http.StatusOK, r.says(map[string]any{"epoch": 1 + r.Born, "next": 1, "lost": false, "events": []any{}}))
+	reply(w, http.StatusOK, r.says(map[string]any{"epoch": 1 + r.StartedMS, "next": 1, "lost": false, "events": []any{}}))
 }
 
 // run works on a request.
@@ -321,16 +321,16 @@
 		Workspace: req.Header.Get("X-Tenant-Id"), Key: req.Header.Get("Api-Key"), Salt: req.Header.Get("X-Cache-Salt"), Version: version,
 		Header: req.Header.Clone(), At: time.Now(),
 	})
-	if r.Fatal.hits(req.Header.Get("X-Tenant-Id"), string(body)) {
+	if r.CrashOn.hits(req.Header.Get("X-Tenant-Id"), string(body)) {
 		r.crashUnder(w, req)
 		return
 	}
 	if f := r.answers.Load(); f != nil && (*f)(w, req) {
 		return
 	}
-	time.Sleep(r.Work)
+	time.Sleep(r.ServiceTime)
 	w.Header().Set("X-Response-Signature", "sig-"+r.ID)
-	if r.Pieces == 0 {
+	if r.Chunks == 0 {
 		_, _ = fmt.Fprintf(w, "answer to %s", req.Header.Get("X-Request-Id"))
 		return
 	}
@@ -341,13 +341,13 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	after, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	out := http.NewResponseController(w)
-	for n := after + 1; n <= r.Pieces; n++ {
+	for n := after + 1; n <= r.Chunks; n++ {
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: piece %d of %s\n\n", n, n, req.Header.Get("X-Request-Id")); err != nil {
 			return
 		}
 		if out.Flush() != nil {
 			return
 		}
-		time.Sleep(r.Pause)
+		time.Sleep(r.ChunkInterval)
 	}
 }
--- a/internal/lab/platformlab/signals.go
+++ b/internal/lab/platformlab/signals.go
@@ -16,8 +16,8 @@
 // none tells whether a replica says nothing.
 func (s *Signals) none() bool { return s == nil || *s == Signals{} }
 
-// Signal changes what the replica says of itself from now on.
-func (r *Replica) Signal(s Signals) { r.signals.Store(&s) }
+// SetSignals changes what the replica says of itself from now on.
+func (r *Replica) SetSignals(s Signals) { r.signals.Store(&s) }
 
 // Arrival is one request that reached a replica, whatever became of it, and what the replica
 // said of itself with its answer.
--- a/internal/lab/platformlab/store.go
+++ b/internal/lab/platformlab/store.go
@@ -37,14 +37,14 @@
 	removed bool
 }
 
-// Trouble is what is wrong with the store.
-type Trouble struct {
+// StoreFaults is what is wrong with the store.
+type StoreFaults struct {
 	// Down: "busy" answers 503, "reset" closes connections, "silent" never answers.
 	Down string
-	// Slow delays each answer.
-	Slow time.Duration
-	// LoseWrites is the part of writes that are done and not answered.
-	LoseWrites float64
+	// Delay delays each answer.
+	Delay time.Duration
+	// LostResponses is the part of writes that are done and not answered.
+	LostResponses float64
 }
 
 // Store is the metadata store.
@@ -54,7 +54,7 @@
 	kinds   map[string]map[string]Object
 	history []change
 	oldest  uint64 // watches from before get 410
-	trouble Trouble
+	trouble StoreFaults
 	changed chan struct{}
 	cut     chan struct{}
 	calls   map[string]int // by method and kind
@@ -74,13 +74,13 @@
 
 // Close stops the store.
 func (s *Store) Close() {
-	s.Set(Trouble{Down: "busy"})
+	s.SetFaults(StoreFaults{Down: "busy"})
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// Set changes what is wrong with the store. Waiting watches are cut off.
-func (s *Store) Set(t Trouble) {
+// SetFaults changes what is wrong with the store. Waiting watches are cut off.
+func (s *Store) SetFaults(t StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
@@ -97,8 +97,8 @@
 	s.cut = make(chan struct{})
 }
 
-// Count returns how many calls of a method and kind came, such as "GET config".
-func (s *Store) Count(call string) int {
+// Calls returns how many calls of a method and kind came, such as "GET config".
+func (s *Store) Calls(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
@@ -184,7 +184,7 @@
 	t, cut := s.trouble, s.cut
 	s.calls[r.Method+" "+kind]++
 	s.mu.Unlock()
-	time.Sleep(t.Slow)
+	time.Sleep(t.Delay)
 	switch t.Down {
 	case "busy":
 		http.Error(w, "down", http.StatusServiceUnavailable)
@@ -208,7 +208,7 @@
 	case r.Method == http.MethodDelete:
 		s.Remove(kind, name)
 	default:
-		s.write(w, r, kind, name, isStatus, t.LoseWrites)
+		s.write(w, r, kind, name, isStatus, t.LostResponses)
 	}
 }
 
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -15,8 +15,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// SpreadRow is how long changes of configuration take to be in force on all VMs.
-type SpreadRow struct {
+// PropagationRow is how long changes of configuration take to be in force on all VMs.
+type PropagationRow struct {
 	VMs       int        `json:"vms"`
 	SingleMS  []float64  `json:"single_ms"` // sorted
 	BurstSize int        `json:"burst_size"`
@@ -33,22 +33,22 @@
 	spreadTimeout = 20 * time.Second
 )
 
-// Spread measures one failure domain of real daemons in this process.
-func Spread(ctx context.Context, ex *Example, vms int) (SpreadRow, error) {
+// MeasurePropagation measures one failure domain of real daemons in this process.
+func MeasurePropagation(ctx context.Context, ex *Example, vms int) (PropagationRow, error) {
 	domains := []ids.FailureDomain{"sala-heredia"}
 	s, err := Start(ctx, ex, StartOptions{Domains: domains, Engine: DefaultEngine})
 	if err != nil {
-		return SpreadRow{}, err
+		return PropagationRow{}, err
 	}
 	defer s.Close()
 	fleet, err := StartVMs(ctx, s, domains, vms, "cost")
 	if err != nil {
-		return SpreadRow{}, err
+		return PropagationRow{}, err
 	}
 	defer fleet.Stop(ctx)
 	time.Sleep(2 * time.Second) // streams come up
 	before := s.Store.Calls()
-	row := SpreadRow{VMs: vms, BurstSize: spreadBurst}
+	row := PropagationRow{VMs: vms, BurstSize: spreadBurst}
 	for i := range spreadSingles {
 		took, err := fleet.change(ctx, s, i, 1)
 		if err != nil {
@@ -63,7 +63,7 @@
 	}
 	after := s.Store.Calls()
 	row.Calls = StoreCalls{Reads: after.Reads - before.Reads, Writes: after.Writes - before.Writes, Watches: after.Watches - before.Watches}
-	s.Store.Set(Trouble{Down: true})
+	s.Store.SetFaults(StoreFaults{Down: true})
 	for id, e := range s.Engines {
 		took, err := fleet.leaving(ids.Target(id), e)
 		if err != nil {
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -30,7 +30,7 @@
 
 	mu      sync.Mutex
 	closed  bool
-	served  []*Served
+	served  []*Server
 	crashes []time.Time
 }
 
@@ -49,11 +49,11 @@
 	// Only names the VMs to start, and "store" for the object API; empty is all.
 	// With it, each part can be a process of its own.
 	Only []string
-	// Fatal is a text whose presence in a request's body crashes whatever runs it; a
+	// CrashText is a text whose presence in a request's body crashes whatever runs it; a
 	// crashed engine or service starts again after FatalRest as another incarnation, at
 	// the same address. Empty: none.
-	Fatal     string
-	FatalRest time.Duration
+	CrashText    string
+	RestartDelay time.Duration
 	// RunsFile is where services append the key of each call that ran.
 	RunsFile string
 }
@@ -145,7 +145,7 @@
 		s.Records = append(s.Records, r)
 		return nil
 	}
-	f := &fatal{text: o.Fatal, rest: o.FatalRest, s: s, start: start}
+	f := &fatal{text: o.CrashText, rest: o.RestartDelay, s: s, start: start}
 	srv, err := f.serve(addr, inc)
 	if err != nil {
 		return err
@@ -181,8 +181,8 @@
 	return eris.Wrapf(err, "list %s", r.ID)
 }
 
-// Booked returns how often each key ran, over all services.
-func (s *StandIns) Booked() map[string]int {
+// Runs returns how often each key ran, over all services.
+func (s *StandIns) Runs() map[string]int {
 	out := map[string]int{}
 	for _, svc := range s.Services {
 		for k, n := range svc.Runs() {
@@ -195,8 +195,8 @@
 // Tokens returns prompt tokens and cached ones, over all engines.
 func (s *StandIns) Tokens() (prompted, cached int64) {
 	for _, e := range s.Engines {
-		prompted += e.Prompted.Load()
-		cached += e.Cached.Load()
+		prompted += e.PromptTokens.Load()
+		cached += e.CachedTokens.Load()
 	}
 	return prompted, cached
 }
@@ -212,7 +212,7 @@
 }
 
 // keep notes what is to be closed in the end.
-func (s *StandIns) keep(srv *Served) {
+func (s *StandIns) keep(srv *Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served = append(s.served, srv)
@@ -221,9 +221,9 @@
 	}
 }
 
-// Doubled returns how many keys ran more than once, and how many of those that
+// CheckRuns returns how many keys ran more than once, and how many of those that
 // callers were told ran did not, or the other way round.
-func Doubled(runs map[string]int, res *Result) (doubled, untrue int) {
+func CheckRuns(runs map[string]int, res *Result) (doubled, untrue int) {
 	for _, n := range runs {
 		if n > 1 {
 			doubled++
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -16,16 +16,16 @@
 	objectapi.Store
 
 	mu      sync.Mutex
-	trouble Trouble
+	trouble StoreFaults
 	calls   StoreCalls
 }
 
-// Trouble is what is wrong with a store at the moment.
-type Trouble struct {
-	Down       bool    `json:"down"`
-	LostAnswer float64 `json:"lost_answer"` // chance per write
-	LostWrite  float64 `json:"lost_write"`  // chance per write: fails, without effect
-	DelayMS    int     `json:"delay_ms"`
+// StoreFaults is what is wrong with a store at the moment.
+type StoreFaults struct {
+	Down         bool    `json:"down"`
+	LostResponse float64 `json:"lost_answer"` // chance per write
+	LostWrite    float64 `json:"lost_write"`  // chance per write: fails, without effect
+	DelayMS      int     `json:"delay_ms"`
 }
 
 // StoreCalls counts calls by kind.
@@ -36,8 +36,8 @@
 // NewFaultyStore wraps a store that has no trouble yet.
 func NewFaultyStore(s objectapi.Store) *FaultyStore { return &FaultyStore{Store: s} }
 
-// Set changes the trouble.
-func (f *FaultyStore) Set(t Trouble) {
+// SetFaults changes the trouble.
+func (f *FaultyStore) SetFaults(t StoreFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.trouble = t
@@ -50,7 +50,7 @@
 	return f.calls
 }
 
-func (f *FaultyStore) enter(count *int) Trouble {
+func (f *FaultyStore) enter(count *int) StoreFaults {
 	f.mu.Lock()
 	*count++
 	t := f.trouble
@@ -108,7 +108,7 @@
 		return 0, objectapi.ErrAmbiguous
 	}
 	rev, err := do()
-	if rand.Float64() < t.LostAnswer {
+	if rand.Float64() < t.LostResponse {
 		return 0, objectapi.ErrAmbiguous
 	}
 	return rev, err
@@ -119,9 +119,9 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", objectapi.Handler(f))
 	mux.HandleFunc("POST /lab/trouble", func(w http.ResponseWriter, r *http.Request) {
-		var t Trouble
+		var t StoreFaults
 		if decode(w, r, &t) {
-			f.Set(t)
+			f.SetFaults(t)
 		}
 	})
 	mux.HandleFunc("GET /lab/calls", func(w http.ResponseWriter, _ *http.Request) { encode(w, f.Calls()) })
--- a/internal/objectapi/linear_test.go
+++ b/internal/objectapi/linear_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	store := lab.NewFaultyStore(memory)
-	store.Set(lab.Trouble{LostAnswer: 0.4, LostWrite: 0.2})
+	store.SetFaults(lab.StoreFaults{LostResponse: 0.4, LostWrite: 0.2})
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var wg sync.WaitGroup
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -69,15 +69,15 @@
 	}},
 	{"store down", func(w *world, rng *rand.Rand) {
 		defer w.begin()()
-		w.store.Set(platformlab.Trouble{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
+		w.store.SetFaults(platformlab.StoreFaults{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
 		sleep(rng, 4*time.Second)
-		w.store.Set(platformlab.Trouble{})
+		w.store.SetFaults(platformlab.StoreFaults{})
 	}},
 	{"store slow, and loses answers", func(w *world, rng *rand.Rand) {
 		defer w.begin()()
-		w.store.Set(platformlab.Trouble{Slow: 150 * time.Millisecond, LoseWrites: 0.4})
+		w.store.SetFaults(platformlab.StoreFaults{Delay: 150 * time.Millisecond, LostResponses: 0.4})
 		sleep(rng, 3*time.Second)
-		w.store.Set(platformlab.Trouble{})
+		w.store.SetFaults(platformlab.StoreFaults{})
 	}},
 	{"store forgets its history", func(w *world, _ *rand.Rand) {
 		defer w.begin()()
@@ -229,12 +229,12 @@
 func (w *world) misbehave(rng *rand.Rand, badly func(http.ResponseWriter, *http.Request) bool) {
 	defer w.begin()()
 	r := w.anyReplica(rng)
-	r.Answer(func(rw http.ResponseWriter, req *http.Request) bool {
+	r.SetHandler(func(rw http.ResponseWriter, req *http.Request) bool {
 		if rand.IntN(2) == 0 {
 			return false
 		}
 		return badly(rw, req)
 	})
 	sleep(rng, 2*time.Second)
-	r.Answer(nil)
+	r.SetHandler(nil)
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -68,14 +68,14 @@
 func (w *world) signal(s platformlab.Signals, last time.Duration, rng *rand.Rand) {
 	if !s.Leaving {
 		r := w.anyReplica(rng)
-		r.Signal(s)
+		r.SetSignals(s)
 		time.Sleep(last)
-		r.Signal(platformlab.Signals{})
+		r.SetSignals(platformlab.Signals{})
 		return
 	}
 	r := w.takeReplica(rng)
 	w.replace(r)
-	r.Signal(s)
+	r.SetSignals(s)
 	time.Sleep(last)
 	defer w.begin()()
 	r.Crash()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -156,12 +156,12 @@
 func (w *world) addReplica(service string) error {
 	w.mu.Lock()
 	w.started++
-	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, w.started), Service: service, Zone: "z1", Work: 3 * time.Millisecond}}
+	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, w.started), Service: service, Zone: "z1", ServiceTime: 3 * time.Millisecond}}
 	if service == "llm" {
-		r.Model, r.Pieces, r.Pause = model, pieces, 5*time.Millisecond
+		r.Model, r.Chunks, r.ChunkInterval = model, pieces, 5*time.Millisecond
 		r.SetVersion(w.weights)
 	}
-	r.Fatal = &platformlab.Fatal{Body: fatalBody, Work: fatalWork, Crashed: func(*platformlab.Replica) { w.crashUnder(r) }}
+	r.CrashOn = &platformlab.CrashRule{Body: fatalBody, Delay: fatalWork, OnCrash: func(*platformlab.Replica) { w.crashUnder(r) }}
 	w.mu.Unlock()
 	if err := r.Listen(w.ledger); err != nil {
 		return err
