--- a/internal/lab/blockcache/blockcache.go
+++ b/internal/lab/blockcache/blockcache.go
@@ -1,5 +1,5 @@
-// Package blockcache models the prefix cache of a model engine: blocks in limited
-// memory, the least recently used evicted first.
+// Package blockcache models the prefix cache of a model engine: a limited number of blocks
+// with LRU eviction.
 package blockcache
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Cache holds blocks. Not safe for concurrent use.
+// Cache is an LRU cache of prompt blocks. Not safe for concurrent use.
 type Cache struct {
 	capacity int
-	lru      *list.List // of prefix.ID, newest first
+	lru      *list.List // of prefix.ID, most recently used first
 	at       map[prefix.ID]*list.Element
 	seq      uint64
 	onEvent  func(cacheview.Event)
 }
 
-// New returns a cache of so many blocks. onEvent, which may be nil, is told of
+// New returns an empty cache of capacity blocks. Use calls onEvent, which may be nil, for
 // every block stored and removed.
 func New(capacity int, onEvent func(cacheview.Event)) *Cache {
 	if onEvent == nil {
@@ -27,7 +27,7 @@
 	return &Cache{capacity: capacity, lru: list.New(), at: map[prefix.ID]*list.Element{}, onEvent: onEvent}
 }
 
-// Blocks returns the block ids of a prompt.
+// Blocks returns the block IDs of a prompt. An incomplete last block has none.
 func Blocks(seed uint64, text []byte) []prefix.ID {
 	var out []prefix.ID
 	hash := seed
@@ -39,12 +39,12 @@
 	return out
 }
 
-// Use returns how many leading blocks are cached, and caches all of them.
+// Use returns the number of leading blocks that are cached, and caches all blocks.
 func (c *Cache) Use(blocks []prefix.ID) (hit int) {
 	for hit < len(blocks) && c.at[blocks[hit]] != nil {
 		hit++
 	}
-	// The last block is touched first, so that a prefix outlives its extensions.
+	// Blocks are used from last to first, so that LRU evicts a prefix after its extensions.
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if e := c.at[blocks[i]]; e != nil {
 			c.lru.MoveToFront(e)
@@ -62,7 +62,7 @@
 	return hit
 }
 
-// Holds returns how many leading blocks are cached, and changes nothing.
+// Holds returns the number of leading blocks that are cached. It does not change the cache.
 func (c *Cache) Holds(blocks []prefix.ID) (hit int) {
 	for hit < len(blocks) && c.at[blocks[hit]] != nil {
 		hit++
@@ -70,7 +70,7 @@
 	return hit
 }
 
-// Len returns how many blocks are cached.
+// Len returns the number of cached blocks.
 func (c *Cache) Len() int { return c.lru.Len() }
 
 func (c *Cache) event(id prefix.ID, stored bool) {
--- a/internal/lab/draw/draw.go
+++ b/internal/lab/draw/draw.go
@@ -1,4 +1,4 @@
-// Package draw draws the loads of plays in virtual time.
+// Package draw draws random arrivals for simulations in virtual time.
 package draw
 
 import (
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 )
 
-// Poisson returns how many of calls that come by chance come in a time in which so many come
-// on average. It is meant for small means: it takes as many draws as calls come.
+// Poisson returns a Poisson-distributed number of arrivals with the given mean. It suits
+// small means, since it takes one random number per arrival.
 func Poisson(rng *rand.Rand, mean float64) int {
 	n, p, limit := 0, rng.Float64(), math.Exp(-mean)
 	for p > limit {
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,20 +1,19 @@
-// Package loopback gives out addresses for servers of the lab and of tests that are
-// named before they listen, or that must be found at the same address after they were
-// down. A port that the system picks ("127.0.0.1:0") serves neither: once it is closed,
-// the system gives it to the next who asks.
+// Package loopback hands out loopback addresses for servers of the lab and of tests whose
+// address must be known before they listen, or must stay the same while they are down. A
+// port that the kernel picks ("127.0.0.1:0") suits neither case: once it is closed, the
+// kernel may assign it to the next socket.
 //
-// # Why nobody comes in between
+// # Exclusive addresses
 //
-// Each process has an IP number of its own within 127.0.0.0/8, or several. It listens
-// at lockPort of it until it ends, and the kernel lets one listener do so; a process
-// that draws an IP number that is held draws again. So the addresses of two processes
-// differ in their IP numbers, whatever runs side by side, and each address is given out
-// once.
+// Each process reserves one IP address within 127.0.0.0/8, or several. It holds a listener
+// on lockPort of that IP until it ends. The kernel allows one such listener, so a process
+// that picks a reserved IP picks another one. The addresses of two concurrent processes
+// therefore differ in their IP, and a process hands out each address once.
 //
-// Ports lie below those that the kernel gives to connections and to listeners that ask
-// for any. So sockets at all IP numbers don't come in between either, such as those of
-// a resolver, nor does a connection that is tried while nobody listens connect to
-// itself.
+// The ports lie below the range from which the kernel assigns ports to outgoing connections
+// and to listeners that ask for any port. So sockets bound to all IPs, such as those of a
+// resolver, take none of them either, and a connection attempt to an address without a
+// listener cannot connect to itself.
 package loopback
 
 import (
@@ -27,38 +26,38 @@
 )
 
 const (
-	// lockPort is where a process holds its IP number.
+	// lockPort is the port whose listener reserves an IP for a process.
 	lockPort  = 20_000
 	firstPort = lockPort + 1
-	// lastPort lies below the kernel's own range, from 32,768 on by default.
+	// lastPort lies below the kernel's ephemeral port range, which starts at 32,768 by default.
 	lastPort = 29_999
-	// draws is how many IP numbers are tried. Nearly all of the 16 million are free.
-	draws = 100
+	// maxAttempts is the number of IPs to try. Nearly all of the 16 million are free.
+	maxAttempts = 100
 )
 
-// Addr returns an address, ip:port, that is nobody else's until this process ends, for
-// TCP and UDP, whether it is listened at or not. It panics where there is none, as
-// httptest does where no server can listen.
+// Addr returns an address, ip:port, that is reserved for the caller until this process ends,
+// for TCP and UDP, whether a server listens on it or not. It panics if no address is
+// available, as httptest does if no server can listen. Safe for concurrent use.
 func Addr() string {
-	addr, err := own.next()
+	addr, err := pool.next()
 	if err != nil {
 		panic(err)
 	}
 	return addr
 }
 
-// own are this process's IP numbers.
-var own hosts
+// pool holds this process's reserved IPs.
+var pool hostPool
 
-// hosts are IP numbers that are held until the process ends: one, and another each time
-// that all ports of the last are given out.
-type hosts struct {
+// hostPool holds the IPs reserved until the process ends. It reserves another IP when all
+// ports of the last one have been handed out.
+type hostPool struct {
 	mu  sync.Mutex
 	all []*host
 }
 
-// next returns the next address.
-func (s *hosts) next() (string, error) {
+// next returns the next unused address.
+func (s *hostPool) next() (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.all) > 0 {
@@ -66,58 +65,59 @@
 			return addr, nil
 		}
 	}
-	h, err := hold(draw)
+	h, err := reserveHost(randomIP)
 	if err != nil {
 		return "", err
 	}
 	s.all = append(s.all, h)
 	addr, ok := h.next()
 	if !ok {
-		return "", eris.Errorf("all ports are taken at all IP numbers, %s among them", h.ip)
+		return "", eris.Errorf("no free port on loopback, last tried IP %s", h.ip)
 	}
 	return addr, nil
 }
 
-// host is an IP number that is held while lock is open. Not safe for concurrent use.
+// host is an IP that is reserved while lock is open. Not safe for concurrent use.
 type host struct {
 	ip   string
 	lock net.Listener
-	last int // port that was given out
+	last int // last port that was handed out
 }
 
-// draw draws an IP number, none of 127.0.0.0/16 and 127.1.0.0/16, where others listen.
-func draw() string {
+// randomIP picks a random loopback IP outside of 127.0.0.0/16 and 127.1.0.0/16, where other
+// programs listen.
+func randomIP() string {
 	return fmt.Sprintf("127.%d.%d.%d", 2+rand.IntN(253), rand.IntN(256), 1+rand.IntN(254))
 }
 
-// hold draws IP numbers until one is free, and holds it.
-func hold(draw func() string) (*host, error) {
+// reserveHost picks IPs until it can reserve one, at most maxAttempts times.
+func reserveHost(pick func() string) (*host, error) {
 	var err error
-	for range draws {
-		h := &host{ip: draw(), last: firstPort - 1}
+	for range maxAttempts {
+		h := &host{ip: pick(), last: firstPort - 1}
 		if h.lock, err = net.Listen("tcp", h.addr(lockPort)); err == nil {
 			return h, nil
 		}
 	}
-	return nil, eris.Wrap(err, "hold an IP number on loopback")
+	return nil, eris.Wrap(err, "reserve a loopback IP")
 }
 
 func (h *host) addr(port int) string { return fmt.Sprintf("%s:%d", h.ip, port) }
 
-// next returns the next address, if there is one.
+// next returns the next address of this IP; ok is false when its ports are used up.
 func (h *host) next() (addr string, ok bool) {
 	for h.last < lastPort {
 		h.last++
-		if addr := h.addr(h.last); free(addr) {
+		if addr := h.addr(h.last); isFree(addr) {
 			return addr, true
 		}
 	}
 	return "", false
 }
 
-// free tells whether nobody listens at the port at all IP numbers, as a server of the
-// machine may. It takes nothing from anybody: the address is nobody else's.
-func free(addr string) bool {
+// isFree reports whether no server of the machine listens on the port on all IPs. Its own
+// short listen disturbs nobody, since the address is reserved for this process.
+func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// TestOneHolder draws an IP number that is held: it is not given to another, but the
-// next that is drawn is; when its holder has ended it is free.
-func TestOneHolder(t *testing.T) {
-	first, err := hold(draw)
+// TestReservedHostIsExclusive checks that a reserved IP cannot be reserved again, that
+// reserveHost then goes on to the next IP picked, and that a released IP is available again.
+func TestReservedHostIsExclusive(t *testing.T) {
+	first, err := reserveHost(randomIP)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := hold(func() string { return first.ip }); err == nil {
-		t.Fatalf("%s has two holders", first.ip)
+	if _, err := reserveHost(func() string { return first.ip }); err == nil {
+		t.Fatalf("%s was reserved twice", first.ip)
 	}
 	drawn := []string{first.ip, first.ip}
-	second, err := hold(func() string {
+	second, err := reserveHost(func() string {
 		if len(drawn) == 0 {
-			return draw()
+			return randomIP()
 		}
 		ip := drawn[0]
 		drawn = drawn[1:]
@@ -32,24 +32,24 @@
 	}
 	defer func() { _ = second.lock.Close() }()
 	if second.ip == first.ip || len(drawn) > 0 {
-		t.Fatalf("held %s and %s", first.ip, second.ip)
+		t.Fatalf("reserved %s and %s, want another IP after two attempts", first.ip, second.ip)
 	}
 	_ = first.lock.Close()
-	again, err := hold(func() string { return first.ip })
+	again, err := reserveHost(func() string { return first.ip })
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = again.lock.Close()
 }
 
-// TestAddressesAreOnesOwn listens at each address by TCP and UDP, closes and listens
-// again, while others take ports that the kernel picks.
-func TestAddressesAreOnesOwn(t *testing.T) {
+// TestAddressesAreExclusive listens twice on each address by TCP and UDP while other
+// listeners take ports that the kernel picks. No address may be in use or handed out twice.
+func TestAddressesAreExclusive(t *testing.T) {
 	seen := map[string]bool{}
 	for range 100 {
 		addr := Addr()
 		if seen[addr] {
-			t.Fatalf("%s was given out twice", addr)
+			t.Fatalf("%s was handed out twice", addr)
 		}
 		seen[addr] = true
 		for range 2 {
@@ -71,21 +71,21 @@
 	}
 }
 
-// TestTakenPort lets a server have the next port, by TCP or by UDP, as one that listens
-// at all IP numbers has it: the port is passed over. The server listens at this IP
-// number only, since it must be in nobody's way.
-func TestTakenPort(t *testing.T) {
+// TestPortInUseIsSkipped checks that next skips a port on which a server already listens by
+// TCP or UDP, as a server bound to all IPs does. The server of this test listens on the
+// reserved IP only, so that it does not disturb other processes.
+func TestPortInUseIsSkipped(t *testing.T) {
 	for network, listen := range map[string]func(addr string) (io.Closer, error){
 		"tcp": func(addr string) (io.Closer, error) { return net.Listen("tcp", addr) },
 		"udp": func(addr string) (io.Closer, error) { return net.ListenPacket("udp", addr) },
 	} {
-		h, err := hold(draw)
+		h, err := reserveHost(randomIP)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = h.lock.Close() }()
 		if _, ok := h.next(); !ok {
-			t.Fatalf("%s has no port", h.ip)
+			t.Fatalf("%s has no free port", h.ip)
 		}
 		server, err := listen(h.addr(firstPort + 1))
 		if err != nil {
@@ -98,9 +98,10 @@
 	}
 }
 
-// TestAllPortsGivenOut uses an IP number up: another comes next, the first stays held.
-func TestAllPortsGivenOut(t *testing.T) {
-	var s hosts
+// TestNextHostWhenPortsExhausted checks that the pool reserves another IP when the ports of
+// the first are used up, and keeps the first reserved.
+func TestNextHostWhenPortsExhausted(t *testing.T) {
+	var s hostPool
 	if _, err := s.next(); err != nil {
 		t.Fatal(err)
 	}
@@ -111,19 +112,20 @@
 			t.Fatal(err)
 		}
 		if len(s.all) != want {
-			t.Fatalf("%d IP numbers are held, want %d", len(s.all), want)
+			t.Fatalf("%d IPs are reserved, want %d", len(s.all), want)
 		}
 	}
-	if _, err := hold(func() string { return first.ip }); err == nil {
-		t.Fatalf("%s was let go", first.ip)
+	if _, err := reserveHost(func() string { return first.ip }); err == nil {
+		t.Fatalf("%s was released", first.ip)
 	}
 	for _, h := range s.all {
 		_ = h.lock.Close()
 	}
 }
 
-// TestKernelPicksOtherPorts checks what the package relies on.
-func TestKernelPicksOtherPorts(t *testing.T) {
+// TestPortsBelowEphemeralRange checks the assumption that the kernel assigns no port up to
+// lastPort.
+func TestPortsBelowEphemeralRange(t *testing.T) {
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
 		t.Fatal(err)
@@ -133,6 +135,6 @@
 		t.Fatal(err)
 	}
 	if first <= lastPort {
-		t.Errorf("the kernel picks ports from %d on; here they lie up to %d", first, lastPort)
+		t.Errorf("the kernel's ephemeral ports start at %d, want above %d", first, lastPort)
 	}
 }
--- a/internal/lab/platformlab/fatal.go
+++ b/internal/lab/platformlab/fatal.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// CrashRule says which requests crash a replica, and how.
+// CrashRule selects the requests that crash a replica and sets how the crash happens.
 type CrashRule struct {
-	Body string // requests whose bodies begin so; empty: none
-	// Workspace is whose requests these are; empty: anybody's.
+	Body string // prefix of the bodies that crash the replica; empty: none
+	// Workspace limits the rule to the requests of one workspace; empty: all workspaces.
 	Workspace       string
-	Delay           time.Duration // until the crash
-	PartialResponse bool          // the head of the answer and a part of it come first
-	// OnCrash is called when the replica has ended.
+	Delay           time.Duration // from the request's arrival to the crash
+	PartialResponse bool          // send the response header and one event before the crash
+	// OnCrash, if set, is called once, after the replica has ended.
 	OnCrash func(r *Replica)
 }
 
-func (f *CrashRule) hits(workspace, body string) bool {
+func (f *CrashRule) matches(workspace, body string) bool {
 	return f != nil && f.Body != "" && strings.HasPrefix(body, f.Body) && (f.Workspace == "" || f.Workspace == workspace)
 }
 
-// crashUnder ends the replica while it runs a request, and all else that runs there.
-func (r *Replica) crashUnder(w http.ResponseWriter, req *http.Request) {
+// crashDuring ends the replica while it runs req, which also ends all other requests in
+// progress there.
+func (r *Replica) crashDuring(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Response-Signature", "sig-"+r.ID)
 	if r.CrashOn.PartialResponse {
-		_, _ = fmt.Fprintf(w, "id: 1\ndata: piece 1 of %s\n\n", req.Header.Get("X-Request-Id")) // it ends anyway
+		_, _ = fmt.Fprintf(w, "id: 1\ndata: piece 1 of %s\n\n", req.Header.Get("X-Request-Id")) // a write error does not matter before a crash
 		_ = http.NewResponseController(w).Flush()
 	}
 	time.Sleep(r.CrashOn.Delay)
--- a/internal/lab/platformlab/replica.go
+++ b/internal/lab/platformlab/replica.go
@@ -15,7 +15,7 @@
 	"github.com/threadwall/threadwall/internal/lab/loopback"
 )
 
-// Run is one request that a replica began to work on.
+// Run is one request whose execution a replica has started.
 type Run struct {
 	Replica   string
 	Request   string
@@ -23,14 +23,15 @@
 	URI       string
 	Body      string
 	Workspace string
-	Key       string // API key that came through; none should
+	Key       string // API key that the VM forwarded; expected to be empty
 	Salt      string
 	Version   int
 	Header    http.Header
 	At        time.Time
 }
 
-// Ledger records what all replicas ran. Safe for concurrent use.
+// Ledger records the requests that reached replicas and those that they executed. Safe for
+// concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	runs     []Run
@@ -43,14 +44,14 @@
 	l.runs = append(l.runs, r)
 }
 
-// Runs returns all runs so far.
+// Runs returns a copy of all runs so far.
 func (l *Ledger) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Run(nil), l.runs...)
 }
 
-// RunsOf returns the runs of one request.
+// RunsOf returns the runs of one request ID.
 func (l *Ledger) RunsOf(request string) []Run {
 	var out []Run
 	for _, r := range l.Runs() {
@@ -61,21 +62,22 @@
 	return out
 }
 
-// Replica is one incarnation of a target.
+// Replica is a simulated target in one of its incarnations. Its exported fields are set
+// before it starts.
 type Replica struct {
 	ID            string
 	Service       string
 	Zone          string
-	Model         string        // set: it serves a model
-	ServiceTime   time.Duration // for each request
-	Chunks        int           // events of a stream
+	Model         string        // if set, the replica serves this model
+	ServiceTime   time.Duration // of each request
+	Chunks        int           // events of a streamed response; zero: not streamed
 	ChunkInterval time.Duration // between events
-	StartedMS     int64         // its start in Unix milliseconds; zero: it does not say
-	// CrashOn is set for a replica that some requests crash.
+	StartedMS     int64         // start time in Unix milliseconds; zero: not reported
+	// CrashOn, if set, selects requests that crash the replica.
 	CrashOn *CrashRule
-	// Software is the version of its software; empty: v1.
+	// Software is the software version that the replica reports; empty: v1.
 	Software string
-	// WarmUp is for how long it says that it is slow after its start.
+	// WarmUp is the time after its start for which the replica reports that it is slow.
 	WarmUp time.Duration
 
 	store     *Store
@@ -88,25 +90,26 @@
 	version   int
 	busy      bool
 	orders    int
-	// answers decides, if set, what happens to a request instead of the usual.
-	answers atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
-	signals atomic.Pointer[Signals]
-	silent  atomic.Bool // no connection is answered
-	ended   atomic.Bool // a request has crashed it
+	// handler, if set, may respond to a request in place of the default response.
+	handler      atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
+	signals      atomic.Pointer[Signals]
+	unresponsive atomic.Bool // requests hang until the caller closes them
+	ended        atomic.Bool // a request has crashed the replica
 }
 
-// Addr is where the replica listens.
+// Addr returns the address on which the replica listens.
 func (r *Replica) Addr() string { return r.addr }
 
-// Version returns the weights that it has.
+// Version returns the weights version that the replica serves.
 func (r *Replica) Version() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-// Start listens, on addr if it is given, and registers. An address that isn't given
-// stays the replica's after a crash: what is still sent there reaches nobody else.
+// Start listens on addr and registers the replica in the store. If addr is empty, Start
+// takes an address that stays reserved after a crash, so that requests still sent to it
+// reach no other server.
 func (r *Replica) Start(store *Store, ledger *Ledger, addr string) error {
 	if addr == "" {
 		addr = loopback.Addr()
@@ -118,7 +121,7 @@
 	return nil
 }
 
-// Listen listens without registering.
+// Listen starts the server without registering it.
 func (r *Replica) Listen(ledger *Ledger) error { return r.listen(ledger, loopback.Addr()) }
 
 func (r *Replica) listen(ledger *Ledger, addr string) error {
@@ -131,11 +134,12 @@
 		r.version = 1
 	}
 	r.server = &http.Server{Handler: r}
-	go func() { _ = r.server.Serve(l) }() // ends with Crash
+	go func() { _ = r.server.Serve(l) }() // returns after Crash
 	return nil
 }
 
-// Register publishes the replica under an address, which may be that of a proxy.
+// Register writes the replica's entry to the store with the given address, which may be
+// that of a proxy.
 func (r *Replica) Register(store *Store, published string) {
 	r.mu.Lock()
 	r.store, r.published = store, published
@@ -143,10 +147,10 @@
 	r.register()
 }
 
-// SetVersion sets the weights before the replica starts.
+// SetVersion sets the weights version. Call it before the replica starts.
 func (r *Replica) SetVersion(v int) { r.version = v }
 
-// entry is what a replica writes about itself.
+// entry is the object that a replica writes to the store to register itself.
 type entry struct {
 	Service string       `json:"service"`
 	Address string       `json:"address"`
@@ -180,7 +184,7 @@
 	}
 }
 
-// Drain reports that the replica leaves.
+// Drain registers the replica as draining.
 func (r *Replica) Drain() {
 	r.mu.Lock()
 	r.state = "draining"
@@ -188,24 +192,25 @@
 	r.register()
 }
 
-// Crash ends the replica at once; its entry stays.
+// Crash closes the replica's server at once; its entry stays in the store.
 func (r *Replica) Crash() { _ = r.server.Close() }
 
-// SetUnresponsive lets requests hang.
-func (r *Replica) SetUnresponsive(on bool) { r.silent.Store(on) }
+// SetUnresponsive makes requests hang until their callers close them.
+func (r *Replica) SetUnresponsive(on bool) { r.unresponsive.Store(on) }
 
-// SetHandler lets f answer requests; it returns false for the usual answer. Nil: none.
+// SetHandler lets f respond to requests; f returns false for the default response. Nil
+// removes the handler.
 func (r *Replica) SetHandler(f func(w http.ResponseWriter, req *http.Request) bool) {
 	if f == nil {
-		r.answers.Store(nil)
+		r.handler.Store(nil)
 		return
 	}
-	r.answers.Store(&f)
+	r.handler.Store(&f)
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	if r.silent.Load() {
+	if r.unresponsive.Load() {
 		<-req.Context().Done()
 		return
 	}
@@ -229,20 +234,20 @@
 func (r *Replica) report(w http.ResponseWriter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	reply(w, http.StatusOK, r.says(map[string]any{
+	reply(w, http.StatusOK, r.withStart(map[string]any{
 		"models": []modelState{{r.Model, r.version}}, "busy": r.busy, "seq": r.orders,
 	}))
 }
 
-// says adds when the replica started to what it says of itself.
-func (r *Replica) says(body map[string]any) map[string]any {
+// withStart adds the replica's start time to a report, unless StartedMS is zero.
+func (r *Replica) withStart(body map[string]any) map[string]any {
 	if r.StartedMS != 0 {
 		body["born"] = r.StartedMS
 	}
 	return body
 }
 
-// Order is an order's body.
+// Order is the body of an order to load weights.
 type Order struct {
 	Op       string `json:"op"`
 	Model    string `json:"model"`
@@ -271,7 +276,7 @@
 	}
 	r.busy = true
 	r.orders++
-	time.AfterFunc(loadTime, func() {
+	time.AfterFunc(weightsLoadTime, func() {
 		r.mu.Lock()
 		r.version, r.busy = o.Version, false
 		r.mu.Unlock()
@@ -280,8 +285,8 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// loadTime is how long a replica loads weights.
-const loadTime = 150 * time.Millisecond
+// weightsLoadTime is how long a replica takes to load weights.
+const weightsLoadTime = 150 * time.Millisecond
 
 func (r *Replica) feed(w http.ResponseWriter, req *http.Request) {
 	wait, _ := strconv.Atoi(req.Header.Get("Wait-Ms"))
@@ -290,16 +295,16 @@
 	case <-req.Context().Done():
 		return
 	}
-	reply(w, http.StatusOK, r.says(map[string]any{"epoch": 1 + r.StartedMS, "next": 1, "lost": false, "events": []any{}}))
+	reply(w, http.StatusOK, r.withStart(map[string]any{"epoch": 1 + r.StartedMS, "next": 1, "lost": false, "events": []any{}}))
 }
 
-// run works on a request.
+// run executes a request and records it in the ledger.
 func (r *Replica) run(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
 	}
-	if r.signal(w, req) {
+	if r.sendSignals(w, req) {
 		return
 	}
 	w.Header().Set("X-Request-Id", req.Header.Get("X-Request-Id"))
@@ -321,11 +326,11 @@
 		Workspace: req.Header.Get("X-Tenant-Id"), Key: req.Header.Get("Api-Key"), Salt: req.Header.Get("X-Cache-Salt"), Version: version,
 		Header: req.Header.Clone(), At: time.Now(),
 	})
-	if r.CrashOn.hits(req.Header.Get("X-Tenant-Id"), string(body)) {
-		r.crashUnder(w, req)
+	if r.CrashOn.matches(req.Header.Get("X-Tenant-Id"), string(body)) {
+		r.crashDuring(w, req)
 		return
 	}
-	if f := r.answers.Load(); f != nil && (*f)(w, req) {
+	if f := r.handler.Load(); f != nil && (*f)(w, req) {
 		return
 	}
 	time.Sleep(r.ServiceTime)
--- a/internal/lab/platformlab/signals.go
+++ b/internal/lab/platformlab/signals.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// Signals are what a replica says of itself with all its answers. Empty: it does not say.
+// Signals are the header values that a replica sends with each response. An empty field is
+// not sent.
 type Signals struct {
-	Limit   string // requests a second that it takes from all VMs together
-	Rest    string // seconds in which it wants nothing from the VM that it turns away; set: it turns all away
+	Limit   string // requests/s that the replica accepts from all VMs together
+	Rest    string // Retry-After of refusals, in seconds; if set, the replica refuses all requests
 	Leaving bool
 }
 
-// none tells whether a replica says nothing.
-func (s *Signals) none() bool { return s == nil || *s == Signals{} }
+// empty reports whether a replica sends no signals.
+func (s *Signals) empty() bool { return s == nil || *s == Signals{} }
 
-// SetSignals changes what the replica says of itself from now on.
+// SetSignals replaces the signals that the replica sends from now on.
 func (r *Replica) SetSignals(s Signals) { r.signals.Store(&s) }
 
-// Arrival is one request that reached a replica, whatever became of it, and what the replica
-// said of itself with its answer.
+// Arrival is one request that reached a replica, whether executed or refused, and the
+// signals that the replica sent in response.
 type Arrival struct {
 	Replica string
 	Request string
@@ -28,29 +29,29 @@
 	Signals Signals
 }
 
-// Arrivals returns all arrivals so far, in the order of time.
+// Arrivals returns a copy of all arrivals so far, in order of time.
 func (l *Ledger) Arrivals() []Arrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.arrivals)
 }
 
-func (l *Ledger) arrived(a Arrival) {
+func (l *Ledger) addArrival(a Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.At = time.Now()
 	l.arrivals = append(l.arrivals, a)
 }
 
-// signal notes an arrival and says what the replica says of itself. It returns whether the
-// request is turned away.
-func (r *Replica) signal(w http.ResponseWriter, req *http.Request) (turnedAway bool) {
+// sendSignals records an arrival and sets the headers of the replica's signals. It reports
+// whether it refused the request, in which case the response is complete.
+func (r *Replica) sendSignals(w http.ResponseWriter, req *http.Request) (rejected bool) {
 	s := r.signals.Load()
 	if s == nil {
 		s = &Signals{}
 	}
-	r.ledger.arrived(Arrival{Replica: r.ID, Request: req.Header.Get("X-Request-Id"), Signals: *s})
-	if s.none() {
+	r.ledger.addArrival(Arrival{Replica: r.ID, Request: req.Header.Get("X-Request-Id"), Signals: *s})
+	if s.empty() {
 		return false
 	}
 	if s.Limit != "" {
--- a/internal/lab/platformlab/store.go
+++ b/internal/lab/platformlab/store.go
@@ -1,7 +1,7 @@
-// Package platformlab stands in for the platform that threadwall's users run: its
-// metadata store, replicas of engines and plain services, and callers that check
-// what they get. It speaks the platform's published protocol on loopback and lets
-// tests bring its troubles about.
+// Package platformlab simulates the platform on which threadwall's users run it: the
+// metadata store, replicas of engines and plain services, and the requests of callers. It
+// implements the platform's published protocol on loopback and lets tests inject the
+// platform's faults.
 package platformlab
 
 import (
@@ -23,7 +23,7 @@
 	Status   json.RawMessage `json:"status,omitempty"`
 }
 
-// Metadata names an object and its last change.
+// Metadata holds an object's name and the revisions of its creation and last change.
 type Metadata struct {
 	Name      string `json:"name"`
 	Rev       uint64 `json:"rev"`
@@ -37,85 +37,86 @@
 	removed bool
 }
 
-// StoreFaults is what is wrong with the store.
+// StoreFaults are the faults injected into the store. The zero value is a healthy store.
 type StoreFaults struct {
-	// Down: "busy" answers 503, "reset" closes connections, "silent" never answers.
+	// Down is the kind of outage: "busy" responds 503, "reset" closes connections,
+	// "silent" never responds; empty: none.
 	Down string
-	// Delay delays each answer.
+	// Delay is added to each response.
 	Delay time.Duration
-	// LostResponses is the part of writes that are done and not answered.
+	// LostResponses is the fraction of successful writes whose response is lost.
 	LostResponses float64
 }
 
-// Store is the metadata store.
+// Store is the simulated metadata store. Safe for concurrent use.
 type Store struct {
-	mu      sync.Mutex
-	rev     uint64
-	kinds   map[string]map[string]Object
-	history []change
-	oldest  uint64 // watches from before get 410
-	trouble StoreFaults
-	changed chan struct{}
-	cut     chan struct{}
-	calls   map[string]int // by method and kind
+	mu        sync.Mutex
+	rev       uint64
+	kinds     map[string]map[string]Object
+	history   []change
+	oldest    uint64 // lowest revision in the history; watches from before it get 410
+	faults    StoreFaults
+	changed   chan struct{}
+	interrupt chan struct{}
+	calls     map[string]int // by method and kind, such as "GET config"
 
 	server *httptest.Server
 }
 
 // NewStore starts a store on loopback.
 func NewStore() *Store {
-	s := &Store{kinds: map[string]map[string]Object{}, changed: make(chan struct{}), cut: make(chan struct{}), calls: map[string]int{}}
+	s := &Store{kinds: map[string]map[string]Object{}, changed: make(chan struct{}), interrupt: make(chan struct{}), calls: map[string]int{}}
 	s.server = httptest.NewServer(s)
 	return s
 }
 
-// URL is where the store answers.
+// URL returns the store's base URL.
 func (s *Store) URL() string { return s.server.URL }
 
-// Close stops the store.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	s.SetFaults(StoreFaults{Down: "busy"})
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// SetFaults changes what is wrong with the store. Waiting watches are cut off.
+// SetFaults replaces the injected faults and closes the connections of waiting watches.
 func (s *Store) SetFaults(t StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
-	close(s.cut)
-	s.cut = make(chan struct{})
+	s.faults = t
+	close(s.interrupt)
+	s.interrupt = make(chan struct{})
 }
 
-// Compact drops the history and cuts waiting watches off.
+// Compact drops the history and closes the connections of waiting watches.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.rev+1
-	close(s.cut)
-	s.cut = make(chan struct{})
+	close(s.interrupt)
+	s.interrupt = make(chan struct{})
 }
 
-// Calls returns how many calls of a method and kind came, such as "GET config".
+// Calls returns the number of calls of a method and kind, such as "GET config".
 func (s *Store) Calls(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
 }
 
-// Put writes an object, whatever its revision, and returns the store's.
+// Put writes an object regardless of its revision and returns its revision.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // the lab's own types always encode
+		panic(err) // all types passed by this module can be encoded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(kind, name, data).Metadata.Rev
 }
 
-// Remove deletes an object.
+// Remove deletes an object, if there is one.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +127,7 @@
 	delete(s.kinds[kind], name)
 	s.rev++
 	o.Metadata.Rev = s.rev
-	s.note(change{kind: kind, object: o, removed: true})
+	s.recordChange(change{kind: kind, object: o, removed: true})
 }
 
 func (s *Store) put(kind, name string, spec json.RawMessage) Object {
@@ -135,7 +136,7 @@
 	}
 	o, known := s.kinds[kind][name]
 	if known && slices.Equal(o.Spec, spec) {
-		return o // nothing changes, so there is no event
+		return o // an unchanged spec causes no event
 	}
 	s.rev++
 	if !known {
@@ -143,11 +144,11 @@
 	}
 	o.Metadata.Rev, o.Spec = s.rev, spec
 	s.kinds[kind][name] = o
-	s.note(change{kind: kind, object: o})
+	s.recordChange(change{kind: kind, object: o})
 	return o
 }
 
-// putStatus replaces the status of an object that is there. The lock is held.
+// putStatus replaces the status of an existing object. The caller holds s.mu.
 func (s *Store) putStatus(kind, name string, status json.RawMessage) Object {
 	o := s.kinds[kind][name]
 	if slices.Equal(o.Status, status) {
@@ -156,11 +157,11 @@
 	s.rev++
 	o.Metadata.Rev, o.Status = s.rev, status
 	s.kinds[kind][name] = o
-	s.note(change{kind: kind, object: o})
+	s.recordChange(change{kind: kind, object: o})
 	return o
 }
 
-// Get returns an object; false: there is none.
+// Get returns an object and whether it exists.
 func (s *Store) Get(kind, name string) (Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 	return o, ok
 }
 
-func (s *Store) note(c change) {
+func (s *Store) recordChange(c change) {
 	s.history = append(s.history, c)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -181,7 +182,7 @@
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, prefixObjects), "/")
 	name, isStatus := strings.CutSuffix(name, "/status")
 	s.mu.Lock()
-	t, cut := s.trouble, s.cut
+	t, interrupt := s.faults, s.interrupt
 	s.calls[r.Method+" "+kind]++
 	s.mu.Unlock()
 	time.Sleep(t.Delay)
@@ -194,7 +195,7 @@
 	case "silent":
 		select {
 		case <-r.Context().Done():
-		case <-cut: // a request whose body is unread doesn't notice that its caller has gone
+		case <-interrupt: // the context of a request whose body is unread does not end when the caller disconnects
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -215,7 +216,7 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // a caller that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(body) // the only error is a disconnected caller
 }
 
 func (s *Store) get(w http.ResponseWriter, kind, name string) {
@@ -229,7 +230,8 @@
 	reply(w, http.StatusOK, o)
 }
 
-// pageSize is how many objects a page of a list holds; small, so that tests page.
+// pageSize is the maximum number of objects in a page of a list; small, so that tests
+// cover lists of several pages.
 const pageSize = 5
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
@@ -251,7 +253,7 @@
 	reply(w, http.StatusOK, map[string]any{"items": items, "truncated": truncated, "storeRevision": rev})
 }
 
-// event is one change as a watch tells it.
+// event is one change in the response to a watch.
 type event struct {
 	Object  Object `json:"object"`
 	Removed bool   `json:"removed"`
@@ -264,10 +266,10 @@
 	for {
 		s.mu.Lock()
 		events, gone, rev := s.since(kind, after)
-		changed, cut := s.changed, s.cut
+		changed, interrupt := s.changed, s.interrupt
 		s.mu.Unlock()
 		if gone {
-			http.Error(w, "the history is gone", http.StatusGone)
+			http.Error(w, "watch revision is older than the history", http.StatusGone)
 			return
 		}
 		if len(events) > 0 {
@@ -276,7 +278,7 @@
 		}
 		select {
 		case <-changed:
-		case <-cut:
+		case <-interrupt:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -287,7 +289,8 @@
 	}
 }
 
-// since returns the changes of a kind after a revision. The lock is held.
+// since returns the changes of a kind after a revision, and gone if the history no longer
+// covers them. The caller holds s.mu.
 func (s *Store) since(kind string, after uint64) (events []event, gone bool, rev uint64) {
 	if after+1 < s.oldest {
 		return nil, true, s.rev
@@ -300,7 +303,7 @@
 	return events, false, s.rev
 }
 
-func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, isStatus bool, lose float64) {
+func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, isStatus bool, lostResponses float64) {
 	var in Object
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -325,8 +328,8 @@
 		o = s.put(kind, name, in.Spec)
 	}
 	s.mu.Unlock()
-	if status == http.StatusOK && rand.Float64() < lose {
-		panic(http.ErrAbortHandler) // done, and not answered
+	if status == http.StatusOK && rand.Float64() < lostResponses {
+		panic(http.ErrAbortHandler) // the write took effect, but its response is lost
 	}
 	reply(w, status, o)
 }
--- a/internal/lab/texts/texts.go
+++ b/internal/lab/texts/texts.go
@@ -1,6 +1,6 @@
-// Package texts writes the long documents of the examples: terms of hire,
-// barrier standards, contracts and histories, some thousand words each. The same
-// arguments give the same text.
+// Package texts generates the long documents of the examples: terms of hire, barrier
+// standards, contracts and histories, some thousand words each. Equal arguments give equal
+// texts.
 package texts
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// clauses of the terms of hire. %s is a reel size.
+// hireClauses are the clauses of the terms of hire. %s stands for a drum size.
 var hireClauses = []string{
 	"A drum of size %s is handed over on its rim, never flat, with both flanges sound and the arbor hole free of splinters. The clerk at the gate looks at it together with the driver and writes down every mark deeper than a thumbnail.",
 	"The hire of a %s drum begins on the day it leaves the yard and ends on the day it is back inside the gate, whichever clock the customer keeps. A day that has begun counts as a day, except where the yard itself was closed.",
@@ -25,6 +25,7 @@
 	"A %s drum that carried buried cable is washed before it comes back. Clay on the inner face of the flange is the usual cause of a cleaning charge and can be seen from three metres.",
 }
 
+// standardClauses are the clauses of the barrier standard. %s stands for a barrier class.
 var standardClauses = []string{
 	"A net of class %s carries its load through the bearing rope into the posts and from there into the ground. Whoever inspects it begins at the anchor plates, since a loose plate makes everything above it worthless.",
 	"The sag of a class %s net is measured at midspan with the line taut and without snow. More than a tenth of the height calls for a crew within the week; more than a fifth closes the road below until the net is tensioned.",
@@ -52,6 +53,7 @@
 	return numbered("Standard for rockfall and avalanche barriers", standardClauses, classes)
 }
 
+// numbered returns a document that repeats all clauses for each kind.
 func numbered(title string, clauses, kinds []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n", title)
@@ -64,7 +66,7 @@
 	return b.String()
 }
 
-// HouseRules returns a workspace's own layer.
+// HouseRules returns the prompt layer of one workspace.
 func HouseRules(workspace string) string {
 	r := source(workspace, 0)
 	var b strings.Builder
@@ -76,7 +78,7 @@
 	return b.String()
 }
 
-// Contract returns one hire contract of a workspace.
+// Contract returns the hire contract of a workspace with the given number.
 func Contract(workspace string, number int) string {
 	r := source(workspace, uint64(number)+1)
 	var b strings.Builder
@@ -88,7 +90,7 @@
 	return b.String()
 }
 
-// History returns the long history of one barrier.
+// History returns the inspection history of one barrier of a workspace.
 func History(workspace string, number int) string {
 	r := source(workspace, uint64(number)+1_000_000)
 	var b strings.Builder
@@ -104,6 +106,7 @@
 	return b.String()
 }
 
+// source returns a generator seeded with a workspace's name and the number of a text.
 func source(name string, n uint64) *rand.Rand {
 	var seed uint64
 	for _, c := range name {
