--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -11,7 +11,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// chunk is one event of a streamed answer.
+// chunk returns the data of one event of a streamed response.
 func (g *generation) chunk(text, finish string) string {
 	reason := "null"
 	if finish != "" {
@@ -35,10 +35,10 @@
 		engine.ResponseIDPrefix+string(g.attempt), g.usageJSON())
 }
 
-// serveStream writes the events after a number, with whatever faults are armed.
+// serveStream writes the events that follow event number after, and injects armed faults.
 func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, g *generation, after int) {
-	g.reading(1)
-	defer g.reading(-1)
+	g.addReaders(1)
+	defer g.addReaders(-1)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	ctl := http.NewResponseController(w)
@@ -52,33 +52,33 @@
 		if !ok {
 			return
 		}
-		if !e.writeFaulty(w, ctl, g, n, data, write) {
+		if !e.writeWithFaults(w, ctl, g, n, data, write) {
 			return
 		}
 	}
 }
 
-// writeFaulty writes one event, or what an armed fault makes of it. It returns
-// false when the connection is to end.
-func (e *Engine) writeFaulty(w http.ResponseWriter, ctl *http.ResponseController, g *generation, n int, data string, write func(int, string) bool) bool {
+// writeWithFaults writes event n, or injects an armed fault in its place. It returns
+// false if the response has to end.
+func (e *Engine) writeWithFaults(w http.ResponseWriter, ctl *http.ResponseController, g *generation, n int, data string, write func(int, string) bool) bool {
 	if n < faultFromEvent {
 		return write(n, data)
 	}
 	switch {
-	case e.faults.take(FaultTruncate):
+	case e.faults.trigger(FaultTruncate):
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s", n, data[:len(data)/2])
 		_ = ctl.Flush()
 		panic(http.ErrAbortHandler)
-	case e.faults.take(FaultCloseEarly):
+	case e.faults.trigger(FaultCloseEarly):
 		return false
-	case e.faults.take(FaultDuplicate):
+	case e.faults.trigger(FaultDuplicate):
 		again := write(n, data)
 		return again && write(n, data)
-	case e.faults.take(FaultReorder):
+	case e.faults.trigger(FaultReorder):
 		return write(n+1, data) && write(n, data)
-	case e.faults.take(FaultCross):
+	case e.faults.trigger(FaultCross):
 		return write(n, strings.ReplaceAll(data, string(g.attempt), string(ids.NewAttempt())))
-	case e.faults.take(FaultStall):
+	case e.faults.trigger(FaultStall):
 		time.Sleep(stallTime)
 		return write(n, data)
 	default:
@@ -86,10 +86,10 @@
 	}
 }
 
-// serveWhole writes an answer that is not streamed.
-func (e *Engine) serveWhole(w http.ResponseWriter, r *http.Request, g *generation) {
-	g.reading(1)
-	defer g.reading(-1)
+// serveFull writes a response that is not streamed.
+func (e *Engine) serveFull(w http.ResponseWriter, r *http.Request, g *generation) {
+	g.addReaders(1)
+	defer g.addReaders(-1)
 	var text strings.Builder
 	for n := 1; ; n++ {
 		data, ok := g.next(r.Context(), n)
@@ -109,14 +109,14 @@
 	body := fmt.Sprintf(`{"id":%q,"object":%q,"created":1,"model":"lab","choices":[%s],%s}`,
 		engine.ResponseIDPrefix+string(g.attempt), object, choice, g.usageJSON())
 	w.Header().Set("Content-Type", "application/json")
-	if e.faults.take(FaultTruncate) || e.faults.take(FaultLostAnswer) {
+	if e.faults.trigger(FaultTruncate) || e.faults.trigger(FaultLostAnswer) {
 		_, _ = w.Write([]byte(body[:len(body)/2]))
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = w.Write([]byte(body))
 }
 
-// textOf returns the text in one event's data.
+// textOf returns the text in the data of an event or chunk.
 func textOf(data string) string {
 	var c struct {
 		Choices []struct {
@@ -141,12 +141,12 @@
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return
 	}
-	e.head(w, body.Attempt)
+	e.setHeaders(w, body.Attempt)
 	e.mu.Lock()
-	g := e.answers[body.Attempt]
+	g := e.responses[body.Attempt]
 	e.mu.Unlock()
-	if g == nil || e.faults.take(FaultForget) {
-		http.Error(w, `{"error":{"message":"no such answer"}}`, http.StatusNotFound)
+	if g == nil || e.faults.trigger(FaultForget) {
+		http.Error(w, `{"error":{"message":"no response of this attempt"}}`, http.StatusNotFound)
 		return
 	}
 	e.serveStream(w, r, g, body.After)
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -18,11 +18,11 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// DemoSpec sets up a demo.
+// DemoSpec configures a demo.
 type DemoSpec struct {
 	Example  string
 	Domains  []ids.FailureDomain
-	VMs      int // of each failure domain
+	VMs      int // per failure domain
 	Policies []string
 	Requests int
 	Rate     float64
@@ -30,7 +30,7 @@
 	Progress io.Writer
 }
 
-// DemoRow is one policy's result.
+// DemoRow is the result of one policy.
 type DemoRow struct {
 	Policy           string  `json:"policy"`
 	Requests         int     `json:"requests"`
@@ -45,14 +45,15 @@
 	Seconds          float64 `json:"seconds"`
 }
 
-// TTFT are quantiles of the time to first token, in milliseconds.
+// TTFT holds quantiles of the time to first token, in milliseconds.
 type TTFT struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Demo runs an example under each policy, with stand-ins and VMs in this process.
+// Demo runs an example under each policy, with stand-ins and VMs in this process. On error
+// it also returns the rows of the policies that finished.
 func Demo(ctx context.Context, spec DemoSpec) ([]DemoRow, error) {
 	ex, err := ReadExample(spec.Example)
 	if err != nil {
@@ -60,7 +61,7 @@
 	}
 	var rows []DemoRow
 	for _, policy := range spec.Policies {
-		row, err := spec.one(ctx, ex, policy)
+		row, err := spec.runPolicy(ctx, ex, policy)
 		if err != nil {
 			return rows, err
 		}
@@ -69,7 +70,7 @@
 	return rows, nil
 }
 
-func (spec DemoSpec) one(ctx context.Context, ex *Example, policy string) (DemoRow, error) {
+func (spec DemoSpec) runPolicy(ctx context.Context, ex *Example, policy string) (DemoRow, error) {
 	s, err := Start(ctx, ex, StartOptions{Domains: spec.Domains, Engine: DefaultEngine})
 	if err != nil {
 		return DemoRow{}, err
@@ -97,9 +98,9 @@
 
 func demoRow(policy string, s *StandIns, res *Result) DemoRow {
 	prompted, cached := s.Tokens()
-	doubled, untrue := CheckRuns(s.Runs(), res)
+	duplicates, misreported := CheckRuns(s.Runs(), res)
 	row := DemoRow{
-		Policy: policy, Requests: res.Requests, Completed: res.Completed, Lost: res.Lost + untrue, Duplicates: doubled,
+		Policy: policy, Requests: res.Requests, Completed: res.Completed, Lost: res.Lost + misreported, Duplicates: duplicates,
 		Refused: res.Refused, Unknown: res.Unknown, RecomputedTokens: prompted - cached,
 		TTFT: QuantilesOf(res.TTFT), Seconds: res.Seconds,
 	}
@@ -109,27 +110,28 @@
 	return row
 }
 
-// QuantilesOf reads the quantiles off a histogram of microseconds.
+// QuantilesOf returns the quantiles of a histogram of microseconds.
 func QuantilesOf(h *hdrhistogram.Histogram) TTFT {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return TTFT{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
-// VMs are daemons in this process.
+// VMs are threadwall daemons in this process.
 type VMs struct {
 	Daemons []*daemon.Daemon
 }
 
-// readyTimeout bounds waiting for daemons to be ready.
+// readyTimeout is the time within which all daemons must become ready.
 const readyTimeout = 10 * time.Second
 
-// StartVMs starts some entry VMs in each domain and waits until they are ready.
-func StartVMs(ctx context.Context, s *StandIns, domains []ids.FailureDomain, each int, policy string) (*VMs, error) {
+// StartVMs starts perDomain entry VMs in each domain and waits until they are ready. On error
+// it returns the VMs started so far.
+func StartVMs(ctx context.Context, s *StandIns, domains []ids.FailureDomain, perDomain int, policy string) (*VMs, error) {
 	v := &VMs{}
 	var all []settings.Settings
 	for _, d := range domains {
 		var local []settings.Settings
-		for i := range each {
+		for i := range perDomain {
 			local = append(local, vmSettings(s, d, i, policy))
 		}
 		for i := range local {
@@ -201,7 +203,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Entries returns the base URLs of the callers' interfaces.
+// Entries returns the base URLs at which the VMs accept callers' requests.
 func (v *VMs) Entries() []string {
 	var out []string
 	for _, d := range v.Daemons {
@@ -210,7 +212,7 @@
 	return out
 }
 
-// Stop stops all daemons gracefully.
+// Stop shuts all daemons down gracefully, one after another.
 func (v *VMs) Stop(ctx context.Context) {
 	for _, d := range v.Daemons {
 		_ = d.Stop(ctx)
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -1,6 +1,6 @@
-// Package lab holds small stand-ins for what threadwall serves: model engines,
-// plain services and the platform's object API, and a load generator that checks
-// every answer. It starts no process and models no cluster.
+// Package lab holds small stand-ins for the systems around threadwall (model engines, plain
+// services and the platform's object API) and a load generator that checks every response.
+// All of them run in the calling process; the package does not model a cluster.
 package lab
 
 import (
@@ -24,83 +24,83 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// EngineSpec sets up a stand-in engine.
+// EngineSpec configures a stand-in engine.
 type EngineSpec struct {
 	Model       ids.Model
 	Weights     ids.WeightsVersion
 	PrefillRate float64       // tokens/s
-	TokenEvery  time.Duration // between tokens of one answer
-	Slots       int           // answers generated at once
-	CacheBlocks int
-	// IgnoresFences makes the engine follow orders with old fencing numbers.
+	TokenEvery  time.Duration // between tokens of one response
+	Slots       int           // responses generated concurrently
+	CacheBlocks int           // capacity of the prefix cache
+	// IgnoresFences makes the engine apply orders with outdated fencing tokens.
 	IgnoresFences bool
-	LoadTime      time.Duration // of new weights
+	LoadTime      time.Duration // to load new weights
 }
 
-// DefaultEngine is a small engine that lets a demo run quickly.
+// DefaultEngine is a small, fast engine for demos.
 var DefaultEngine = EngineSpec{
 	Weights: "w1", PrefillRate: 60_000, TokenEvery: 2 * time.Millisecond, Slots: 32, CacheBlocks: 2_500,
 }
 
-// shortestSleep is what a timer can tell apart; a shorter one may take a
-// millisecond, which would be measured as somebody's cost.
-const shortestSleep = 500 * time.Microsecond
+// minSleep is the shortest sleep worth taking. The timer may extend a shorter one to a
+// millisecond, which measurements would count as a cost of the router or the engine.
+const minSleep = 500 * time.Microsecond
 
-// resumeGrace is how long an answer goes on without a reader before it is
-// cancelled.
+// resumeGrace is how long the engine generates a response without a reader before it
+// cancels the response.
 const resumeGrace = 1500 * time.Millisecond
 
-// eventsKept is how many cache events an engine keeps for readers.
-const eventsKept = 20_000
+// maxEvents is the maximum number of cache events that an engine keeps for readers.
+const maxEvents = 20_000
 
 // Engine is a stand-in model engine.
 type Engine struct {
 	spec        EngineSpec
 	incarnation ids.Incarnation
 	slots       chan struct{}
-	prefill     sync.Mutex // one prefill at a time
-
-	mu      sync.Mutex
-	cache   *blockcache.Cache
-	events  []cacheview.Event
-	answers map[ids.Attempt]*generation
-	queued  int
-	running int
-	leaving bool
-	loading bool
-	weights ids.WeightsVersion
-	fence   uint64
-	// Ordered lists the fencing numbers of the orders that were followed.
-	ordered []uint64
+	prefill     sync.Mutex // held during a prefill; the engine computes one at a time
+
+	mu        sync.Mutex
+	cache     *blockcache.Cache
+	events    []cacheview.Event
+	responses map[ids.Attempt]*generation
+	queued    int
+	running   int
+	leaving   bool
+	loading   bool
+	weights   ids.WeightsVersion
+	fence     uint64
+	// appliedFences lists the fencing tokens of the applied orders.
+	appliedFences []uint64
 
 	faults Faults
-	// PromptTokens, CachedTokens and Cancelled count tokens and answers.
+	// PromptTokens and CachedTokens count tokens; Cancelled and Served count responses.
 	PromptTokens, CachedTokens, Cancelled, Served atomic.Int64
 }
 
 // NewEngine returns an engine with an empty cache.
 func NewEngine(spec EngineSpec, incarnation ids.Incarnation) *Engine {
-	e := &Engine{spec: spec, incarnation: incarnation, slots: make(chan struct{}, spec.Slots), answers: map[ids.Attempt]*generation{}, weights: spec.Weights}
+	e := &Engine{spec: spec, incarnation: incarnation, slots: make(chan struct{}, spec.Slots), responses: map[ids.Attempt]*generation{}, weights: spec.Weights}
 	e.cache = blockcache.New(spec.CacheBlocks, e.cacheEvent)
 	return e
 }
 
-// SetLeaving makes the engine say that it is going, and refuse new work.
+// SetLeaving makes the engine report that it is leaving and refuse new requests.
 func (e *Engine) SetLeaving(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = on
 }
 
-// cacheEvent is called with the lock held.
+// cacheEvent records a change of the cache. The caller holds e.mu.
 func (e *Engine) cacheEvent(ev cacheview.Event) {
 	e.events = append(e.events, ev)
-	if len(e.events) > eventsKept {
-		e.events = append([]cacheview.Event(nil), e.events[eventsKept/2:]...)
+	if len(e.events) > maxEvents {
+		e.events = append([]cacheview.Event(nil), e.events[maxEvents/2:]...)
 	}
 }
 
-// Handler serves the engine's protocol and its fault switches.
+// Handler serves the engine's protocol and accepts faults to inject.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
@@ -123,8 +123,8 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// feedBatch bounds one answer of the cache feed.
-const feedBatch = 5000
+// maxFeedEvents is the maximum number of events in one response of the cache feed.
+const maxFeedEvents = 5000
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
@@ -132,16 +132,16 @@
 	f := engine.EventBatch{Incarnation: e.incarnation, Weights: e.weights}
 	for _, ev := range e.events {
 		f.Last = ev.Seq
-		if ev.Seq > after && len(f.Events) < feedBatch {
+		if ev.Seq > after && len(f.Events) < maxFeedEvents {
 			f.Events = append(f.Events, ev)
 		}
 	}
 	e.mu.Unlock()
-	f.Events = e.faults.lossy(f.Events)
+	f.Events = e.faults.dropEvent(f.Events)
 	_ = json.NewEncoder(w).Encode(f)
 }
 
-// completionBody is what the engine reads of a request.
+// completionBody holds the fields of a request that the engine reads.
 type completionBody struct {
 	Model    ids.Model `json:"model"`
 	Messages []struct {
@@ -162,8 +162,8 @@
 
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	attempt := ids.Attempt(r.Header.Get(engine.HeaderRequestID))
-	e.head(w, attempt)
-	if e.refuses(w) {
+	e.setHeaders(w, attempt)
+	if e.reject(w) {
 		return
 	}
 	var body completionBody
@@ -177,13 +177,13 @@
 	}
 	g := e.start(attempt, &body)
 	if !body.Stream {
-		e.serveWhole(w, r, g)
+		e.serveFull(w, r, g)
 		return
 	}
 	e.serveStream(w, r, g, 0)
 }
 
-func (e *Engine) head(w http.ResponseWriter, attempt ids.Attempt) {
+func (e *Engine) setHeaders(w http.ResponseWriter, attempt ids.Attempt) {
 	h := w.Header()
 	h.Set(engine.HeaderAttempt, string(attempt))
 	h.Set(engine.HeaderIncarnation, strconv.FormatUint(uint64(e.incarnation), 10))
@@ -192,8 +192,9 @@
 	h.Set(engine.HeaderWeights, string(e.weights))
 }
 
-// refuses turns a request away while the engine leaves, or by a fault.
-func (e *Engine) refuses(w http.ResponseWriter) bool {
+// reject refuses a request while the engine is leaving or loading weights, or by a fault. It
+// reports whether it did.
+func (e *Engine) reject(w http.ResponseWriter) bool {
 	e.mu.Lock()
 	leaving, loading := e.leaving, e.loading
 	e.mu.Unlock()
@@ -202,27 +203,27 @@
 	}
 	w.Header().Set(engine.HeaderOutcome, "not-run")
 	w.Header().Set(engine.HeaderLeaving, strconv.FormatBool(leaving))
-	http.Error(w, "not now", http.StatusServiceUnavailable)
+	http.Error(w, "engine is not accepting requests", http.StatusServiceUnavailable)
 	return true
 }
 
-// generation is one answer, kept as its numbered events until it is read.
+// generation is one response, stored as numbered events so that readers can resume it.
 type generation struct {
 	attempt ids.Attempt
 	chat    bool
 	prompt  int // tokens
 	cached  int
 	total   int
-	skip    int // tokens that the caller has already
+	skip    int // tokens that the caller already has
 	tag     string
 
-	mu      sync.Mutex
-	events  []string // data of events 1..n
-	done    bool
-	readers int
-	idleAt  time.Time
-	more    chan struct{} // closed and replaced at each change
-	cancel  context.CancelFunc
+	mu        sync.Mutex
+	events    []string // data of events 1 to n
+	done      bool
+	readers   int
+	idleSince time.Time
+	changed   chan struct{} // closed and replaced at each change
+	cancel    context.CancelFunc
 }
 
 func (e *Engine) start(attempt ids.Attempt, body *completionBody) *generation {
@@ -231,7 +232,7 @@
 		text.WriteString(m.Content)
 	}
 	text.WriteString(body.Prompt)
-	g := &generation{attempt: attempt, chat: len(body.Messages) > 0, total: body.MaxTokens, more: make(chan struct{}), tag: AnswerTag(lastUser(body))}
+	g := &generation{attempt: attempt, chat: len(body.Messages) > 0, total: body.MaxTokens, changed: make(chan struct{}), tag: AnswerTag(lastUser(body))}
 	if g.total == 0 {
 		g.total = defaultMaxTokens
 	}
@@ -241,7 +242,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
 	e.mu.Lock()
-	e.answers[attempt] = g
+	e.responses[attempt] = g
 	e.mu.Unlock()
 	go e.generate(ctx, g, blockcache.Blocks(prefix.Seed(ids.Workspace(body.CacheSalt), e.spec.Model), []byte(text.String())), text.Len())
 	return g
@@ -256,27 +257,27 @@
 	return body.Prompt
 }
 
-// AnswerTag marks every token of the answer to a user's message, so that the
-// load generator can tell whose answer it got.
+// AnswerTag returns the tag that the engine puts into every token of the response to a
+// user's message. The load generator uses it to detect responses to other requests.
 func AnswerTag(user string) string { return fmt.Sprintf("%08x", uint32(xxh3.HashString(user))) }
 
-// generate computes the prompt, then one token after another.
+// generate simulates the prefill of the prompt and then emits one token after another.
 func (e *Engine) generate(ctx context.Context, g *generation, blocks []prefix.ID, bytes int) {
 	defer e.finish(g)
 	g.prompt = (bytes + prefix.BytesPerToken - 1) / prefix.BytesPerToken
-	e.load(g.prompt, 0)
+	e.addLoad(g.prompt, 0)
 	e.slots <- struct{}{}
 	defer func() { <-e.slots }()
 	e.prefill.Lock()
 	e.mu.Lock()
 	g.cached = min(e.cache.Use(blocks)*prefix.BlockTokens, g.prompt)
 	e.mu.Unlock()
-	if work := time.Duration(float64(g.prompt-g.cached) / e.spec.PrefillRate * float64(time.Second)); work > shortestSleep {
+	if work := time.Duration(float64(g.prompt-g.cached) / e.spec.PrefillRate * float64(time.Second)); work > minSleep {
 		time.Sleep(work)
 	}
 	e.prefill.Unlock()
-	e.load(-g.prompt, 1)
-	defer e.load(0, -1)
+	e.addLoad(-g.prompt, 1)
+	defer e.addLoad(0, -1)
 	e.PromptTokens.Add(int64(g.prompt))
 	e.CachedTokens.Add(int64(g.cached))
 	tick := time.NewTicker(e.spec.TokenEvery)
@@ -295,23 +296,23 @@
 	e.Served.Add(1)
 }
 
-func (e *Engine) load(queued, running int) {
+func (e *Engine) addLoad(queued, running int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.queued += queued
 	e.running += running
 }
 
-// finish ends an answer and forgets it a little later.
+// finish ends a response and deletes it after 4*resumeGrace.
 func (e *Engine) finish(g *generation) {
 	g.mu.Lock()
 	g.done = true
-	g.wake()
+	g.notify()
 	g.mu.Unlock()
 	time.AfterFunc(4*resumeGrace, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.answers, g.attempt)
+		delete(e.responses, g.attempt)
 	})
 }
 
@@ -319,31 +320,32 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.events = append(g.events, data)
-	g.wake()
+	g.notify()
 }
 
-func (g *generation) wake() {
-	close(g.more)
-	g.more = make(chan struct{})
+func (g *generation) notify() {
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-// abandoned tells whether nobody has read the answer for the grace time.
+// abandoned reports whether the response has had no reader for longer than resumeGrace.
 func (g *generation) abandoned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.readers == 0 && !g.idleAt.IsZero() && time.Since(g.idleAt) > resumeGrace
+	return g.readers == 0 && !g.idleSince.IsZero() && time.Since(g.idleSince) > resumeGrace
 }
 
-func (g *generation) reading(n int) {
+func (g *generation) addReaders(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.readers += n
 	if g.readers == 0 {
-		g.idleAt = time.Now()
+		g.idleSince = time.Now()
 	}
 }
 
-// next returns event number n, waiting for it. ok is false after the last.
+// next waits for event n and returns its data. ok is false if the response ended before
+// event n or ctx ended.
 func (g *generation) next(ctx context.Context, n int) (data string, ok bool) {
 	for {
 		g.mu.Lock()
@@ -351,7 +353,7 @@
 			defer g.mu.Unlock()
 			return g.events[n-1], true
 		}
-		done, more := g.done, g.more
+		done, more := g.done, g.changed
 		g.mu.Unlock()
 		if done {
 			return "", false
--- a/internal/lab/example.go
+++ b/internal/lab/example.go
@@ -14,14 +14,14 @@
 	"github.com/threadwall/threadwall/internal/platform"
 )
 
-// Example is one of the directories below examples/.
+// Example is the content of one directory below examples/.
 type Example struct {
 	Objects []config.Object
 	VMs     []platform.Record
 	Load    ExampleLoad
 }
 
-// ExampleLoad is an example's load.json: the workload that its users bring.
+// ExampleLoad is the workload of an example, read from its load.json.
 type ExampleLoad struct {
 	Template          string `json:"template"`
 	Parameter         string `json:"parameter"`
@@ -65,7 +65,7 @@
 	return eris.Wrapf(json.Unmarshal(std, into), "read %s", path)
 }
 
-// Spec returns the workload against the given entries.
+// Spec returns the workload against the VMs with the given base URLs.
 func (e *Example) Spec(entries []string) LoadSpec {
 	text := texts.Contract
 	if e.Load.Text == "history" {
--- a/internal/lab/fatal.go
+++ b/internal/lab/fatal.go
@@ -10,17 +10,17 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// fatal serves an engine or service that requests with a certain text crash.
-type fatal struct {
-	text  string // empty: none does
-	rest  time.Duration
-	s     *StandIns
-	start func(inc ids.Incarnation) http.Handler
+// crashable serves an engine or service that crashes on requests containing crashText.
+type crashable struct {
+	crashText    string // empty: no request crashes it
+	restartDelay time.Duration
+	standIns     *StandIns
+	start        func(inc ids.Incarnation) http.Handler
 }
 
-// serve starts an incarnation.
-func (f *fatal) serve(addr string, inc ids.Incarnation) (*Server, error) {
-	if f.text == "" {
+// serve starts an incarnation at addr.
+func (f *crashable) serve(addr string, inc ids.Incarnation) (*Server, error) {
+	if f.crashText == "" {
 		return Serve(addr, f.start(inc))
 	}
 	var srv *Server
@@ -30,9 +30,9 @@
 		<-ready
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // the caller broke off
+			return // the caller disconnected
 		}
-		if bytes.Contains(body, []byte(f.text)) {
+		if bytes.Contains(body, []byte(f.crashText)) {
 			f.crash(srv)
 			panic(http.ErrAbortHandler)
 		}
@@ -43,20 +43,20 @@
 	return srv, err
 }
 
-// crash ends an incarnation and has the next one start later.
-func (f *fatal) crash(srv *Server) {
-	f.s.mu.Lock()
-	f.s.crashes = append(f.s.crashes, time.Now())
-	f.s.mu.Unlock()
+// crash stops an incarnation and starts the next one after restartDelay.
+func (f *crashable) crash(srv *Server) {
+	f.standIns.mu.Lock()
+	f.standIns.crashes = append(f.standIns.crashes, time.Now())
+	f.standIns.mu.Unlock()
 	srv.Close()
-	time.AfterFunc(f.rest, func() {
+	time.AfterFunc(f.restartDelay, func() {
 		if again, err := f.serve(srv.Addr, ids.Incarnation(time.Now().UnixMilli())); err == nil {
-			f.s.keep(again) // or it runs there already: two requests crashed it
+			f.standIns.track(again) // an error means that two requests crashed it and it has restarted already
 		}
 	})
 }
 
-// Crashes returns when engines and services were crashed by a request.
+// Crashes returns the times at which requests crashed engines and services.
 func (s *StandIns) Crashes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -11,51 +11,51 @@
 	"github.com/threadwall/threadwall/internal/cacheview"
 )
 
-// Fault names something that a stand-in can do wrong.
+// Fault names a fault that a stand-in can inject.
 type Fault string
 
-// The faults.
+// The faults that engines and services inject.
 const (
-	FaultTruncate   Fault = "truncate"    // break the connection within an event
-	FaultCloseEarly Fault = "close-early" // end the answer cleanly before its end
+	FaultTruncate   Fault = "truncate"    // close the connection within an event
+	FaultCloseEarly Fault = "close-early" // end the response cleanly before its last event
 	FaultDuplicate  Fault = "duplicate"   // send an event twice
 	FaultReorder    Fault = "reorder"     // send events in the wrong order
-	FaultCross      Fault = "cross"       // send an event of another answer
-	FaultStall      Fault = "stall"       // say nothing for a while
-	FaultRefuse     Fault = "refuse"      // refuse with a true "not run"
-	FaultRest       Fault = "rest"        // refuse like that, and ask for RestTime of rest
-	FaultForget     Fault = "forget"      // not know an answer that is to be resumed
-	FaultLostAnswer Fault = "lost-answer" // run the call, lose the answer
-	FaultFail       Fault = "fail"        // answer 500 without having run
-	FaultLoseEvents Fault = "lose-events" // leave entries out of the cache feed
+	FaultCross      Fault = "cross"       // send an event of another response
+	FaultStall      Fault = "stall"       // pause the response
+	FaultRefuse     Fault = "refuse"      // refuse the request with outcome "not-run"
+	FaultRest       Fault = "rest"        // refuse likewise, with a Retry-After of RestTime
+	FaultForget     Fault = "forget"      // respond 404 to a request to resume
+	FaultLostAnswer Fault = "lost-answer" // run the call and lose the response
+	FaultFail       Fault = "fail"        // respond 500 without running the call
+	FaultLoseEvents Fault = "lose-events" // omit an entry from the cache feed
 )
 
-// faultFromEvent is the first event of a stream that faults touch.
+// faultFromEvent is the number of the first event of a stream in which faults are injected.
 const faultFromEvent = 3
 
-// RestTime is what FaultRest asks for.
+// RestTime is the backoff that FaultRest asks for.
 const RestTime = 2 * time.Second
 
-// stallTime is how long FaultStall is silent.
+// stallTime is the pause of FaultStall in a stream. Services pause for a third of it.
 const stallTime = 3 * time.Second
 
-// Faults arms faults. Each armed fault strikes with its probability, as often as
-// its count allows. Safe for concurrent use.
+// Faults holds the armed faults of a stand-in. Each is injected with its probability, at most
+// Count times. Its methods are safe for concurrent use.
 type Faults struct {
 	mu    sync.Mutex
 	armed map[Fault]FaultSpec
 	Hits  map[Fault]int
 }
 
-// FaultSpec says how often a fault strikes. Count 0 disarms it; below 0 is
-// without end.
+// FaultSpec configures how often a fault is injected. Count 0 disarms it; a negative Count is
+// unlimited. Probability 0 stands for 1.
 type FaultSpec struct {
 	Fault       Fault   `json:"fault"`
 	Count       int     `json:"count"`
 	Probability float64 `json:"probability"`
 }
 
-// Arm sets a fault.
+// Arm arms or disarms a fault.
 func (f *Faults) Arm(s FaultSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,8 +68,8 @@
 	f.armed[s.Fault] = s
 }
 
-// take tells whether a fault strikes now.
-func (f *Faults) take(name Fault) bool {
+// trigger reports whether to inject a fault now, and counts it.
+func (f *Faults) trigger(name Fault) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.armed[name]
@@ -84,25 +84,25 @@
 	return true
 }
 
-// refuse tells whether a call is turned away by a fault, and says in h what the target wants.
+// refuse reports whether a fault refuses a call, and sets Retry-After in h for FaultRest.
 func (f *Faults) refuse(h http.Header) bool {
-	if f.take(FaultRest) {
+	if f.trigger(FaultRest) {
 		h.Set("Retry-After", strconv.Itoa(int(RestTime.Seconds())))
 		return true
 	}
-	return f.take(FaultRefuse)
+	return f.trigger(FaultRefuse)
 }
 
-// Triggered returns how often a fault has struck.
+// Triggered returns how often a fault has been injected.
 func (f *Faults) Triggered(name Fault) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Hits[name]
 }
 
-// lossy leaves entries out of a batch of cache events.
-func (f *Faults) lossy(events []cacheview.Event) []cacheview.Event {
-	if len(events) < 4 || !f.take(FaultLoseEvents) {
+// dropEvent omits one entry from a batch of cache events if FaultLoseEvents triggers.
+func (f *Faults) dropEvent(events []cacheview.Event) []cacheview.Event {
+	if len(events) < 4 || !f.trigger(FaultLoseEvents) {
 		return events
 	}
 	i := len(events) / 2
--- a/internal/lab/http.go
+++ b/internal/lab/http.go
@@ -8,6 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
+// decode reads a JSON body into the given value. On error it responds with status 400 and
+// returns false.
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -21,13 +23,13 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Server is a handler that listens on loopback.
+// Server is a running HTTP server.
 type Server struct {
 	Addr string
 	srv  *http.Server
 }
 
-// Serve starts a handler on addr; "127.0.0.1:0" takes a free port.
+// Serve starts a server on addr. "127.0.0.1:0" takes a free port.
 func Serve(addr string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -38,5 +40,5 @@
 	return s, nil
 }
 
-// Close ends it at once, as a crash would.
+// Close closes the listener and all connections at once, as a crash does.
 func (s *Server) Close() { _ = s.srv.Close() }
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -10,41 +10,41 @@
 	"github.com/threadwall/threadwall/internal/lab/loopback"
 )
 
-// Link is a piece of network that can be cut: it passes connections on to an
-// address until it is cut, and then ends them and takes no new ones.
+// Link is a TCP proxy that simulates a network link. It forwards connections to an address;
+// while it is down, it closes all connections, new ones included.
 type Link struct {
-	Addr string
-	to   string
-	l    net.Listener
+	Addr   string
+	target string
+	l      net.Listener
 
 	mu    sync.Mutex
-	cut   bool
+	down  bool
 	conns map[net.Conn]bool
 }
 
-// NewLink starts a link to an address.
+// NewLink starts a link that forwards to an address.
 func NewLink(to string) (*Link, error) {
 	l, err := net.Listen("tcp", loopback.Addr())
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for a link")
+		return nil, eris.Wrap(err, "listen for a network link")
 	}
-	k := &Link{Addr: l.Addr().String(), to: to, l: l, conns: map[net.Conn]bool{}}
+	k := &Link{Addr: l.Addr().String(), target: to, l: l, conns: map[net.Conn]bool{}}
 	go k.accept()
 	return k, nil
 }
 
-// Close ends the link.
+// Close stops the link and closes its connections.
 func (k *Link) Close() {
 	_ = k.l.Close()
 	k.SetDown(true)
 }
 
-// SetDown cuts the link, or mends it.
-func (k *Link) SetDown(cut bool) {
+// SetDown takes the link down, which closes its connections, or brings it up again.
+func (k *Link) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cut = cut
-	if !cut {
+	k.down = down
+	if !down {
 		return
 	}
 	for c := range k.conns {
@@ -59,34 +59,34 @@
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", k.to)
+		out, err := net.Dial("tcp", k.target)
 		if err != nil {
 			_ = in.Close()
 			continue
 		}
-		if !k.keep(in, out) {
+		if !k.track(in, out) {
 			continue
 		}
-		go k.pass(in, out)
-		go k.pass(out, in)
+		go k.forward(in, out)
+		go k.forward(out, in)
 	}
 }
 
-// keep remembers a connection's two ends, or closes them if the link is cut.
-func (k *Link) keep(ends ...net.Conn) bool {
+// track records the two ends of a forwarded connection, or closes them if the link is down.
+func (k *Link) track(ends ...net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range ends {
-		if k.cut {
+		if k.down {
 			_ = c.Close()
 			continue
 		}
 		k.conns[c] = true
 	}
-	return !k.cut
+	return !k.down
 }
 
-func (k *Link) pass(from, to net.Conn) {
+func (k *Link) forward(from, to net.Conn) {
 	_, _ = io.Copy(to, from)
 	_ = from.Close()
 	_ = to.Close()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -25,7 +25,7 @@
 
 // LoadSpec is a mixed workload of streamed prompts and bookings.
 type LoadSpec struct {
-	Entries           []string // http://ip:port of VMs' callers' interfaces
+	Entries           []string // base URLs, http://ip:port, at which VMs accept callers' requests
 	Workspaces        []string // names; a workspace's key is KeyOf(name)
 	Template          string
 	Parameter         string // the template's request parameter
@@ -33,34 +33,34 @@
 	TextsPerWorkspace int // distinct parameter texts of one workspace
 	Service           string
 	Requests          int
-	BookingShare      float64 // part of requests that are bookings
+	BookingShare      float64 // fraction of requests that are bookings
 	Concurrency       int
 	Rate              float64 // requests/s; 0: as fast as Concurrency allows
 	MaxTokens         int
 	Seed              uint64
-	Retries           int // of a caller, for bookings and refused prompts
+	Retries           int // per request, of bookings and of prompts that were refused or broke off
 	Progress          func(done, total int)
 }
 
 // KeyOf returns the API key of an example workspace.
 func KeyOf(workspace string) string { return "key-" + workspace }
 
-// Result is what callers saw.
+// Result summarizes a workload from the callers' point of view.
 type Result struct {
 	Requests  int                     `json:"requests"`
 	Completed int                     `json:"whole"`
-	Lost      int                     `json:"lost"`    // never got a whole answer or a true refusal, or got a wrong one
+	Lost      int                     `json:"lost"`    // without a complete response or a typed refusal, or with a wrong response
 	Refused   int                     `json:"refused"` // ended with a refusal, after all retries
-	Unknown   int                     `json:"unknown"` // bookings whose end the caller was honestly not told
+	Unknown   int                     `json:"unknown"` // bookings whose outcome the caller was not told
 	Retries   int                     `json:"retries"`
 	Seconds   float64                 `json:"seconds"`
 	TTFT      *hdrhistogram.Histogram `json:"-"`
-	Booked    []string                `json:"-"` // keys that callers were told ran
-	NotRun    []string                `json:"-"` // keys that callers were told did not run
-	Wrong     []string                `json:"-"` // first few descriptions of wrong answers
+	Booked    []string                `json:"-"` // keys reported to callers as run
+	NotRun    []string                `json:"-"` // keys reported to callers as not run
+	Wrong     []string                `json:"-"` // descriptions of the first 10 lost requests
 }
 
-// histogram bounds, in microseconds.
+// Bounds of histograms, in microseconds, and their significant digits.
 const (
 	histMin    = 1
 	histMax    = 120_000_000
@@ -76,7 +76,8 @@
 	done   atomic.Int64
 }
 
-// Run drives the workload and checks every answer.
+// Run sends the workload's requests and checks every response. It returns when all have
+// ended, or early when ctx ends.
 func (s LoadSpec) Run(ctx context.Context) *Result {
 	l := &loader{spec: s, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.Concurrency}}}
 	l.res.TTFT = hdrhistogram.New(histMin, histMax, histDigits)
@@ -86,7 +87,7 @@
 	for range s.Concurrency {
 		wg.Go(func() {
 			for i := range work {
-				l.one(ctx, i)
+				l.send(ctx, i)
 				if s.Progress != nil {
 					s.Progress(int(l.done.Add(1)), s.Requests)
 				}
@@ -110,11 +111,11 @@
 	return &l.res
 }
 
-func (l *loader) one(ctx context.Context, i int) {
+func (l *loader) send(ctx context.Context, i int) {
 	r := rand.New(rand.NewPCG(l.spec.Seed, uint64(i)))
-	// A few workspaces are large.
+	// An exponential distribution makes a few workspaces large.
 	ws := l.spec.Workspaces[min(int(r.ExpFloat64()*2), len(l.spec.Workspaces)-1)]
-	l.add(func(res *Result) { res.Requests++ })
+	l.update(func(res *Result) { res.Requests++ })
 	if r.Float64() < l.spec.BookingShare {
 		l.booking(ctx, r, ws)
 		return
@@ -122,14 +123,14 @@
 	l.prompt(ctx, r, ws, i)
 }
 
-func (l *loader) add(f func(*Result)) {
+func (l *loader) update(f func(*Result)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.res)
 }
 
-func (l *loader) wrong(format string, args ...any) {
-	l.add(func(res *Result) {
+func (l *loader) recordLost(format string, args ...any) {
+	l.update(func(res *Result) {
 		res.Lost++
 		if len(res.Wrong) < 10 {
 			res.Wrong = append(res.Wrong, fmt.Sprintf(format, args...))
@@ -137,8 +138,8 @@
 	})
 }
 
-// refusal is an error answer.
-type refusal struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Error struct {
 		Code    string `json:"code"`
 		Outcome string `json:"outcome"`
@@ -146,11 +147,11 @@
 	} `json:"error"`
 }
 
-// retryPause is the wait before a caller's retry when the answer names none.
-const retryPause = 200 * time.Millisecond
+// defaultRetryDelay is the wait before a caller's retry if the response sets none.
+const defaultRetryDelay = 200 * time.Millisecond
 
-func pause(ctx context.Context, resp *http.Response) {
-	wait := retryPause
+func waitRetry(ctx context.Context, resp *http.Response) {
+	wait := defaultRetryDelay
 	if resp != nil {
 		if ms, err := strconv.Atoi(resp.Header.Get("Retry-After-Ms")); err == nil {
 			wait = time.Duration(ms) * time.Millisecond
@@ -204,21 +205,21 @@
 		if err == nil && resp.StatusCode == http.StatusOK {
 			why := l.readStream(resp, AnswerTag(question), start)
 			if why == "" {
-				l.add(func(res *Result) { res.Completed++ })
+				l.update(func(res *Result) { res.Completed++ })
 				return
 			}
 			if try >= l.spec.Retries || strings.HasPrefix(why, "wrong") {
-				l.wrong("request %d: %s", i, why)
+				l.recordLost("request %d: %s", i, why)
 				return
 			}
 			resp = nil
 		} else if try >= l.spec.Retries {
-			l.refused(resp, err, i)
+			l.recordRefusal(resp, err, i)
 			return
 		}
 		drain(resp)
-		l.add(func(res *Result) { res.Retries++ })
-		pause(ctx, resp)
+		l.update(func(res *Result) { res.Retries++ })
+		waitRetry(ctx, resp)
 	}
 }
 
@@ -229,24 +230,24 @@
 	}
 }
 
-// refused counts a request that ended without an answer: a typed refusal is
-// honest, anything else is lost.
-func (l *loader) refused(resp *http.Response, err error, i int) {
+// recordRefusal counts a request that ended without a response to its prompt. A refusal with
+// an outcome counts as refused, anything else as lost.
+func (l *loader) recordRefusal(resp *http.Response, err error, i int) {
 	if err != nil {
-		l.wrong("request %d: %v", i, err)
+		l.recordLost("request %d: %v", i, err)
 		return
 	}
 	defer drain(resp)
-	var ref refusal
+	var ref errorBody
 	if json.NewDecoder(resp.Body).Decode(&ref) != nil || ref.Error.Outcome == "" {
-		l.wrong("request %d: status %d without an outcome", i, resp.StatusCode)
+		l.recordLost("request %d: status %d without an outcome", i, resp.StatusCode)
 		return
 	}
-	l.add(func(res *Result) { res.Refused++ })
+	l.update(func(res *Result) { res.Refused++ })
 }
 
-// readStream checks a streamed answer token by token. It returns what is wrong
-// with it; a "broken" stream was announced as such and may be asked for again.
+// readStream checks a streamed response token by token. It returns a description of the
+// fault, or "". "broken" is a stream that ended before [DONE]; the caller may retry it.
 func (l *loader) readStream(resp *http.Response, tag string, start time.Time) string {
 	defer func() { _ = resp.Body.Close() }()
 	scan := bufio.NewScanner(resp.Body)
@@ -266,7 +267,7 @@
 		}
 		t := textOf(data)
 		if t != "" && text.Len() == 0 {
-			l.add(func(res *Result) { _ = res.TTFT.RecordValue(time.Since(start).Microseconds()) })
+			l.update(func(res *Result) { _ = res.TTFT.RecordValue(time.Since(start).Microseconds()) })
 		}
 		text.WriteString(t)
 	}
@@ -286,17 +287,17 @@
 	}
 }
 
-// booking books once, with one key over all retries.
+// booking makes one booking, with the same idempotency key in all attempts.
 func (l *loader) booking(ctx context.Context, r *rand.Rand, ws string) {
 	key := uuid.NewString()
 	body := []byte(fmt.Sprintf(`{"drum":"D-%d"}`, r.IntN(1000)))
-	// Only if every try ended with "not-run" is the booking known not to be made.
+	// The booking is known not to have run only if every attempt ended with "not-run".
 	notRun := true
 	for try := 0; ; try++ {
 		resp, err := l.post(ctx, l.entry(r)+"/v1/services/"+l.spec.Service+"/bookings", ws, key, body)
 		if err == nil && resp.StatusCode == http.StatusOK {
 			drain(resp)
-			l.add(func(res *Result) { res.Completed++; res.Booked = append(res.Booked, key) })
+			l.update(func(res *Result) { res.Completed++; res.Booked = append(res.Booked, key) })
 			return
 		}
 		if err == nil {
@@ -306,16 +307,16 @@
 			notRun = false
 		}
 		if try >= l.spec.Retries {
-			l.bookingEnd(key, notRun)
+			l.recordBookingEnd(key, notRun)
 			return
 		}
-		l.add(func(res *Result) { res.Retries++ })
-		pause(ctx, resp)
+		l.update(func(res *Result) { res.Retries++ })
+		waitRetry(ctx, resp)
 	}
 }
 
-func (l *loader) bookingEnd(key string, notRun bool) {
-	l.add(func(res *Result) {
+func (l *loader) recordBookingEnd(key string, notRun bool) {
+	l.update(func(res *Result) {
 		if notRun {
 			res.Refused++
 			res.NotRun = append(res.NotRun, key)
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -10,11 +10,12 @@
 	"github.com/threadwall/threadwall/internal/orders"
 )
 
-// loadPoll is how often a loading engine looks whether its answers have ended.
+// loadPoll is the interval at which an engine checks whether its requests have ended before
+// it loads weights.
 const loadPoll = 10 * time.Millisecond
 
-// serveOrder follows an order. New weights are loaded when the answers in hand
-// have ended; the cache is lost.
+// serveOrder applies an order. The engine loads new weights after its requests in flight
+// have ended, and loses its cache.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var m orders.Message
 	if !decode(w, r, &m) {
@@ -23,11 +24,11 @@
 	e.mu.Lock()
 	if m.Fence < e.fence && !e.spec.IgnoresFences {
 		e.mu.Unlock()
-		http.Error(w, "old fencing number", http.StatusConflict)
+		http.Error(w, "fencing token is outdated", http.StatusConflict)
 		return
 	}
 	e.fence = max(e.fence, m.Fence)
-	e.ordered = append(e.ordered, m.Fence)
+	e.appliedFences = append(e.appliedFences, m.Fence)
 	if m.Serve != "" {
 		e.leaving = m.Serve == orders.ServeDrain
 	}
@@ -41,7 +42,7 @@
 }
 
 func (e *Engine) loadWeights(weights ids.WeightsVersion) {
-	for e.inHand() > 0 {
+	for e.inFlight() > 0 {
 		time.Sleep(loadPoll)
 	}
 	time.Sleep(e.spec.LoadTime)
@@ -52,20 +53,20 @@
 	e.cache = blockcache.New(e.spec.CacheBlocks, e.cacheEvent)
 }
 
-func (e *Engine) inHand() int {
+func (e *Engine) inFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running + e.queued
 }
 
-// AppliedFences returns the fencing numbers of the orders that were followed.
+// AppliedFences returns the fencing tokens of the applied orders, in order of arrival.
 func (e *Engine) AppliedFences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.ordered)
+	return slices.Clone(e.appliedFences)
 }
 
-// Weights returns the weights that the engine serves.
+// Weights returns the weights version that the engine serves.
 func (e *Engine) Weights() ids.WeightsVersion {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/lab/overhead.go
+++ b/internal/lab/overhead.go
@@ -19,7 +19,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// OverheadRow is the router's own cost beside a direct call, in one run.
+// OverheadRow compares calls through the router with direct calls, in one run.
 type OverheadRow struct {
 	Requests     int     `json:"requests"`
 	Direct       TTFT    `json:"direct_ttft_ms"`
@@ -27,21 +27,21 @@
 	AddedP50     float64 `json:"added_p50_ms"`
 	AddedP99     float64 `json:"added_p99_ms"`
 	TokensPerSec float64 `json:"tokens_per_s"`
-	// TokensPerCore counts the processor time of one process: the VM's, or that of
-	// caller, VM and engine together if all are in this one.
+	// TokensPerCore is tokens per second of CPU time of one process: the VM's, or the
+	// current one if it holds caller, VM and engine.
 	TokensPerCore float64 `json:"tokens_per_core_s"`
 }
 
 const (
-	overheadRate    = 200 // requests/s of each kind
-	overheadSeconds = 8
-	throughStreams  = 64
-	throughTokens   = 3000
-	overheadTokens  = 8
+	overheadRate      = 200 // requests/s, direct and routed each
+	overheadSeconds   = 8
+	throughputStreams = 64
+	throughputTokens  = 3000
+	overheadTokens    = 8
 )
 
-// Overhead measures times to first token, alternately direct and through a VM,
-// and then the tokens relayed.
+// Overhead measures the time to first token, alternately direct and through a VM, and then
+// the throughput of tokens relayed by the VM.
 func Overhead(ctx context.Context, ex *Example) (OverheadRow, error) {
 	domains := []ids.FailureDomain{"sala-heredia"}
 	spec := DefaultEngine
@@ -65,13 +65,13 @@
 	return OverheadOf(ctx, "http://"+engineAddr, vms.Entries()[0], os.Getpid())
 }
 
-// OverheadOf measures a running engine and VM. pid is the process whose processor
-// time counts for the tokens relayed.
+// OverheadOf measures a running engine and VM, given their base URLs. pid is the process
+// whose CPU time counts for the throughput.
 func OverheadOf(ctx context.Context, direct, routed string, pid int) (OverheadRow, error) {
 	m := &meter{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}}
 	row := m.latency(ctx, direct, routed)
 	row.TokensPerSec, row.TokensPerCore = m.throughput(ctx, routed, pid)
-	return row, m.failure()
+	return row, m.lastErr()
 }
 
 type meter struct {
@@ -80,13 +80,13 @@
 	err    error
 }
 
-func (m *meter) failure() error {
+func (m *meter) lastErr() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.err
 }
 
-// latency sends requests at an even rate, every second one through the VM.
+// latency sends requests at a constant rate, every second one through the VM.
 func (m *meter) latency(ctx context.Context, direct, routed string) OverheadRow {
 	hist := [2]*hdrhistogram.Histogram{hdrhistogram.New(histMin, histMax, histDigits), hdrhistogram.New(histMin, histMax, histDigits)}
 	start := time.Now()
@@ -95,7 +95,7 @@
 	for i := range total {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / (2 * overheadRate))))
 		wg.Go(func() {
-			first, _ := m.ask(ctx, []string{direct, routed}[i%2], i, overheadTokens)
+			first, _ := m.sendPrompt(ctx, []string{direct, routed}[i%2], i, overheadTokens)
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			_ = hist[i%2].RecordValue(first.Microseconds())
@@ -107,28 +107,28 @@
 	return row
 }
 
-// throughput reads many long streams at once.
+// throughput reads throughputStreams long streams concurrently through the VM.
 func (m *meter) throughput(ctx context.Context, routed string, pid int) (perSecond, perCore float64) {
 	var wg sync.WaitGroup
 	cpu, start := cpuSeconds(pid), time.Now()
-	for i := range throughStreams {
-		wg.Go(func() { _, _ = m.ask(ctx, routed, i, throughTokens) })
+	for i := range throughputStreams {
+		wg.Go(func() { _, _ = m.sendPrompt(ctx, routed, i, throughputTokens) })
 	}
 	wg.Wait()
-	tokens := float64(throughStreams * throughTokens)
+	tokens := float64(throughputStreams * throughputTokens)
 	return tokens / time.Since(start).Seconds(), tokens / (cpuSeconds(pid) - cpu)
 }
 
-// ticksPerSecond is the unit of /proc/PID/stat.
+// ticksPerSecond is the unit of CPU times in /proc/PID/stat.
 const ticksPerSecond = 100
 
-// cpuSeconds reads a process's processor time; zero if it can't be read.
+// cpuSeconds returns a process's CPU time, or zero if it cannot be read.
 func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// The fields behind the command's name, which may hold spaces.
+	// The command's name may contain spaces, so the fields are counted from its end.
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
 	const utime, stime = 11, 12
 	user, _ := strconv.ParseFloat(fields[utime], 64)
@@ -136,8 +136,8 @@
 	return (user + system) / ticksPerSecond
 }
 
-// ask sends one short prompt and returns the time to the first byte of its stream.
-func (m *meter) ask(ctx context.Context, base string, i, tokens int) (time.Duration, error) {
+// sendPrompt sends one short prompt and returns the time to the first byte of its stream.
+func (m *meter) sendPrompt(ctx context.Context, base string, i, tokens int) (time.Duration, error) {
 	body, _ := json.Marshal(promptBody{
 		Model: "yard", Stream: true, MaxTokens: tokens, Messages: []promptMessage{{Role: "user", Content: fmt.Sprint("question ", i%50)}},
 	})
@@ -149,22 +149,22 @@
 	start := time.Now()
 	resp, err := m.client.Do(req)
 	if err != nil {
-		return 0, m.fail(err)
+		return 0, m.setErr(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return 0, m.fail(eris.Errorf("status %d", resp.StatusCode))
+		return 0, m.setErr(eris.Errorf("unexpected status %d", resp.StatusCode))
 	}
 	var one [1]byte
 	_, _ = resp.Body.Read(one[:])
 	first := time.Since(start)
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return 0, m.fail(err)
+		return 0, m.setErr(err)
 	}
 	return first, nil
 }
 
-func (m *meter) fail(err error) error {
+func (m *meter) setErr(err error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.err = err
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -18,8 +18,8 @@
 	"github.com/threadwall/threadwall/internal/services"
 )
 
-// Service is a stand-in plain service: it books what it is asked to, each time
-// it is asked, and remembers how often each key ran.
+// Service is a stand-in plain service. It executes every call, also repeated ones, and
+// counts the runs of each idempotency key.
 type Service struct {
 	name        string
 	incarnation ids.Incarnation
@@ -30,15 +30,15 @@
 	leaving bool
 	faults  Faults
 
-	runsFile string // where keys of calls that ran are appended; empty: nowhere
+	runsFile string // file to which the keys of executed calls are appended; empty: none
 }
 
-// NewService returns a service that takes delay for each call.
+// NewService returns a service that works on each call for delay.
 func NewService(name string, incarnation ids.Incarnation, delay time.Duration) *Service {
 	return &Service{name: name, incarnation: incarnation, delay: delay, runs: map[string]int{}}
 }
 
-// Runs returns how often each key ran here.
+// Runs returns the number of runs by idempotency key in this incarnation.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,10 +49,10 @@
 	return out
 }
 
-// Faults returns the service's fault switches.
+// Faults returns the faults injected into the service.
 func (s *Service) Faults() *Faults { return &s.faults }
 
-// Faults returns the engine's fault switches.
+// Faults returns the faults injected into the engine.
 func (e *Engine) Faults() *Faults { return &e.faults }
 
 // Handler serves calls, the load probe and the lab's own paths.
@@ -74,43 +74,43 @@
 	w.Header().Set(engine.HeaderIncarnation, strconv.FormatUint(uint64(s.incarnation), 10))
 	if s.faults.refuse(w.Header()) {
 		w.Header().Set(engine.HeaderOutcome, "not-run")
-		http.Error(w, "not now", http.StatusServiceUnavailable)
+		http.Error(w, "service is not accepting requests", http.StatusServiceUnavailable)
 		return
 	}
-	if s.faults.take(FaultFail) {
-		http.Error(w, "failed", http.StatusInternalServerError)
+	if s.faults.trigger(FaultFail) {
+		http.Error(w, "call failed", http.StatusInternalServerError)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the caller broke off within the body: nothing ran
+		return // the caller disconnected within the body, so the call did not run
 	}
 	time.Sleep(s.delay)
-	if s.faults.take(FaultStall) {
+	if s.faults.trigger(FaultStall) {
 		time.Sleep(stallTime / 3)
 	}
 	key := r.Header.Get(services.HeaderIdempotencyKey)
 	s.mu.Lock()
 	s.runs[key]++
 	n := s.runs[key]
-	s.keep(key)
+	s.appendRun(key)
 	s.mu.Unlock()
-	if s.faults.take(FaultLostAnswer) {
+	if s.faults.trigger(FaultLostAnswer) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = fmt.Fprintf(w, `{"service":%q,"key":%q,"run":%d,"bytes":%d}`+"\n", s.name, key, n, len(body))
 }
 
-// keep appends a key to the runs file, so that a check can count runs over
-// crashes of this process. The lock is held.
-func (s *Service) keep(key string) {
+// appendRun appends a key to the runs file, which lets a check count runs across crashes
+// of this process. The caller holds s.mu.
+func (s *Service) appendRun(key string) {
 	if s.runsFile == "" {
 		return
 	}
 	f, err := os.OpenFile(s.runsFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		panic(err) // a check that lost its record would prove nothing
+		panic(err) // without a complete record, the check of duplicate runs is void
 	}
 	defer func() { _ = f.Close() }()
 	if _, err := f.WriteString(key + "\n"); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// ReadRuns counts how often each key ran, from a runs file.
+// ReadRuns returns the number of runs by key from a runs file.
 func ReadRuns(path string) (map[string]int, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -15,25 +15,25 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// PropagationRow is how long changes of configuration take to be in force on all VMs.
+// PropagationRow holds the times until changes of configuration are in force on all VMs.
 type PropagationRow struct {
 	VMs       int        `json:"vms"`
 	SingleMS  []float64  `json:"single_ms"` // sorted
 	BurstSize int        `json:"burst_size"`
-	BurstMS   float64    `json:"burst_ms"` // from the last write
+	BurstMS   float64    `json:"burst_ms"` // from the last write of the burst
 	Calls     StoreCalls `json:"store_calls"`
-	// LeavingMS is how long until every VM knows of an engine that says that it
-	// leaves, with the object API down. Sorted.
+	// LeavingMS holds, per engine, the time from its first report that it is leaving until
+	// every VM knows, with the object API down. Sorted.
 	LeavingMS []float64 `json:"leaving_ms"`
 }
 
 const (
-	spreadSingles = 20
-	spreadBurst   = 200
-	spreadTimeout = 20 * time.Second
+	singleChanges      = 20
+	burstChanges       = 200
+	propagationTimeout = 20 * time.Second
 )
 
-// MeasurePropagation measures one failure domain of real daemons in this process.
+// MeasurePropagation measures one failure domain with vms daemons in this process.
 func MeasurePropagation(ctx context.Context, ex *Example, vms int) (PropagationRow, error) {
 	domains := []ids.FailureDomain{"sala-heredia"}
 	s, err := Start(ctx, ex, StartOptions{Domains: domains, Engine: DefaultEngine})
@@ -46,11 +46,11 @@
 		return PropagationRow{}, err
 	}
 	defer fleet.Stop(ctx)
-	time.Sleep(2 * time.Second) // streams come up
+	time.Sleep(2 * time.Second) // let the streams between VMs connect
 	before := s.Store.Calls()
-	row := PropagationRow{VMs: vms, BurstSize: spreadBurst}
-	for i := range spreadSingles {
-		took, err := fleet.change(ctx, s, i, 1)
+	row := PropagationRow{VMs: vms, BurstSize: burstChanges}
+	for i := range singleChanges {
+		took, err := fleet.measureChange(ctx, s, i, 1)
 		if err != nil {
 			return row, err
 		}
@@ -58,14 +58,14 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	slices.Sort(row.SingleMS)
-	if row.BurstMS, err = fleet.change(ctx, s, 1000, spreadBurst); err != nil {
+	if row.BurstMS, err = fleet.measureChange(ctx, s, 1000, burstChanges); err != nil {
 		return row, err
 	}
 	after := s.Store.Calls()
 	row.Calls = StoreCalls{Reads: after.Reads - before.Reads, Writes: after.Writes - before.Writes, Watches: after.Watches - before.Watches}
 	s.Store.SetFaults(StoreFaults{Down: true})
 	for id, e := range s.Engines {
-		took, err := fleet.leaving(ids.Target(id), e)
+		took, err := fleet.measureLeaving(ids.Target(id), e)
 		if err != nil {
 			return row, err
 		}
@@ -75,14 +75,15 @@
 	return row, nil
 }
 
-// leaving makes an engine leave and waits until every VM knows.
-func (v *VMs) leaving(id ids.Target, e *Engine) (float64, error) {
+// measureLeaving makes an engine report that it is leaving and returns the time until every
+// VM knows, in milliseconds.
+func (v *VMs) measureLeaving(id ids.Target, e *Engine) (float64, error) {
 	start := time.Now()
 	e.SetLeaving(true)
 	for _, d := range v.Daemons {
 		for d.Fleet.Members.State(id, time.Now()) != routing.Leaving {
-			if time.Since(start) > spreadTimeout {
-				return 0, eris.Errorf("%s does not know that %s leaves", d.Settings.VM, id)
+			if time.Since(start) > propagationTimeout {
+				return 0, eris.Errorf("%s does not know that %s is leaving", d.Settings.VM, id)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -90,8 +91,9 @@
 	return float64(time.Since(start).Microseconds()) / 1000, nil
 }
 
-// change writes n objects and waits until the last is in force everywhere.
-func (v *VMs) change(ctx context.Context, s *StandIns, from, n int) (float64, error) {
+// measureChange writes n objects and returns the time from the last write until it is in
+// force on all VMs, in milliseconds.
+func (v *VMs) measureChange(ctx context.Context, s *StandIns, from, n int) (float64, error) {
 	var last objectapi.Revision
 	for i := from; i < from+n; i++ {
 		o := config.Object{Kind: config.KindDocument, Name: fmt.Sprint("spread-", i), Document: &config.Document{Text: "text"}}
@@ -106,8 +108,8 @@
 	start := time.Now()
 	for _, d := range v.Daemons {
 		for d.Node.Config.Revision() < last {
-			if time.Since(start) > spreadTimeout {
-				return 0, eris.Errorf("%s is at revision %d, not %d", d.Settings.VM, d.Node.Config.Revision(), last)
+			if time.Since(start) > propagationTimeout {
+				return 0, eris.Errorf("%s is at configuration revision %d, want %d", d.Settings.VM, d.Node.Config.Revision(), last)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -17,56 +17,56 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// StandIns are the outside systems of one example, in this process.
+// StandIns are the external systems of one example, in this process.
 type StandIns struct {
 	Store    *FaultyStore
 	StoreURL string
 	Engines  map[string]*Engine
 	Services map[string]*Service
 	Records  []platform.Record
-	// Network, if set, tells how a VM reaches the object API and how peers reach
-	// it, given its settings.
+	// Network, if set, returns the addresses at which a VM with the given settings reaches
+	// the object API and at which peers reach the VM.
 	Network func(settings.Settings) (storeURL, peerAddr string)
 
 	mu      sync.Mutex
 	closed  bool
-	served  []*Server
+	servers []*Server
 	crashes []time.Time
 }
 
-// serviceDelay is how long a stand-in service works on a call.
+// serviceDelay is the time that a stand-in service works on a call.
 const serviceDelay = 2 * time.Millisecond
 
-// StartOptions chooses what is started.
+// StartOptions selects the stand-ins to start.
 type StartOptions struct {
-	// FixedPorts uses the example's addresses; otherwise free ports are taken.
+	// FixedPorts uses the addresses of the example instead of free ports.
 	FixedPorts bool
-	// StoreAddr is where the store listens with fixed ports.
+	// StoreAddr is the store's address, if FixedPorts is set.
 	StoreAddr string
-	// Domains limits the failure domains; empty is all.
+	// Domains lists the failure domains to start; empty: all.
 	Domains []ids.FailureDomain
 	Engine  EngineSpec
-	// Only names the VMs to start, and "store" for the object API; empty is all.
-	// With it, each part can be a process of its own.
+	// Only lists the VMs to start, and "store" for the object API; empty: all. It allows
+	// each stand-in to run in its own process.
 	Only []string
-	// CrashText is a text whose presence in a request's body crashes whatever runs it; a
-	// crashed engine or service starts again after FatalRest as another incarnation, at
-	// the same address. Empty: none.
+	// CrashText is a text that crashes the engine or service that receives it in a
+	// request's body. After RestartDelay the engine or service restarts as a new
+	// incarnation at the same address. Empty: no crashes.
 	CrashText    string
 	RestartDelay time.Duration
-	// RunsFile is where services append the key of each call that ran.
+	// RunsFile is the file to which services append the key of each executed call.
 	RunsFile string
 }
 
-// storeName stands for the object API in StartOptions.Only.
+// storeName is the name of the object API in StartOptions.Only.
 const storeName = "store"
 
 func (o StartOptions) starts(name string) bool {
 	return len(o.Only) == 0 || slices.Contains(o.Only, name)
 }
 
-// Start starts the store, engines and services of an example, lists them at the
-// platform and applies the example's objects.
+// Start starts the store, engines and services of an example, adds them to the platform's
+// list of VMs and applies the example's objects.
 func Start(ctx context.Context, ex *Example, o StartOptions) (*StandIns, error) {
 	s := &StandIns{Store: NewFaultyStore(objectapi.NewMemory()), Engines: map[string]*Engine{}, Services: map[string]*Service{}}
 	storeAddr := "127.0.0.1:0"
@@ -78,7 +78,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.keep(srv)
+		s.track(srv)
 		s.StoreURL = "http://" + srv.Addr
 	}
 	for _, r := range ex.VMs {
@@ -111,10 +111,10 @@
 		addr = r.Addr
 	}
 	if r.Role == platform.RoleEntry && !o.FixedPorts {
-		return nil // whoever starts VMs at other addresses lists them
+		return nil // the code that starts VMs at other addresses adds them to the list
 	}
 	if !o.starts(r.ID) {
-		r.Incarnation, r.Weights = 0, o.Engine.Weights // its own process tells its life
+		r.Incarnation, r.Weights = 0, o.Engine.Weights // the VM's own process reports its incarnation
 		s.Records = append(s.Records, r)
 		return nil
 	}
@@ -145,18 +145,18 @@
 		s.Records = append(s.Records, r)
 		return nil
 	}
-	f := &fatal{text: o.CrashText, rest: o.RestartDelay, s: s, start: start}
+	f := &crashable{crashText: o.CrashText, restartDelay: o.RestartDelay, standIns: s, start: start}
 	srv, err := f.serve(addr, inc)
 	if err != nil {
 		return err
 	}
-	s.keep(srv)
+	s.track(srv)
 	r.Addr, r.Incarnation, r.State, r.Weights = srv.Addr, inc, platform.StateLive, o.Engine.Weights
 	s.Records = append(s.Records, r)
 	return nil
 }
 
-// publish writes the platform's list.
+// publish writes all records to the platform's list of VMs.
 func (s *StandIns) publish(ctx context.Context) error {
 	for _, r := range s.Records {
 		if err := s.Put(ctx, r); err != nil {
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// Put writes one VM's record into the platform's list.
+// Put creates or updates one VM's record in the platform's list.
 func (s *StandIns) Put(ctx context.Context, r platform.Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -181,7 +181,7 @@
 	return eris.Wrapf(err, "list %s", r.ID)
 }
 
-// Runs returns how often each key ran, over all services.
+// Runs returns the number of runs by idempotency key over all services.
 func (s *StandIns) Runs() map[string]int {
 	out := map[string]int{}
 	for _, svc := range s.Services {
@@ -192,7 +192,7 @@
 	return out
 }
 
-// Tokens returns prompt tokens and cached ones, over all engines.
+// Tokens returns the prompt tokens over all engines and how many of them were cached.
 func (s *StandIns) Tokens() (prompted, cached int64) {
 	for _, e := range s.Engines {
 		prompted += e.PromptTokens.Load()
@@ -201,43 +201,43 @@
 	return prompted, cached
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (s *StandIns) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for _, x := range s.served {
+	for _, x := range s.servers {
 		x.Close()
 	}
 }
 
-// keep notes what is to be closed in the end.
-func (s *StandIns) keep(srv *Server) {
+// track adds a server for Close to stop, or stops it if Close has run.
+func (s *StandIns) track(srv *Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.served = append(s.served, srv)
+	s.servers = append(s.servers, srv)
 	if s.closed {
 		srv.Close()
 	}
 }
 
-// CheckRuns returns how many keys ran more than once, and how many of those that
-// callers were told ran did not, or the other way round.
-func CheckRuns(runs map[string]int, res *Result) (doubled, untrue int) {
+// CheckRuns returns the number of keys that ran more than once, and the number of keys whose
+// reported outcome (ran or not run) contradicts runs.
+func CheckRuns(runs map[string]int, res *Result) (duplicates, misreported int) {
 	for _, n := range runs {
 		if n > 1 {
-			doubled++
+			duplicates++
 		}
 	}
 	for _, k := range res.Booked {
 		if runs[k] == 0 {
-			untrue++
+			misreported++
 		}
 	}
 	for _, k := range res.NotRun {
 		if runs[k] != 0 {
-			untrue++
+			misreported++
 		}
 	}
-	return doubled, untrue
+	return duplicates, misreported
 }
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -10,21 +10,21 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// FaultyStore wraps a store with the platform's troubles: outages, delay, and
-// answers that are lost after the write took effect. Safe for concurrent use.
+// FaultyStore wraps a store and injects faults of the platform: outages, delay, and responses
+// lost after the write took effect. Safe for concurrent use.
 type FaultyStore struct {
 	objectapi.Store
 
-	mu      sync.Mutex
-	trouble StoreFaults
-	calls   StoreCalls
+	mu     sync.Mutex
+	faults StoreFaults
+	calls  StoreCalls
 }
 
-// StoreFaults is what is wrong with a store at the moment.
+// StoreFaults are the faults injected into a store. The zero value is a healthy store.
 type StoreFaults struct {
 	Down         bool    `json:"down"`
-	LostResponse float64 `json:"lost_answer"` // chance per write
-	LostWrite    float64 `json:"lost_write"`  // chance per write: fails, without effect
+	LostResponse float64 `json:"lost_answer"` // probability per write that succeeds without a response
+	LostWrite    float64 `json:"lost_write"`  // probability per write that fails without effect
 	DelayMS      int     `json:"delay_ms"`
 }
 
@@ -33,27 +33,27 @@
 
 var _ objectapi.Store = (*FaultyStore)(nil)
 
-// NewFaultyStore wraps a store that has no trouble yet.
+// NewFaultyStore wraps a store without any faults.
 func NewFaultyStore(s objectapi.Store) *FaultyStore { return &FaultyStore{Store: s} }
 
-// SetFaults changes the trouble.
+// SetFaults replaces the injected faults.
 func (f *FaultyStore) SetFaults(t StoreFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trouble = t
+	f.faults = t
 }
 
-// Calls returns the counts so far.
+// Calls returns the number of calls so far.
 func (f *FaultyStore) Calls() StoreCalls {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-func (f *FaultyStore) enter(count *int) StoreFaults {
+func (f *FaultyStore) begin(count *int) StoreFaults {
 	f.mu.Lock()
 	*count++
-	t := f.trouble
+	t := f.faults
 	f.mu.Unlock()
 	time.Sleep(time.Duration(t.DelayMS) * time.Millisecond)
 	return t
@@ -61,7 +61,7 @@
 
 // Get implements objectapi.Store.
 func (f *FaultyStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if f.enter(&f.calls.Reads).Down {
+	if f.begin(&f.calls.Reads).Down {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return f.Store.Get(ctx, key)
@@ -69,7 +69,7 @@
 
 // List implements objectapi.Store.
 func (f *FaultyStore) List(ctx context.Context, prefix string) ([]objectapi.Object, objectapi.Revision, error) {
-	if f.enter(&f.calls.Reads).Down {
+	if f.begin(&f.calls.Reads).Down {
 		return nil, 0, objectapi.ErrUnavailable
 	}
 	return f.Store.List(ctx, prefix)
@@ -77,7 +77,7 @@
 
 // Watch implements objectapi.Store.
 func (f *FaultyStore) Watch(ctx context.Context, prefix string, after objectapi.Revision) ([]objectapi.Object, objectapi.Revision, error) {
-	if f.enter(&f.calls.Watches).Down {
+	if f.begin(&f.calls.Watches).Down {
 		return nil, 0, objectapi.ErrUnavailable
 	}
 	return f.Store.Watch(ctx, prefix, after)
@@ -100,7 +100,7 @@
 }
 
 func (f *FaultyStore) write(do func() (objectapi.Revision, error)) (objectapi.Revision, error) {
-	t := f.enter(&f.calls.Writes)
+	t := f.begin(&f.calls.Writes)
 	if t.Down {
 		return 0, objectapi.ErrUnavailable
 	}
@@ -114,7 +114,7 @@
 	return rev, err
 }
 
-// Handler serves the store and its trouble switch.
+// Handler serves the store, its call counts and requests that set its faults.
 func (f *FaultyStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", objectapi.Handler(f))
