--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -331,7 +331,7 @@
 	}
 }
 
-func (h *harness) runs(key string) int { return h.s.Booked()[key] }
+func (h *harness) runs(key string) int { return h.s.Runs()[key] }
 
 func TestBookings(t *testing.T) {
 	h := start(t, 1)
@@ -373,7 +373,7 @@
 		t.Fatalf("after a refusal as not run: %d %s, %d runs", resp.StatusCode, body, h.runs("k3"))
 	}
 
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	resp, body = book(0, "k4", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || h.runs("k4") != 0 {
 		t.Fatalf("store down: %s, %d runs", body, h.runs("k4"))
@@ -381,7 +381,7 @@
 	if text, err := h.stream("store down?"); err != nil || text != wantText("store down?", 20) {
 		t.Fatalf("prompt with the store down: %v", err)
 	}
-	h.s.Store.Set(lab.Trouble{LostAnswer: 1})
+	h.s.Store.SetFaults(lab.StoreFaults{LostResponse: 1})
 	resp, body = book(0, "k5", "{}")
 	if resp.StatusCode != 200 || h.runs("k5") != 1 {
 		t.Fatalf("lost store responses: %d %s, %d runs", resp.StatusCode, body, h.runs("k5"))
--- a/internal/e2e/rest_test.go
+++ b/internal/e2e/rest_test.go
@@ -44,7 +44,7 @@
 	}
 	for i, r := range resting {
 		// All calls go to the first VM.
-		if n := r.Faults().Struck(lab.FaultRest); n > 1 {
+		if n := r.Faults().Triggered(lab.FaultRest); n > 1 {
 			t.Errorf("target %d asked for a rest %d times, want at most 1", i, n)
 		}
 	}
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -56,7 +56,7 @@
 // is unreachable.
 func TestLeavingTarget(t *testing.T) {
 	h := start(t, 2)
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	var leaving string
 	for _, r := range h.s.Records {
 		if r.Role == platform.RoleEngine {
@@ -141,7 +141,7 @@
 		return true
 	})
 	for _, id := range moved {
-		if got := h.s.Engines[id].Ordered(); len(got) == 0 || got[0] == 0 {
+		if got := h.s.Engines[id].AppliedFences(); len(got) == 0 || got[0] == 0 {
 			t.Errorf("%s followed orders with fences %v", id, got)
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 	peer := h.vms.Daemons[1]
 	waitFor(t, func() bool { return len(peer.Fleet.Cache.Entries(100)) > 0 })
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := h.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready })
 	if got, want := len(d.Fleet.Cache.Entries(100)), len(peer.Fleet.Cache.Entries(100)); got < want || want == 0 {
@@ -206,7 +206,7 @@
 		}
 	}
 	waitFor(t, func() bool { return h.vms.Daemons[1].Node.Config.Revision() >= last })
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := h.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready && d.Node.Config.Revision() >= last })
 }
@@ -215,7 +215,7 @@
 // with the platform down.
 func TestConcurrentRestartsWithOnePeer(t *testing.T) {
 	h := start(t, 4)
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	restarted := []int{1, 2, 3}
 	done := make(chan *daemon.Daemon)
 	for _, i := range restarted {
@@ -231,7 +231,7 @@
 // and reports the reason.
 func TestNotReadyReportsReason(t *testing.T) {
 	h := start(t, 1)
-	h.s.Store.Set(lab.Trouble{Down: true})
+	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	d := h.restart(0)
 	waitFor(t, func() bool { return strings.Contains(d.Status().Reason, "neither a peer nor the object API") })
 	if resp, body := h.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "", "{}"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -303,7 +303,7 @@
 		}
 	})
 	for _, k := range links {
-		k.Cut(true)
+		k.SetDown(true)
 	}
 	for i := range h.vms.Daemons {
 		c := openai.NewClient(option.WithBaseURL(h.vms.Entries()[i]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
@@ -333,7 +333,7 @@
 		t.Fatalf("the partitioned domain has revision %d", got)
 	}
 	for _, k := range links {
-		k.Cut(false)
+		k.SetDown(false)
 	}
 	waitFor(t, func() bool { return h.vms.Daemons[0].Node.Config.Revision() >= rev })
 	waitFor(t, func() bool { status, _ := book(0, "cut"); return status == 200 })
--- a/internal/lab/example.go
+++ b/internal/lab/example.go
@@ -14,22 +14,22 @@
 	"github.com/threadwall/threadwall/internal/platform"
 )
 
-// Example is one of the directories below examples/.
+// Example is the content of one directory below examples/.
 type Example struct {
 	Objects []config.Object
 	VMs     []platform.Record
 	Load    ExampleLoad
 }
 
-// ExampleLoad is an example's load.json: the workload that its users bring.
+// ExampleLoad is the workload of an example, read from its load.json.
 type ExampleLoad struct {
-	Template   string `json:"template"`
-	Parameter  string `json:"parameter"`
-	Text       string `json:"text"` // "contract" or "history"
-	TextsPer   int    `json:"texts_per_workspace"`
-	Service    string `json:"service"`
-	MaxTokens  int    `json:"max_tokens"`
-	Workspaces []string
+	Template          string `json:"template"`
+	Parameter         string `json:"parameter"`
+	Text              string `json:"text"` // "contract" or "history"
+	TextsPerWorkspace int    `json:"texts_per_workspace"`
+	Service           string `json:"service"`
+	MaxTokens         int    `json:"max_tokens"`
+	Workspaces        []string
 }
 
 // ReadExample reads an example directory.
@@ -65,7 +65,7 @@
 	return eris.Wrapf(json.Unmarshal(std, into), "read %s", path)
 }
 
-// Spec returns the workload against the given entries.
+// Spec returns the workload against the VMs with the given base URLs.
 func (e *Example) Spec(entries []string) LoadSpec {
 	text := texts.Contract
 	if e.Load.Text == "history" {
@@ -73,6 +73,6 @@
 	}
 	return LoadSpec{
 		Entries: entries, Workspaces: e.Load.Workspaces, Template: e.Load.Template, Parameter: e.Load.Parameter,
-		Texts: text, TextsPer: e.Load.TextsPer, Service: e.Load.Service, MaxTokens: e.Load.MaxTokens,
+		Texts: text, TextsPerWorkspace: e.Load.TextsPerWorkspace, Service: e.Load.Service, MaxTokens: e.Load.MaxTokens,
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -69,15 +69,15 @@
 	}},
 	{"store down", func(h *harness, rng *rand.Rand) {
 		defer h.begin()()
-		h.store.Set(platformlab.Trouble{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
+		h.store.SetFaults(platformlab.StoreFaults{Down: []string{"busy", "reset", "silent"}[rng.IntN(3)]})
 		sleep(rng, 4*time.Second)
-		h.store.Set(platformlab.Trouble{})
+		h.store.SetFaults(platformlab.StoreFaults{})
 	}},
 	{"store slow, and loses answers", func(h *harness, rng *rand.Rand) {
 		defer h.begin()()
-		h.store.Set(platformlab.Trouble{Slow: 150 * time.Millisecond, LoseWrites: 0.4})
+		h.store.SetFaults(platformlab.StoreFaults{Delay: 150 * time.Millisecond, LostResponses: 0.4})
 		sleep(rng, 3*time.Second)
-		h.store.Set(platformlab.Trouble{})
+		h.store.SetFaults(platformlab.StoreFaults{})
 	}},
 	{"store forgets its history", func(h *harness, _ *rand.Rand) {
 		defer h.begin()()
@@ -230,12 +230,12 @@
 func (h *harness) injectResponses(rng *rand.Rand, respond func(http.ResponseWriter, *http.Request) bool) {
 	defer h.begin()()
 	r := h.anyReplica(rng)
-	r.Answer(func(rw http.ResponseWriter, req *http.Request) bool {
+	r.SetHandler(func(rw http.ResponseWriter, req *http.Request) bool {
 		if rand.IntN(2) == 0 {
 			return false
 		}
 		return respond(rw, req)
 	})
 	sleep(rng, 2*time.Second)
-	r.Answer(nil)
+	r.SetHandler(nil)
 }
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -70,14 +70,14 @@
 func (h *harness) signal(s platformlab.Signals, last time.Duration, rng *rand.Rand) {
 	if !s.Leaving {
 		r := h.anyReplica(rng)
-		r.Signal(s)
+		r.SetSignals(s)
 		time.Sleep(last)
-		r.Signal(platformlab.Signals{})
+		r.SetSignals(platformlab.Signals{})
 		return
 	}
 	r := h.takeReplica(rng)
 	h.replace(r)
-	r.Signal(s)
+	r.SetSignals(s)
 	time.Sleep(last)
 	defer h.begin()()
 	r.Crash()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -158,12 +158,12 @@
 func (h *harness) addReplica(service string) error {
 	h.mu.Lock()
 	h.started++
-	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, h.started), Service: service, Zone: "z1", Work: 3 * time.Millisecond}}
+	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, h.started), Service: service, Zone: "z1", ServiceTime: 3 * time.Millisecond}}
 	if service == "llm" {
-		r.Model, r.Pieces, r.Pause = model, chunks, 5*time.Millisecond
+		r.Model, r.Chunks, r.ChunkInterval = model, chunks, 5*time.Millisecond
 		r.SetVersion(h.weights)
 	}
-	r.Fatal = &platformlab.Fatal{Body: fatalBody, Work: fatalWork, Crashed: func(*platformlab.Replica) { h.onFatalCrash(r) }}
+	r.CrashOn = &platformlab.CrashRule{Body: fatalBody, Delay: fatalWork, OnCrash: func(*platformlab.Replica) { h.onFatalCrash(r) }}
 	h.mu.Unlock()
 	if err := r.Listen(h.ledger); err != nil {
 		return err
