--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -98,7 +98,7 @@
 	}
 	l.inFlight++
 	s.inFlight++
-	l.usage.weight(ws, limits.Weight)
+	l.usage.setWeight(ws, limits.Weight)
 	return func() { l.release(s) }, nil
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -76,7 +76,7 @@
 
 // TestOverload checks the order in which an overloaded VM refuses: between the soft and
 // the hard bound only workspaces above their share, beyond the hard bound every workspace,
-// except for requests of a higher priority, whose bound is longer.
+// except for requests of a higher priority, whose hard bound is higher.
 func TestOverload(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	clock := func() time.Time { return now }
--- a/internal/admission/sharing_test.go
+++ b/internal/admission/sharing_test.go
@@ -103,7 +103,7 @@
 		}
 		return 0
 	}
-	cut := func(vm int) int { return vm / 6 } // six VMs and two VMs
+	partition := func(vm int) int { return vm / 6 } // six VMs and two VMs
 	for _, phase := range []struct {
 		name       string
 		admitted   []int
@@ -113,7 +113,7 @@
 		{"even demand", s.run(20, even, together), 5, 1.3, 0.9},
 		{"all demand at one VM", s.run(20, one, together), 8, 1.3, 0.8},
 		{"even again", s.run(20, even, together), 8, 1.6, 0.9},
-		{"partition into six and two", s.run(20, even, cut), 8, 1.3, 0.9},
+		{"partition into six and two", s.run(20, even, partition), 8, 1.3, 0.9},
 	} {
 		overall := float64(total(phase.admitted)) / float64(len(phase.admitted)) / sharingLimit
 		settled := phase.admitted[phase.settle:]
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -11,8 +11,8 @@
 type usage struct {
 	halfLife    time.Duration
 	byWorkspace map[ids.Workspace]*tokenUsage
-	total       float64
-	weights     float64 // sum over workspaces with recent usage
+	total       float64 // tokens of all workspaces at the last sweep
+	weights     float64 // sum over workspaces with recent usage at the last sweep
 	lastSweep   time.Time
 }
 
@@ -32,7 +32,7 @@
 	return &usage{halfLife: halfLife, byWorkspace: map[ids.Workspace]*tokenUsage{}}
 }
 
-func (u *usage) weight(ws ids.Workspace, w float64) {
+func (u *usage) setWeight(ws ids.Workspace, w float64) {
 	if x := u.byWorkspace[ws]; x != nil {
 		x.weight = w
 		return
--- a/internal/cacheview/changes.go
+++ b/internal/cacheview/changes.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// RemoveAndReport is Remove for information that peers don't have. It queues the removal for
-// them only if this VM had the entry: otherwise no VM has reported the entry to them.
+// RemoveAndReport is Remove for information that peers don't have. It queues the removal
+// only if this VM has the entry, since an entry that any VM reported is normally here too.
 func (x *Index) RemoveAndReport(t ids.Target, gen Generation, id prefix.ID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -7,8 +7,9 @@
 //   - An entry belongs to one epoch of its target. A new incarnation, another weights
 //     version or a gap in the target's events starts a new epoch, which invalidates all
 //     older entries at once, in constant time.
-//   - Prefix IDs are seeded with workspace and weights version (package prefix), so a lookup
-//     never finds another workspace's entries.
+//   - Prefix IDs are hashes over the model and the workspace (package prefix) or isolation
+//     key (package kvcache), so a lookup never finds entries of a workspace that may not share
+//     KV cache with the request's.
 //   - A response's count of cached tokens overrides the estimate.
 //
 // The index is a fixed table of 16-byte entries, so its memory is bounded by a setting and
@@ -69,8 +70,11 @@
 // Stats counts what happened to entries, as returned by Index.Stats. The field names are
 // part of the admin API's JSON.
 type Stats struct {
-	Confirmed, Refuted, Evicted, Gaps, Voided uint64
-	Untold                                    uint64 // changes not queued for peers, since the queue was full
+	Confirmed, Refuted uint64 // entries that a response confirmed or refuted
+	Evicted            uint64 // entries removed because the target no longer holds the prefix
+	Gaps               uint64 // gaps in the targets' event feeds
+	Voided             uint64 // new epochs, each of which invalidates all entries of a target
+	Untold             uint64 // changes not queued for peers because the queue was full
 }
 
 // Index is the table of entries. Safe for concurrent use; Lookup does not allocate.
@@ -136,8 +140,9 @@
 	x.newEpoch(s)
 }
 
-// newEpoch invalidates a target's entries. Epoch numbers wrap after 65,536 calls; it then
-// deletes the target's entries, so that an old one can't become valid again.
+// newEpoch invalidates a target's entries. After 65,536 calls the epoch number wraps to
+// zero; newEpoch then deletes the target's entries, so that an old one can't become valid
+// again.
 func (x *Index) newEpoch(s *targetState) {
 	s.epoch++
 	x.stats.Voided++
@@ -278,12 +283,12 @@
 // minReportedWork is the least prefill reported to peers, in tokens.
 const minReportedWork = 256
 
-// queueWork reports a costly prefill to peers, as part of the entry that Expect has just
-// queued. Cheap dispatches queue no entry.
+// queueWork adds the work of a costly prefill to the entry that Expect has just queued for
+// peers, if it queued one. Work below minReportedWork is not reported.
 func (x *Index) queueWork(n TargetNum, levels []prefix.Level, work int32) {
 	if last := len(x.newEntries) - 1; work >= minReportedWork && last >= 0 && len(levels) > 0 {
-		if f := &x.newEntries[last]; f.ID == levels[len(levels)-1].ID && f.Target == x.targets[n].name {
-			f.Work = work
+		if e := &x.newEntries[last]; e.ID == levels[len(levels)-1].ID && e.Target == x.targets[n].name {
+			e.Work = work
 		}
 	}
 }
@@ -298,9 +303,9 @@
 	}
 }
 
-// ApplyResponse updates the entries by a response: the target of that generation reused
-// cached tokens of the prompt, and has all of the prompt cached now. prior is the result of
-// Expect.
+// ApplyResponse updates the entries after a response from a target: it reused the first
+// cached tokens of the prompt and now has the whole prompt cached. prior is the result of
+// Expect. Responses of any generation but the current one are ignored.
 func (x *Index) ApplyResponse(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -365,9 +370,9 @@
 func (x *Index) TakeNewEntries() []EntryInfo {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	f := x.newEntries
+	entries := x.newEntries
 	x.newEntries = nil
-	return f
+	return entries
 }
 
 // ApplyPeerEntry adds an entry that a peer reported. gen is the low 16 bits of the target's
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -2,9 +2,9 @@
 //
 // A VM may stop running for seconds: the hypervisor suspends it, migrates it, or resumes it
 // late. The monotonic clock that time.Now reads does not count that time, so an age computed
-// with it is too small, and a proof from before the suspension is still trusted after it.
-// The wall clock counts that time, but may be set. CLOCK_BOOTTIME counts it and only goes
-// forward.
+// with it is too small, and proof of life or of a lease from before the suspension is trusted
+// for too long. The wall clock counts that time, but may be set. CLOCK_BOOTTIME counts it and
+// only goes forward.
 //
 // The times that this package returns have no monotonic reading: Sub, Before and After
 // compare readings of CLOCK_BOOTTIME. They are offset to the wall time at the start of the
@@ -44,8 +44,8 @@
 }
 
 // CheckSupport returns an error if the system has no clock that counts suspended time. Now
-// then falls back to time.Now, and a proof may be trusted for longer than it is valid, by the
-// length of a suspension.
+// then falls back to time.Now, and proof of life or of a lease may be trusted for longer than
+// it is valid, by the length of a suspension.
 func CheckSupport() error {
 	_, err := bootTime()
 	return err
--- a/internal/clock/rule_test.go
+++ b/internal/clock/rule_test.go
@@ -11,7 +11,8 @@
 )
 
 // timersOnly lists the files and directories that may call time.Now, Since and Until, with the
-// reason. All others decide how long something is trusted, or pass on times that do.
+// reason. All others decide how long something is trusted, or return times that such decisions
+// use.
 var timersOnly = map[string]string{
 	"clock/":               "this clock itself",
 	"lab/":                 "simulated components, not VMs of the product",
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -4,7 +4,8 @@
 //
 // The package assigns an outcome to every failure, since it knows how far a call
 // got. A call is NotRun only if the client never connected or the target itself
-// reported that it did not run the call; any other failure is Unknown.
+// reported that it did not run the call. It is Ran if the target rejected the request
+// as invalid (4xx). Any other failure is Unknown.
 package engine
 
 import (
@@ -157,23 +158,23 @@
 }
 
 func readResponse(resp *http.Response, call *Call) (*Response, error) {
-	a := &Response{
+	r := &Response{
 		Incarnation: incarnationOf(resp.Header),
 		Weights:     ids.WeightsVersion(resp.Header.Get(HeaderWeights)),
 		Body:        resp.Body,
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer func() { _ = resp.Body.Close() }()
-		return nil, statusError(resp, a, call)
+		return nil, statusError(resp, r, call)
 	}
 	if echo := resp.Header.Get(HeaderAttempt); echo != "" && echo != string(call.Attempt) {
 		_ = resp.Body.Close()
 		return nil, outcome.New(outcome.Unknown, outcome.CodeUpstream, "answer", string(call.Target), "the target sent the response to another request")
 	}
-	return a, nil
+	return r, nil
 }
 
-func statusError(resp *http.Response, a *Response, call *Call) error {
+func statusError(resp *http.Response, r *Response, call *Call) error {
 	peer := string(call.Target)
 	if resp.Header.Get(HeaderOutcome) == headerNotRun {
 		cause := ReadRefusal(resp)
@@ -208,8 +209,8 @@
 
 // ReadFull reads the body of a response that is not streamed. A truncated body, or one
 // that belongs to another attempt, is an error.
-func ReadFull(a *Response, call *Call) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxFullResponse+1))
+func ReadFull(r *Response, call *Call) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxFullResponse+1))
 	if err == nil && len(body) > maxFullResponse {
 		err = eris.New("the response is larger than 8 MiB")
 	}
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -51,9 +51,9 @@
 
 // Events reads the engine's cache events that follow event number after.
 func (c *Client) Events(ctx context.Context, addr string, after uint64, timeout time.Duration) (EventBatch, error) {
-	var f EventBatch
-	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxEventsBody, &f)
-	return f, err
+	var b EventBatch
+	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxEventsBody, &b)
+	return b, err
 }
 
 func (c *Client) get(ctx context.Context, url string, timeout time.Duration, limit int64, into any) error {
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -81,8 +81,8 @@
 
 // Intervals and timeouts.
 const (
-	// reviewEvery is the interval at which readers are started and stopped.
-	reviewEvery = 500 * time.Millisecond
+	// reviewInterval is the interval at which readers are started and stopped.
+	reviewInterval = 500 * time.Millisecond
 	// feedWait is how long one read waits for events.
 	feedWait = time.Second
 	// feedPause is the pause between two reads. Events accumulate meanwhile, so that a busy
@@ -98,7 +98,7 @@
 // Run reads the feeds until ctx is done.
 func (f *Feeds) Run(ctx context.Context) {
 	f.running = map[string]context.CancelFunc{}
-	for timing.Sleep(ctx, reviewEvery) {
+	for timing.Sleep(ctx, reviewInterval) {
 		f.review(ctx)
 	}
 	f.wg.Wait()
@@ -191,10 +191,10 @@
 }
 
 // setResponsive records whether an engine answers. It ignores stores.
-func (f *Feeds) setResponsive(s Source, alive bool) {
+func (f *Feeds) setResponsive(s Source, responsive bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if alive || s.Store {
+	if responsive || s.Store {
 		delete(f.unresponsive, s.ID)
 		return
 	}
--- a/internal/kvfeed/kvfeed_test.go
+++ b/internal/kvfeed/kvfeed_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestReleasedFeedIsNotUnresponsive lets reads of an engine's feed fail and then assigns the
-// feed to another VM. This VM must not keep the engine as unreachable, since no later read
+// feed to another VM. This VM must not keep the engine as unresponsive, since no later read
 // would correct that.
 func TestReleasedFeedIsNotUnresponsive(t *testing.T) {
 	var mu sync.Mutex
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -36,7 +36,7 @@
 	tokens float64
 }
 
-// sendWindow is how long single sends are kept. Reports that are older are not used.
+// sendWindow is how long individual sends are kept. Reports older than that are not used.
 const sendWindow = 5 * time.Second
 
 // New returns an empty tracker.
@@ -183,7 +183,7 @@
 // Estimate combines reports with the work sent since, for all targets at once, and stores
 // the result in out. It reduces the reported work by the target's prefill rate times the
 // report's age, and adds the work that this VM and, as far as they have reported, its peers
-// have sent since. Work that still waits for its first token is a lower bound. The ages of
+// have sent since. The result is at least the work that still waits for its first token. The ages of
 // reports are relative to their snapshot, which was taken the duration since before now.
 func (t *Tracker) Estimate(handles []Handle, reports []Report, since time.Duration, now time.Time, out []Load) {
 	t.mu.Lock()
--- a/internal/loadview/slowdown.go
+++ b/internal/loadview/slowdown.go
@@ -39,15 +39,15 @@
 	t.overall.add(sample, now)
 }
 
-func (p *slowdown) add(sample float64, now time.Time) {
-	old := p.decayed(now)
-	p.value, p.at = old+slowdownGain*(sample-old), now
+func (s *slowdown) add(sample float64, now time.Time) {
+	old := s.decayed(now)
+	s.value, s.at = old+slowdownGain*(sample-old), now
 }
 
 // decayed returns the slowdown at the time now; at least 1.
-func (p *slowdown) decayed(now time.Time) float64 {
-	if p.value <= 1 {
+func (s *slowdown) decayed(now time.Time) float64 {
+	if s.value <= 1 {
 		return 1
 	}
-	return 1 + (p.value-1)*math.Exp2(-float64(now.Sub(p.at))/float64(slowdownHalfLife))
+	return 1 + (s.value-1)*math.Exp2(-float64(now.Sub(s.at))/float64(slowdownHalfLife))
 }
--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -4,8 +4,8 @@
 // An operator records an intent by a conditional update. In each failure domain the VM
 // that holds the lease compares the intents with the state that engines report and
 // sends orders, each with the lease's fencing number. An order states the desired state
-// and not a step, so a repeated or late order does no more than the last intent known
-// to its sender; the next lease holder reads the state back and corrects it.
+// and not a step, so a repeated or late order can only set the state that its sender last
+// read as desired; the next lease holder reads the engine's state and corrects it.
 //
 // The reconciler sends orders to a few engines of a model at a time, so that most of
 // them keep serving, and within the read rate of the weight store.
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -30,12 +30,12 @@
 // MaxOrder is the timeout of one order. The lease's WaitOut must be at least as long.
 const MaxOrder = 10 * time.Second
 
-// Engines returns the state of the engines of the failure domain.
+// Engines provides the state of the engines of the failure domain.
 type Engines interface {
 	Engines() []EngineStatus
 }
 
-// DesiredStateSource returns the desired states of engines.
+// DesiredStateSource provides the desired states of engines.
 type DesiredStateSource interface {
 	DesiredStates(ctx context.Context) (map[ids.Target]DesiredState, error)
 }
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -44,7 +44,7 @@
 			events = append(events[:i+1:i+1], events[i:]...)
 		case 2: // two events are swapped
 			events[i], events[j] = events[j], events[i]
-		case 3: // an event belongs to another answer
+		case 3: // an event belongs to another response
 			events[i] = strings.ReplaceAll(events[i], attempt, "att-2")
 		default: // an error event replaces an event
 			events[i] = "event: error\ndata: {}\n\n"
@@ -82,7 +82,7 @@
 }
 
 // TestDamagedStreams damages streams at random and resumes after the damage. The forwarded
-// events must always be a prefix of the true answer, and the answer counts as complete only
+// events must always be a prefix of the true response, and the response counts as complete only
 // if all of its events were forwarded.
 func TestDamagedStreams(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -105,7 +105,7 @@
 			}
 		}
 		if v.Complete() && len(got) != n {
-			rt.Fatalf("the answer counts as complete with %d of %d events", len(got), n)
+			rt.Fatalf("the response counts as complete with %d of %d events", len(got), n)
 		}
 	})
 }
--- a/internal/relay/sse.go
+++ b/internal/relay/sse.go
@@ -1,5 +1,5 @@
-// Package relay parses the server-sent events of a target's answer and verifies that the
-// stream is complete: that no event is missing, duplicated or from another answer.
+// Package relay parses the server-sent events of a target's response and verifies that the
+// stream is complete: that no event is missing, duplicated or from another response.
 package relay
 
 import (
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -18,7 +18,7 @@
 )
 
 // BrokenError reports how a stream is broken. The events that were forwarded before it are a
-// correct prefix of the answer, and the stream can be resumed after event Last.
+// correct prefix of the response, and the stream can be resumed after event Last.
 type BrokenError struct {
 	Reason string
 	Last   uint64 // number of the last forwarded event
@@ -35,7 +35,7 @@
 	finishNull = []byte("null")
 )
 
-// Verifier checks the events of one answer: each belongs to the attempt, none is missing, none
+// Verifier checks the events of one response: each belongs to the attempt, none is missing, none
 // is forwarded twice, and the stream ends after a finish reason. A Verifier is used for all
 // connections of an attempt, so that it checks a resumed stream against the events that were
 // forwarded before the connection broke. It is not safe for concurrent use.
@@ -47,7 +47,7 @@
 	done     bool
 }
 
-// NewVerifier returns a Verifier for the answer of one attempt. An empty attempt disables the
+// NewVerifier returns a Verifier for the response of one attempt. An empty attempt disables the
 // check that each event contains the ID of the attempt.
 func NewVerifier(attempt ids.Attempt) *Verifier { return &Verifier{attempt: []byte(attempt)} }
 
@@ -57,7 +57,7 @@
 // Numbered reports whether the target numbers its events, which resuming requires.
 func (v *Verifier) Numbered() bool { return v.numbered }
 
-// Complete reports whether the whole answer was forwarded.
+// Complete reports whether the whole response was forwarded.
 func (v *Verifier) Complete() bool { return v.done }
 
 func (v *Verifier) broken(reason string) error { return &BrokenError{Reason: reason, Last: v.last} }
@@ -81,7 +81,7 @@
 		return Done, nil
 	}
 	if !bytes.Contains(ev.Data, v.attempt) {
-		return 0, v.broken("an event belongs to another answer")
+		return 0, v.broken("an event belongs to another response")
 	}
 	v.last++
 	v.finished = v.finished || finishes(ev.Data)
