--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -70,9 +70,10 @@
 // Stats counts what happened to entries, as returned by Index.Stats. The field names are
 // part of the admin API's JSON.
 //
-// Confirmed and Refuted count entries by later responses, Evicted entries removed since the
-// target no longer holds the prefix, Gaps gaps in the targets' event feeds, and Voided new
-// epochs, each of which invalidates all entries of a target.
+//   - Confirmed, Refuted: entries that a response confirmed or refuted.
+//   - Evicted: entries removed because the target no longer holds the prefix.
+//   - Gaps: gaps in the targets' event feeds.
+//   - Voided: new epochs, each of which invalidates all entries of a target.
 type Stats struct {
 	Confirmed, Refuted, Evicted, Gaps, Voided uint64
 	Untold                                    uint64 // changes not queued for peers because the queue was full
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -67,11 +67,11 @@
 func (t *Tracker) AddPeerWork(target ids.Target, tokens int32, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(target).add(sent{at: at, tokens: float64(tokens)})
+	t.loadOf(target).add(sent{at: at, tokens: float64(tokens)})
 }
 
-// of returns the record of a target. The caller holds t.mu.
-func (t *Tracker) of(target ids.Target) *targetLoad {
+// loadOf returns the record loadOf a target. The caller holds t.mu.
+func (t *Tracker) loadOf(target ids.Target) *targetLoad {
 	o := t.targets[target]
 	if o == nil {
 		o = &targetLoad{}
@@ -92,7 +92,7 @@
 func (t *Tracker) Sent(target ids.Target, uncached int32, now time.Time) *Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := t.of(target)
+	o := t.loadOf(target)
 	tokens := float64(max(uncached, 0))
 	o.pending += tokens
 	o.inFlight++
@@ -172,12 +172,12 @@
 // Handle refers to a target's record, for estimates without lookups.
 type Handle struct{ o *targetLoad }
 
-// Handle returns the handle of a target. It stays valid, but after Forget it refers to the
-// dropped record.
+// Handle returns a handle for a target's current record. After Forget the handle can still be
+// used, but refers to the dropped record.
 func (t *Tracker) Handle(target ids.Target) Handle {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Handle{o: t.of(target)}
+	return Handle{o: t.loadOf(target)}
 }
 
 // Estimate combines reports with the work sent since, for all targets at once, and stores
--- a/internal/loadview/peers.go
+++ b/internal/loadview/peers.go
@@ -40,7 +40,7 @@
 	}
 	t.peers[vm] = &peer{incarnation: incarnation, seq: seq, at: now, loads: loads}
 	for id, l := range loads {
-		o := t.of(id)
+		o := t.loadOf(id)
 		o.peers.InFlight += l.InFlight
 		o.peers.Pending += l.Pending
 		o.peers.NotResumable += l.NotResumable
@@ -93,7 +93,7 @@
 		return
 	}
 	for id, l := range p.loads {
-		o := t.of(id)
+		o := t.loadOf(id)
 		o.peers.InFlight -= l.InFlight
 		o.peers.Pending -= l.Pending
 		o.peers.NotResumable -= l.NotResumable
--- a/internal/loadview/slowdown.go
+++ b/internal/loadview/slowdown.go
@@ -35,7 +35,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sample := min(max(float64(actual)/float64(max(predicted, 0)+MinTTFT), 1), maxSlowdown)
-	t.of(target).slowdown.add(sample, now)
+	t.loadOf(target).slowdown.add(sample, now)
 	t.overall.add(sample, now)
 }
 
