--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -70,7 +70,7 @@
 	t.loadOf(target).add(sent{at: at, tokens: float64(tokens)})
 }
 
-// loadOf returns the record loadOf a target. The caller holds t.mu.
+// loadOf returns the record of a target. The caller holds t.mu.
 func (t *Tracker) loadOf(target ids.Target) *targetLoad {
 	o := t.targets[target]
 	if o == nil {
