--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -25,8 +25,7 @@
 type Peer struct {
 	VM   ids.VM
 	Addr string // ip:port
-	// CrossDomain marks a peer that reads the store itself and serves VMs of other failure
-	// domains.
+	// CrossDomain marks a peer of another failure domain.
 	CrossDomain bool
 }
 
@@ -35,9 +34,9 @@
 // loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
 // (TestMaxBlindTime adds it up).
 const (
-	// maxContactAge is how long ago the store may last have answered an upstream peer: a watch
-	// of 0.6 s and one read more. crossDomainMaxAge is the same for a peer of another domain,
-	// whose data this VM forwards to others.
+	// maxContactAge is how long ago the store may last have answered an upstream peer: the time
+	// of a watch of 0.6 s and of one more read. crossDomainMaxAge is the same for a peer of
+	// another domain, whose data this VM forwards to others.
 	maxContactAge     = 1200 * time.Millisecond
 	crossDomainMaxAge = time.Second
 	// readWait is the longest time that a read waits for a change at the peer.
@@ -185,10 +184,10 @@
 }
 
 const (
-	// avoidStale is how long a peer is avoided that answers but has lost the store.
+	// avoidStale is how long a peer that answers but has lost the store is avoided.
 	avoidStale = 300 * time.Millisecond
-	// avoidStarting is how long a peer is avoided that has not read the store yet, which takes
-	// some tens of milliseconds.
+	// avoidStarting is how long a peer that has not read the store yet is avoided. That read
+	// takes some tens of milliseconds.
 	avoidStarting = 100 * time.Millisecond
 	// avoidFirst is how long a peer is avoided after its first failure; the time doubles with
 	// each consecutive failure up to avoidFirst << maxAvoidDoublings.
@@ -207,7 +206,8 @@
 	a.fails[vm]++
 }
 
-// avoidUntil records that a peer answers but can't serve the store's contents.
+// avoidUntil records that a peer answers but can't serve the store's contents, and is not called
+// until the given time.
 func (a *avoidance) avoidUntil(vm ids.VM, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mirror/notifier.go
+++ b/internal/mirror/notifier.go
@@ -9,21 +9,21 @@
 }
 
 // wait returns a channel that is closed by the next call of notify.
-func (b *Notifier) wait() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.changed == nil {
-		b.changed = make(chan struct{})
+func (n *Notifier) wait() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.changed == nil {
+		n.changed = make(chan struct{})
 	}
-	return b.changed
+	return n.changed
 }
 
 // notify wakes all waiting goroutines.
-func (b *Notifier) notify() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.changed != nil {
-		close(b.changed)
-		b.changed = nil
+func (n *Notifier) notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.changed != nil {
+		close(n.changed)
+		n.changed = nil
 	}
 }
--- a/internal/mirror/pack.go
+++ b/internal/mirror/pack.go
@@ -28,16 +28,16 @@
 }
 
 // of returns the compressed form of a chunk. The caller holds the space's lock.
-func (p *packedChunks) of(n *update, change uint64) ([]byte, error) {
+func (p *packedChunks) of(u *update, change uint64) ([]byte, error) {
 	if p.change != change || p.chunks == nil {
 		p.change, p.chunks = change, map[string][]byte{}
 	}
-	if packed, ok := p.chunks[n.behind]; ok {
+	if packed, ok := p.chunks[u.behind]; ok {
 		return packed, nil
 	}
-	packed, err := pack(n.objects)
+	packed, err := pack(u.objects)
 	if err == nil {
-		p.chunks[n.behind] = packed
+		p.chunks[u.behind] = packed
 	}
 	return packed, err
 }
--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -31,8 +31,8 @@
 	Bootstrap func(context.Context)
 	// ReadStore reads the store until its context ends.
 	ReadStore func(context.Context)
-	// Wait is the longest time that a read from a peer waits for a change; zero, or more than
-	// readWait: readWait.
+	// Wait is the longest time that a read from a peer waits for a change, at most readWait.
+	// Zero: readWait.
 	Wait time.Duration
 	// Meter counts the bytes read from peers. Optional.
 	Meter *traffic.Meter
@@ -51,10 +51,11 @@
 	checkInterval = time.Second
 	// seekInterval is how often a VM that waits for its rank checks the same.
 	seekInterval = 100 * time.Millisecond
-	// rankStep is the delay for each VM that ranks before this one in its failure domain: a
-	// dial and a list. crossDomainStep is the delay for each one in another domain; there are
-	// two per domain. With rankStep for these too, the first VM of the last of six domains
-	// waited for 4 s, and 43 of 195 VMs could no longer prove that their keys are valid.
+	// rankStep is the delay for each VM that ranks before this one in its failure domain: the
+	// time of a dial and a list. crossDomainStep is the delay for each one in another
+	// domain; there are two per domain. With rankStep for these too, the first VM of the last
+	// of six domains waited for 4 s, and 43 of 195 VMs could no longer prove that their keys
+	// are valid.
 	rankStep        = 400 * time.Millisecond
 	crossDomainStep = 40 * time.Millisecond
 	// maxPeersPerSearch bounds how many peers one search calls.
--- a/internal/mirror/reader_test.go
+++ b/internal/mirror/reader_test.go
@@ -158,7 +158,7 @@
 }
 
 // TestProofAgeIsNotUnderstated checks that a reader never takes a peer's data for newer than
-// the peer's own call of the store.
+// the peer's own call to the store.
 func TestProofAgeIsNotUnderstated(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -52,11 +52,11 @@
 		if space == nil {
 			return nil, status.Errorf(codes.InvalidArgument, "unknown key space %q", p.Prefix)
 		}
-		n, ok := space.since(position{p.Copy, p.Change, p.Behind})
+		u, ok := space.since(position{p.Copy, p.Change, p.Behind})
 		if !ok {
 			return nil, status.Errorf(codes.FailedPrecondition, "key space %q has not been read yet", p.Prefix)
 		}
-		resp.Parts = append(resp.Parts, part(p.Prefix, &n, now))
+		resp.Parts = append(resp.Parts, part(p.Prefix, &u, now))
 	}
 	return resp, nil
 }
@@ -70,19 +70,19 @@
 	return nil
 }
 
-func part(prefix string, n *update, now time.Time) *mirrorpb.Part {
+func part(prefix string, u *update, now time.Time) *mirrorpb.Part {
 	p := &mirrorpb.Part{
-		Prefix: prefix, Copy: n.to.copyID, Change: n.to.change, Revision: uint64(n.at.Revision), Whole: n.whole, More: n.more, Behind: n.behind, Regained: n.regained,
-		AgeUs: microseconds(n.at.Sent, now), ContactUs: microseconds(n.at.Answered, now),
+		Prefix: prefix, Copy: u.to.copyID, Change: u.to.change, Revision: uint64(u.at.Revision), Whole: u.whole, More: u.more, Behind: u.behind, Regained: u.regained,
+		AgeUs: microseconds(u.at.Sent, now), ContactUs: microseconds(u.at.Answered, now),
 	}
-	if p.Packed = n.packed; len(n.packed) == 0 {
-		p.Objects = toProto(n.objects)
+	if p.Packed = u.packed; len(u.packed) == 0 {
+		p.Objects = toProto(u.objects)
 	}
 	return p
 }
 
-func hasObjects(a *mirrorpb.ReadAnswer) bool {
-	for _, p := range a.Parts {
+func hasObjects(resp *mirrorpb.ReadAnswer) bool {
+	for _, p := range resp.Parts {
 		if p.Whole || len(p.Objects) > 0 {
 			return true
 		}
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -1,13 +1,13 @@
-// Package mirror lets one VM of a failure domain read the platform's store for the
-// others.
+// Package mirror lets one VM read the platform's store for the others.
 //
 // # Upstream peers
 //
-// The VMs of a domain have a fixed order, the same for all. The first one reads the
-// store. Each other VM reads from the first VM before it that answers, and from the
-// store if none does. A VM never reads from one after it, so there are no cycles. In
-// small fleets each VM reads the store by itself: there are few calls, and no VM
-// depends on another.
+// The VMs of a failure domain have a fixed order, the same for all, and so do the domains.
+// The upstream peers of a VM are the VMs before it in its domain, and then the first VMs of
+// the domains before its own. A VM reads from the first upstream peer that answers, and from
+// the store if none does or if it has none. A VM never reads from one after it, so there are
+// no cycles. In small fleets each VM reads the store by itself: there are few calls, and no
+// VM depends on another.
 //
 // # Copies
 //
@@ -220,54 +220,54 @@
 
 // since returns what changed after a position, or a chunk of a full copy if the position is not
 // covered by the batches. ok is false before the first list.
-func (s *Space) since(have position) (n update, ok bool) {
+func (s *Space) since(have position) (u update, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.listed {
-		return n, false
+		return u, false
 	}
-	n.to, n.at = position{copyID: s.copyID, change: s.change}, s.at
+	u.to, u.at = position{copyID: s.copyID, change: s.change}, s.at
 	known := have.copyID == s.copyID && have.change >= s.base
 	if known && have.behind != "" {
-		n.to.change = have.change // later changes in the chunks sent before follow as batches
-		s.addChunk(&n, have.behind)
-		return n, true
+		u.to.change = have.change // later changes in the chunks sent before follow as batches
+		s.addChunk(&u, have.behind)
+		return u, true
 	}
 	if !known {
-		s.addChunk(&n, "")
-		return n, true
+		s.addChunk(&u, "")
+		return u, true
 	}
 	for _, b := range s.batches {
 		if b.change > have.change {
-			n.objects = append(n.objects, b.events...)
+			u.objects = append(u.objects, b.events...)
 		}
 	}
-	return n, true
+	return u, true
 }
 
 // addChunk adds the objects after a key, up to chunkBytes. The caller holds the lock.
-func (s *Space) addChunk(n *update, behind string) {
+func (s *Space) addChunk(u *update, behind string) {
 	if s.keys == nil {
 		s.keys = slices.Sorted(maps.Keys(s.objects))
 	}
-	n.whole, n.behind, n.regained = true, behind, clock.Since(s.regained) < regainedPeriod
+	u.whole, u.behind, u.regained = true, behind, clock.Since(s.regained) < regainedPeriod
 	from, found := slices.BinarySearch(s.keys, behind)
 	if found {
 		from++
 	}
 	defer func() {
-		if packed, err := s.packed.of(n, s.change); err == nil {
-			n.packed = packed
+		if packed, err := s.packed.of(u, s.change); err == nil {
+			u.packed = packed
 		}
 	}()
 	size := 0
 	for i, key := range s.keys[from:] {
 		o := s.objects[key]
 		if size += len(key) + len(o.Value); i > 0 && size > chunkBytes {
-			n.more = true
+			u.more = true
 			return
 		}
-		n.objects = append(n.objects, o)
+		u.objects = append(u.objects, o)
 	}
 }
 
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -72,19 +72,19 @@
 
 // transfer reads once from one space to another; the response arrives when deliver is called.
 func transfer(from, to *Space, have *position) (deliver func()) {
-	n, ok := from.since(*have)
+	u, ok := from.since(*have)
 	if !ok {
 		return func() {}
 	}
 	return func() {
-		*have = n.to
+		*have = u.to
 		switch {
-		case n.whole:
-			to.Listed(n.objects, n.at, n.regained)
-		case len(n.objects) > 0:
-			to.Changed(n.objects, n.at)
+		case u.whole:
+			to.Listed(u.objects, u.at, u.regained)
+		case len(u.objects) > 0:
+			to.Changed(u.objects, u.at)
 		default:
-			to.Unchanged(n.at)
+			to.Unchanged(u.at)
 		}
 	}
 }
@@ -115,10 +115,10 @@
 	}
 }
 
-// TestCopiesMatchStore draws writes, lists, lagging watches, and reads between VMs in any
-// direction whose responses are late or lost. Each copy must have, of each object, at least the
-// state that the store held at the copy's revision, and so must the VM's tables, which the copy
-// feeds.
+// TestCopiesMatchStore performs random writes, lists, lagging watches, and reads between VMs in any
+// direction whose responses are late or lost. Each copy must hold each object in a state at least
+// as new as the one in the store at the copy's revision. So must the VM's tables, which the copy
+// updates.
 func TestCopiesMatchStore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &history{states: []map[string]string{{}}, events: []objectapi.Object{{}}}
@@ -169,12 +169,12 @@
 func TestRegainedExpires(t *testing.T) {
 	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, true)
-	if n, _ := s.since(position{}); !n.whole || !n.regained {
-		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", n)
+	if u, _ := s.since(position{}); !u.whole || !u.regained {
+		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", u)
 	}
 	s.regained = s.regained.Add(-regainedPeriod)
-	if n, _ := s.since(position{}); !n.whole || n.regained {
-		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", n)
+	if u, _ := s.since(position{}); !u.whole || u.regained {
+		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", u)
 	}
 }
 
--- a/internal/mirror/suspend_test.go
+++ b/internal/mirror/suspend_test.go
@@ -20,11 +20,11 @@
 		vms[0].storeLost.Store(true)
 		time.Sleep(30 * time.Millisecond) // until calls in flight have ended
 		clock.Skip(suspended)
-		n, ok := vms[0].space.since(position{})
+		u, ok := vms[0].space.since(position{})
 		if !ok {
 			t.Fatal("a has no copy to serve")
 		}
-		p := part(vms[0].space.Prefix, &n, clock.Now())
+		p := part(vms[0].space.Prefix, &u, clock.Now())
 		if age := time.Duration(p.AgeUs) * time.Microsecond; age < suspended {
 			t.Errorf("after a suspension of %v the age of a's data is %v", suspended, age)
 		}
--- a/internal/mirror/turns_test.go
+++ b/internal/mirror/turns_test.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// TestStaggeredFallbackToStore makes the store unavailable to all VMs: they must not all turn to it
+// TestStaggeredFallbackToStore makes the store unavailable to all VMs: they must not all call it
 // at once, and must read from the first VM again when the store is back.
 func TestStaggeredFallbackToStore(t *testing.T) {
 	var store atomic.Uint64
--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -96,7 +96,7 @@
 	n.stateCalls = semaphore.NewWeighted(maxStateCalls)
 }
 
-// AdoptPlatform applies a revision of the platform's list; it is a confsync.Adopter.
+// AdoptPlatform applies a revision of the platform's list; it is a confsync.AdoptFunc.
 func (n *Node) AdoptPlatform(_ objectapi.Revision, objects []objectapi.Object) {
 	records, _ := platform.Decode(objects)
 	n.Fleet.Members.ApplyPlatform(records, clock.Now())
@@ -157,14 +157,14 @@
 // anything is pending.
 func (n *Node) CollectDispatches() bool {
 	var last *peerpb.Dispatch
-	for _, b := range n.Fleet.Cache.TakeNewEntries() {
-		target, life := targetHash(b.Target), uint32(uint16(b.Generation))
-		if last == nil || last.Target != target || last.Life != life || last.Work > 0 {
-			last = &peerpb.Dispatch{Target: target, Life: life}
+	for _, e := range n.Fleet.Cache.TakeNewEntries() {
+		target, generation := targetHash(e.Target), uint32(uint16(e.Generation))
+		if last == nil || last.Target != target || last.Life != generation || last.Work > 0 {
+			last = &peerpb.Dispatch{Target: target, Life: generation}
 			n.outbox.Dispatch(last)
 		}
-		last.Prefixes = append(last.Prefixes, uint64(b.ID))
-		last.Work = uint32(b.Work)
+		last.Prefixes = append(last.Prefixes, uint64(e.ID))
+		last.Work = uint32(e.Work)
 	}
 	return n.outbox.Pending() || n.Crashes.Pending()
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// Publish applies this VM's own probe of a target and queues it for the peers if it differs enough
-// from sent, the report that they were last sent at sentAt. It returns whether it was queued.
+// Publish applies this VM's own report on a target, r, and queues it for the peers if it differs
+// enough from sent, the last report sent to them, or if sentAt, the time of that report, is too
+// long ago. It reports whether r was queued.
 func (n *Node) Publish(id ids.Target, r, sent membership.Report, sentAt, now time.Time) bool {
 	before := n.Fleet.Members.State(id, now)
 	if !n.Fleet.Members.ApplyReport(id, r, now) {
@@ -73,8 +74,8 @@
 // probersPerTarget is how many VMs of a domain probe each of its targets.
 const probersPerTarget = 2
 
-// IsProber reports whether this VM probes a target. In the target's domain the two live VMs with
-// the highest rendezvous weight do; in a small fleet also one VM of each other domain. In a
+// IsProber reports whether this VM probes a target. In the target's domain the two live or joining
+// VMs with the highest rendezvous weight do; in a small fleet also one VM of each other domain. In a
 // large fleet the probes across domains would outnumber all others, and each domain has enough
 // targets of its own: targets of other domains then stay suspect and are used only as a last
 // resort.
--- a/internal/peers/sender.go
+++ b/internal/peers/sender.go
@@ -56,10 +56,10 @@
 	for vm, addr := range wanted {
 		s := n.senders[vm]
 		if s == nil {
-			tctx, stop := context.WithCancel(ctx)
+			senderCtx, stop := context.WithCancel(ctx)
 			s = &sender{n: n, vm: vm, addr: addr, ring: ring.New[*peerpb.News](senderQueueSize), stop: stop}
 			n.senders[vm] = s
-			go s.run(tctx)
+			go s.run(senderCtx)
 		}
 		out = append(out, s)
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-// rank returns how many live VMs of the domain rank before this one for a target.
+// rank returns how many live or joining VMs of the domain rank before this one for a target.
 func (n *Node) rank(id ids.Target) int {
 	own, before := routing.VMWeight(id, n.VM), 0
 	for _, p := range n.Fleet.Members.Peers(clock.Now()) {
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -73,14 +73,14 @@
 		}
 	}
 	held := map[uint32]*peerpb.Held{}
-	for _, b := range n.Fleet.Cache.Entries(maxStateEntries) {
-		h := held[targetHash(b.Target)]
+	for _, e := range n.Fleet.Cache.Entries(maxStateEntries) {
+		h := held[targetHash(e.Target)]
 		if h == nil {
-			h = &peerpb.Held{Target: targetHash(b.Target), Life: uint32(uint16(b.Generation))}
+			h = &peerpb.Held{Target: targetHash(e.Target), Life: uint32(uint16(e.Generation))}
 			held[h.Target] = h
 			out.Held = append(out.Held, h)
 		}
-		h.Prefixes = append(h.Prefixes, uint64(b.ID))
+		h.Prefixes = append(h.Prefixes, uint64(e.ID))
 	}
 	return out, nil
 }
@@ -137,15 +137,16 @@
 	return n.Config
 }
 
-// Adopt offers a revision of a key space to its store, logs its adoption and returns the verdict.
+// Adopt offers a revision of a key space to its store, records an adoption in the timeline and
+// returns the result of the offer.
 func (n *Node) Adopt(k peerpb.KeySpace, s confsync.Snapshot, from string) confsync.OfferResult {
-	v := n.space(k).Offer(s)
-	if v == confsync.Adopted {
+	result := n.space(k).Offer(s)
+	if result == confsync.Adopted {
 		n.Events.Record(timeline.Event{Kind: timeline.KindConfig, Peer: from, Text: "adopted " + k.String()}, adoption{
 			Revision: s.Revision, Base: s.Base, Objects: len(s.Objects), Deleted: len(s.Deleted),
 		})
 	}
-	return v
+	return result
 }
 
 // adoption is the detail of a config event.
