--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -34,10 +34,10 @@
 	After   []byte             `json:"-"`
 }
 
-// Plan holds the changes that bring objects into the store as it was read.
+// Plan holds the changes that write objects to the store, relative to its contents when read.
 type Plan struct{ Changes []Change }
 
-// NewPlan reads the store and plans the changes that bring objects into it. It writes
+// NewPlan reads the store and plans the changes that write objects to it. It writes
 // nothing. It compiles the configuration that would result and returns an error if an
 // object would be rejected or would cause another one to be rejected.
 func NewPlan(ctx context.Context, s objectapi.Store, objects []config.Object) (*Plan, error) {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -18,7 +18,7 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Kind is how far requests on a route may be repeated.
+// Kind determines whether requests on a route may be repeated.
 type Kind uint8
 
 // The kinds. The zero value allows the least.
@@ -35,7 +35,7 @@
 // String returns the kind's name in logs.
 func (k Kind) String() string { return [...]string{"once", "idempotent", "stream"}[k] }
 
-// Share is a service's share of a route's traffic, in proportion to the weights of all.
+// Share gives a service a share of a route's traffic, proportional to its weight.
 type Share struct {
 	Service string
 	Weight  int
@@ -49,7 +49,7 @@
 	Kind        Kind
 	Timeout     time.Duration // longest time that a caller waits; zero: unlimited
 	Objective   time.Duration // latency up to which a response is on time
-	MaxEventGap time.Duration // longest time between two events that is still on time
+	MaxEventGap time.Duration // longest gap between two events that still counts as on time
 	Priority    int           // 0 is the highest
 	Split       []Share
 	Attempts    int  // most replicas on which one request may run
@@ -91,7 +91,7 @@
 type Workspace struct {
 	Name     ids.Workspace
 	Keys     []string
-	Priority *int // overrides the route's priority; nil: does not
+	Priority *int // overrides the route's priority; nil: the route's applies
 	Isolated bool // shares no KV cache with other workspaces
 	// Allowance is the limit over all VMs together.
 	Allowance Allowance
@@ -102,11 +102,11 @@
 	Rate          float64 // units/s; zero, with Burst also zero: no limit
 	Burst         float64 // units that may be used at once, beyond the rate
 	Tokens        bool    // units are tokens; false: requests
-	DefaultTokens int64   // cost of a request that gives no number of tokens
+	DefaultTokens int64   // cost of a request that declares no number of tokens
 }
 
-// Cost returns the cost, in units, of a request that gives the number of its tokens; zero tokens:
-// it gives none.
+// Cost returns the cost of a request in units. tokens is the number of tokens that the request
+// declares; zero: it declares none.
 func (a *Allowance) Cost(tokens int64) float64 {
 	switch {
 	case !a.Tokens:
--- a/internal/catalog/current.go
+++ b/internal/catalog/current.go
@@ -14,24 +14,24 @@
 // a clock that includes suspensions of the VM (package clock), so it is an upper bound
 // also after a suspension.
 type Current struct {
-	mu     sync.Mutex
-	now    atomic.Pointer[Catalog]
-	proven atomic.Pointer[time.Time]
+	mu      sync.Mutex
+	current atomic.Pointer[Catalog]
+	proven  atomic.Pointer[time.Time]
 }
 
 // Get returns the version in force, or nil before the first Adopt.
-func (c *Current) Get() *Catalog { return c.now.Load() }
+func (c *Current) Get() *Catalog { return c.current.Load() }
 
 // Adopt puts a version in force if it is newer than the current one, and reports whether
 // it did.
-func (c *Current) Adopt(n *Catalog) bool {
+func (c *Current) Adopt(next *Catalog) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	old := c.now.Load()
-	if old != nil && n.Version <= old.Version {
+	old := c.current.Load()
+	if old != nil && next.Version <= old.Version {
 		return false
 	}
-	c.now.Store(n)
+	c.current.Store(next)
 	return true
 }
 
--- a/internal/catalog/isolation.go
+++ b/internal/catalog/isolation.go
@@ -6,9 +6,9 @@
 	"github.com/zeebo/xxh3"
 )
 
-// IsolationKey returns the key of the requests that may share KV cache with those of a
-// workspace: only its own if the workspace is isolated, those of all workspaces that are
-// not isolated otherwise. ws may be nil.
+// IsolationKey returns the isolation key of a workspace's requests: requests with the same
+// key may share KV cache. An isolated workspace has a key of its own; all others have one in
+// common. ws may be nil.
 func (c *Catalog) IsolationKey(ws *Workspace) string {
 	if ws != nil && ws.Isolated {
 		return "own-" + string(ws.Name)
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -31,7 +31,8 @@
 	Documents  map[string]Document
 	Templates  map[string]Template
 	Workspaces map[ids.Workspace]Workspace
-	// Rejected holds the reason why a stored object is not in force, by the object's key.
+	// Rejected holds the reason why a stored object is not in force, or why one of a
+	// workspace's API keys is not, by the object's key.
 	Rejected map[string]string
 
 	byKey     map[string]ids.Workspace
@@ -39,8 +40,9 @@
 }
 
 // Compile builds the configuration of one revision. It leaves out objects that don't
-// decode and templates whose references don't resolve, and lists them in Rejected, so
-// that one operator's mistake does not affect other operators' objects.
+// decode, templates whose references don't resolve or whose service already has a template,
+// and API keys that already belong to another workspace. It lists them in Rejected, so that
+// one operator's mistake does not affect other operators' objects.
 func Compile(rev objectapi.Revision, objects []objectapi.Object) *Config {
 	c := &Config{
 		Revision:   rev,
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,5 +1,5 @@
 // Package confsync keeps one VM's copy of a key space of the object API, such as
-// the configuration. VMs adopt it by store revision, never an older one. A few VMs watch
+// the configuration. Each VM adopts its revisions in increasing order. A few VMs watch
 // the store; the others receive the changes from peers as deltas.
 //
 // # Invariants
@@ -23,7 +23,7 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Snapshot is a full configuration or, with Base set, a delta to one.
+// Snapshot is a full configuration or, with Base set, a delta from revision Base.
 type Snapshot struct {
 	Base     objectapi.Revision // zero: Objects is the full configuration
 	Revision objectapi.Revision
@@ -39,7 +39,7 @@
 const (
 	Adopted   OfferResult = iota // the snapshot is in force now
 	Stale                        // the snapshot is not newer than the revision in force
-	WrongBase                    // the snapshot is a delta to another revision; request a full one
+	WrongBase                    // the snapshot is a delta from another revision; request a full one
 )
 
 // maxDeletes bounds how many deletes are kept for deltas.
@@ -98,25 +98,25 @@
 
 // Offer adopts a snapshot if it is newer than the revision in force and, for a delta, based on
 // that revision.
-func (s *Store) Offer(n Snapshot) OfferResult {
+func (s *Store) Offer(snap Snapshot) OfferResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floor = max(s.floor, n.Floor)
+	s.floor = max(s.floor, snap.Floor)
 	have := s.Revision()
-	if n.Revision <= have {
+	if snap.Revision <= have {
 		return Stale
 	}
-	if n.Base != 0 && n.Base != have {
+	if snap.Base != 0 && snap.Base != have {
 		return WrongBase
 	}
-	if n.Base == 0 {
-		s.replace(n)
+	if snap.Base == 0 {
+		s.replace(snap)
 	} else {
-		s.apply(n)
+		s.apply(snap)
 	}
-	s.floor = max(s.floor, n.Revision)
-	s.revision.Store(uint64(n.Revision))
-	s.adopt(n.Revision, s.sorted())
+	s.floor = max(s.floor, snap.Revision)
+	s.revision.Store(uint64(snap.Revision))
+	s.adopt(snap.Revision, s.sorted())
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -127,22 +127,22 @@
 // replace installs a full snapshot. Objects missing from it were deleted at unknown
 // revisions up to its own, so later deltas can't be based on an earlier revision. The
 // caller holds the lock.
-func (s *Store) replace(n Snapshot) {
-	s.objects = make(map[string]objectapi.Object, len(n.Objects))
-	for _, o := range n.Objects {
+func (s *Store) replace(snap Snapshot) {
+	s.objects = make(map[string]objectapi.Object, len(snap.Objects))
+	for _, o := range snap.Objects {
 		s.objects[o.Key] = o
 	}
-	s.deleted, s.deltaMin = nil, n.Revision
+	s.deleted, s.deltaMin = nil, snap.Revision
 }
 
 // apply installs a delta. The caller holds the lock.
-func (s *Store) apply(n Snapshot) {
-	for _, o := range n.Objects {
+func (s *Store) apply(snap Snapshot) {
+	for _, o := range snap.Objects {
 		s.objects[o.Key] = o
 	}
-	for _, key := range n.Deleted {
+	for _, key := range snap.Deleted {
 		delete(s.objects, key)
-		s.deleted = append(s.deleted, objectapi.Object{Key: key, Version: n.Revision})
+		s.deleted = append(s.deleted, objectapi.Object{Key: key, Version: snap.Revision})
 	}
 	if extra := len(s.deleted) - maxDeletes; extra > 0 {
 		s.deltaMin = s.deleted[extra-1].Version
@@ -153,42 +153,43 @@
 // Delta returns the delta from base to rev that consists of a watch's events. The last event of
 // each key counts.
 func (s *Store) Delta(base objectapi.Revision, events []objectapi.Object, rev objectapi.Revision) Snapshot {
-	n := Snapshot{Base: base, Revision: rev}
+	snap := Snapshot{Base: base, Revision: rev}
 	last := map[string]objectapi.Object{}
 	for _, e := range events {
 		last[e.Key] = e
 	}
 	for _, key := range slices.Sorted(maps.Keys(last)) {
 		if e := last[key]; e.Deleted {
-			n.Deleted = append(n.Deleted, key)
+			snap.Deleted = append(snap.Deleted, key)
 		} else {
-			n.Objects = append(n.Objects, e)
+			snap.Objects = append(snap.Objects, e)
 		}
 	}
-	return n
+	return snap
 }
 
-// Since returns a delta to revision have, or a full snapshot if the store can't compute the delta.
+// Since returns the delta from revision have to the revision in force, or a full snapshot if the
+// store can't compute the delta.
 func (s *Store) Since(have objectapi.Revision) Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := Snapshot{Revision: s.Revision(), Floor: s.floor}
-	if have == 0 || have < s.deltaMin || have > n.Revision {
-		n.Objects = s.sorted()
-		return n
+	snap := Snapshot{Revision: s.Revision(), Floor: s.floor}
+	if have == 0 || have < s.deltaMin || have > snap.Revision {
+		snap.Objects = s.sorted()
+		return snap
 	}
-	n.Base = have
+	snap.Base = have
 	for _, o := range s.sorted() {
 		if o.Version > have {
-			n.Objects = append(n.Objects, o)
+			snap.Objects = append(snap.Objects, o)
 		}
 	}
 	for _, d := range s.deleted {
-		if _, back := s.objects[d.Key]; d.Version > have && !back {
-			n.Deleted = append(n.Deleted, d.Key)
+		if _, exists := s.objects[d.Key]; d.Version > have && !exists {
+			snap.Deleted = append(snap.Deleted, d.Key)
 		}
 	}
-	return n
+	return snap
 }
 
 func (s *Store) sorted() []objectapi.Object {
--- a/internal/objectapi/objectapi.go
+++ b/internal/objectapi/objectapi.go
@@ -60,7 +60,8 @@
 	ErrOverwritten = errors.New("object holds another writer's value, write may have taken effect before")
 )
 
-// Store is the object API. Implementations: Client (HTTP) and Memory.
+// Store is the object API. Client implements it over HTTP, Memory in process; CountingStore
+// wraps another Store.
 type Store interface {
 	// Get returns one object or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -16,7 +16,7 @@
 	// key is forwarded: a revoked key stops working within it. Default 0: any age.
 	KeyTTL durations.Duration `json:"key_ttl,omitempty"`
 	// ProofEvery is the longest interval between proofs that the configuration is the
-	// newest. A shorter one costs more calls of the store; a longer one leaves less of
+	// newest. A shorter one costs more calls to the store; a longer one leaves less of
 	// KeyTTL when the store becomes unavailable. Default 0.3 of KeyTTL, or 10s without it.
 	ProofEvery durations.Duration `json:"proof_every,omitempty"`
 	// WeightsWithin is how long older weights may be used after the configuration set
@@ -59,16 +59,16 @@
 	// CanarySlack is how many calls such a version may receive in addition. Default 50.
 	CanarySlack float64 `json:"canary_slack,omitempty" validate:"min=0"`
 	// DirectFleet is the largest number of entry VMs with which each VM reads the
-	// platform's store by itself. In larger fleets one VM of each failure domain reads it
-	// for the others: that takes fewer calls, but when this VM fails, the others may
+	// platform's store by itself. In larger fleets one VM reads it for all that can reach
+	// it: that takes fewer calls, but when that VM fails, the others may
 	// receive a change 1s later. Default 12.
 	DirectFleet int `json:"direct_fleet,omitempty" validate:"min=0"`
 	// Subset is the largest number of replicas of each service that this VM uses; of a
 	// larger service it uses a fixed subset. Default 256.
 	Subset int `json:"subset,omitempty" validate:"min=0"`
 	// TreeFleet is the number of other VMs beyond which updates are aggregated over a
-	// tree of VMs: sent to each VM separately, reported loads would be older than the
-	// requests that they count. Default 100.
+	// tree of VMs: sent to each VM separately, a reported load would arrive after the
+	// requests that it counts have ended. Default 100.
 	TreeFleet int `json:"tree_fleet,omitempty" validate:"min=0"`
 	// TestSuspension is for tests: SIGUSR2 advances the clock that governs expiry by this
 	// time, as a suspension of the VM would. Default 0: the signal is not handled.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -56,7 +56,7 @@
 	CacheFeed bool `json:"cache_feed,omitempty"`
 	// Probe is the interval at which idle targets are probed. Default 1s.
 	Probe durations.Duration `json:"probe,omitempty"`
-	// IdleTimeout ends a stream on which the target has sent nothing for so long.
+	// IdleTimeout ends a stream on which the target has sent nothing for this long.
 	// Default 10s.
 	IdleTimeout durations.Duration `json:"idle_timeout,omitempty"`
 	// DialTimeout bounds connecting to a target. Default 1s.
