--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -59,9 +59,9 @@
 	// CanarySlack is how many calls such a version may receive in addition. Default 50.
 	CanarySlack float64 `json:"canary_slack,omitempty" validate:"min=0"`
 	// DirectFleet is the largest number of entry VMs with which each VM reads the
-	// platform's store by itself. In larger fleets one VM reads it for all that can reach
-	// it: that takes fewer calls, but when that VM fails, the others may
-	// receive a change 1s later. Default 12.
+	// platform's store by itself. In larger fleets one VM reads it for all that can
+	// reach it: that takes fewer calls, but when that VM fails, the others may receive a
+	// change 1s later. Default 12.
 	DirectFleet int `json:"direct_fleet,omitempty" validate:"min=0"`
 	// Subset is the largest number of replicas of each service that this VM uses; of a
 	// larger service it uses a fixed subset. Default 256.
