--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -29,7 +29,7 @@
 	Kind    config.Kind        `json:"kind"`
 	Name    string             `json:"name"`
 	Action  Action             `json:"action"`
-	Version objectapi.Revision `json:"version"` // as read by NewPlan; after Run, as written
+	Version objectapi.Revision `json:"version"` // as read by NewPlan; in the result of Run, as written
 	Before  []byte             `json:"-"`
 	After   []byte             `json:"-"`
 }
--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -195,7 +195,7 @@
 	maxAvoidDoublings = 4
 )
 
-// failed records a failed call.
+// failed records a failed call and sets until when the peer is avoided.
 func (a *avoidance) failed(vm ids.VM, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -206,7 +206,7 @@
 type update struct {
 	to       position
 	at       follow.At
-	whole    bool
+	full     bool
 	more     bool   // the copy continues after the last of objects
 	behind   string // key after which this chunk begins
 	regained bool
@@ -250,7 +250,7 @@
 	if s.keys == nil {
 		s.keys = slices.Sorted(maps.Keys(s.objects))
 	}
-	u.whole, u.behind, u.regained = true, behind, clock.Since(s.regained) < regainedPeriod
+	u.full, u.behind, u.regained = true, behind, clock.Since(s.regained) < regainedPeriod
 	from, found := slices.BinarySearch(s.keys, behind)
 	if found {
 		from++
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -79,7 +79,7 @@
 	return func() {
 		*have = u.to
 		switch {
-		case u.whole:
+		case u.full:
 			to.Listed(u.objects, u.at, u.regained)
 		case len(u.objects) > 0:
 			to.Changed(u.objects, u.at)
@@ -169,11 +169,11 @@
 func TestRegainedExpires(t *testing.T) {
 	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, true)
-	if u, _ := s.since(position{}); !u.whole || !u.regained {
+	if u, _ := s.since(position{}); !u.full || !u.regained {
 		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", u)
 	}
 	s.regained = s.regained.Add(-regainedPeriod)
-	if u, _ := s.since(position{}); !u.whole || u.regained {
+	if u, _ := s.since(position{}); !u.full || u.regained {
 		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", u)
 	}
 }
@@ -186,13 +186,13 @@
 	for i := range objectapi.Revision(maxBatches + 5) {
 		s.Changed([]objectapi.Object{{Key: "a", Version: i + 2}}, follow.At{Revision: i + 2})
 	}
-	if n, ok := s.since(position{copyID: s.copyID, change: 3}); !ok || !n.whole || len(n.objects) != 1 {
+	if n, ok := s.since(position{copyID: s.copyID, change: 3}); !ok || !n.full || len(n.objects) != 1 {
 		t.Fatalf("got %+v, %v", n, ok)
 	}
-	if n, ok := s.since(position{copyID: s.copyID, change: maxBatches}); !ok || n.whole || len(n.objects) != 6 {
-		t.Fatalf("got %d changes, full copy %v, %v", len(n.objects), n.whole, ok)
+	if n, ok := s.since(position{copyID: s.copyID, change: maxBatches}); !ok || n.full || len(n.objects) != 6 {
+		t.Fatalf("got %d changes, full copy %v, %v", len(n.objects), n.full, ok)
 	}
-	if n, ok := s.since(position{copyID: s.copyID + 1, change: maxBatches}); !ok || !n.whole {
+	if n, ok := s.since(position{copyID: s.copyID + 1, change: maxBatches}); !ok || !n.full {
 		t.Fatalf("got %+v, %v for a position in another copy", n, ok)
 	}
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -59,7 +59,7 @@
 
 const (
 	loadChangeTokens = 500              // smaller changes of the queue are not sent
-	loadChangeRatio  = 0.25             // neither are changes by a smaller fraction
+	loadChangeRatio  = 0.25             // nor are changes by a smaller fraction of the queue
 	reportInterval   = 30 * time.Second // an unchanged load is sent again after this time
 )
 
