--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -9,7 +9,7 @@
 	"github.com/threadwall/threadwall/internal/storetest"
 )
 
-// next decides the only waiting store call, after the pauses before it.
+// next resolves the only waiting store call, after the backoff before it.
 func next(t *testing.T, s *storetest.Store, f storetest.Outcome) {
 	t.Helper()
 	time.Sleep(time.Second)
@@ -47,7 +47,7 @@
 	})
 }
 
-// resolveCalls is how often objectapi sends a write whose fate is unknown.
+// resolveCalls is how often objectapi sends a write whose outcome is unknown.
 const resolveCalls = 3
 
 // TestLateUpdateOfAbandonedClaim does the same for a claim on a key whose previous
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -182,7 +182,7 @@
 	return outcome.New(outcome.Unknown, outcome.CodeInProgress, "claim", "", "a call with this idempotency key is running").After(retryInProgress)
 }
 
-// held turns the result of a claiming write into a Held or a correct refusal.
+// held turns the result of a claiming write into a Held, or into a not-run error if it failed.
 func (l *Ledger) held(key string, rec Record, obj objectapi.Object, err error) (*Held, error) {
 	if err == nil {
 		return &Held{Attempt: rec.Attempt, key: key, record: rec, version: obj.Version}, nil
@@ -194,10 +194,10 @@
 		"the call can't be recorded, so it was not run").After(retryStoreDown)
 }
 
-// Settle records how the attempt ended. It reports no failure: the settler retries
+// Settle records how the attempt ended. It returns no error: the settler retries
 // a write that fails now, and until then the claim stays claimed, which is safe.
 func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, a *Response) {
-	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), answer: a}
+	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), response: a}
 	if err := l.settler.settle(ctx, s); err != nil {
 		l.settler.put(s)
 	}
--- a/internal/claims/settler.go
+++ b/internal/claims/settler.go
@@ -19,7 +19,7 @@
 	record    Record
 	version   objectapi.Revision // of the stored claim; unknown if abandoned
 	state     State
-	answer    *Response
+	response  *Response
 	abandoned bool // the claim may or may not have been written
 }
 
@@ -88,7 +88,7 @@
 		return s.abandon(ctx, x)
 	}
 	end := x.record
-	end.State, end.Response = x.state, x.answer
+	end.State, end.Response = x.state, x.response
 	if end.State == StateRan && end.Response == nil {
 		end.Response = &Response{}
 	}
--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -11,14 +11,13 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// conn is one connection to a target, with a time-out for a target that stops
-// responding. Two rules end it:
+// conn is one connection to a target. It is closed if the target stops responding:
 //
-//   - before the first event, a target may be busy with its queue, so the lack of
-//     data alone does not end the connection. It ends when membership has declared
-//     the target dead, or when the target is suspect (it does not answer probes)
-//     and has not answered this request within the idle time-out;
-//   - between events, the idle time-out ends it. Time that the caller takes to read
+//   - Before the first event, a target may be busy with its queue, so the lack of
+//     data alone does not close the connection. It is closed when membership has
+//     declared the target dead, or when the target is suspect (it does not answer
+//     probes) and the idle time-out has passed since the request began.
+//   - Between events, the idle time-out closes it. Time that the caller takes to read
 //     events does not count.
 type conn struct {
 	response *engine.Response
@@ -27,7 +26,7 @@
 	idle     *time.Timer // between events
 }
 
-// stateCheckInterval is how often a connection that awaits its response reads the
+// stateCheckInterval is how often a connection that awaits its first event reads the
 // target's membership state.
 const stateCheckInterval = 500 * time.Millisecond
 
@@ -57,8 +56,8 @@
 	return c, nil
 }
 
-// unresponsive reports whether open should stop waiting for a target that has not
-// answered yet.
+// unresponsive reports whether to stop waiting for the first event of a target, given
+// the time waited so far.
 func (r *run) unresponsive(t ids.Target, waited time.Duration) bool {
 	switch r.d.Fleet.Members.State(t, clock.Now()) {
 	case routing.Dead:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -80,7 +80,7 @@
 	tried          []ids.Target
 	attempts       int
 	started        bool // a part of the response was delivered
-	mayRan         bool // an attempt had an outcome other than not-run
+	mayHaveRun     bool // an attempt had an outcome other than not-run
 	guard          quarantine.Call
 	closedByTarget bool // the target of the current attempt closed the connection
 	text           deliveredText
@@ -137,7 +137,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		e = outcome.Wrap(err, e.Outcome, outcome.CodeDeadline, e.Step, e.Peer, "the request's deadline has passed")
 	}
-	if e.Outcome == outcome.NotRun && r.mayRan {
+	if e.Outcome == outcome.NotRun && r.mayHaveRun {
 		// The last attempt did not run; an earlier one may have.
 		e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 	}
@@ -178,7 +178,7 @@
 	r.closedByTarget = false
 	err = r.send(ctx, call, choice, work)
 	r.reportToGuard(ctx, choice, sent, err)
-	r.mayRan = r.mayRan || err != nil && outcome.Of(err).Outcome != outcome.NotRun
+	r.mayHaveRun = r.mayHaveRun || err != nil && outcome.Of(err).Outcome != outcome.NotRun
 	r.recordResult(ctx, call, err)
 	return err
 }
@@ -238,7 +238,7 @@
 	return outcome.New(outcome.NotRun, outcome.CodeNoTarget, "route", "", "no target can take the request now").After(r.d.Fleet.RetryAfter(req, snap, sc, noTargetRetryAfter))
 }
 
-// recordResult records the end of an attempt in membership and the time line.
+// recordResult records the end of an attempt in membership and the timeline.
 func (r *run) recordResult(ctx context.Context, call *engine.Call, err error) {
 	ev := timeline.Event{Kind: timeline.KindAttemptEnd, Request: r.p.Request, Attempt: call.Attempt, Peer: string(call.Target), Text: "whole"}
 	defer func() { r.d.Events.Record(ev, nil) }()
--- a/internal/dispatch/prompt.go
+++ b/internal/dispatch/prompt.go
@@ -62,8 +62,8 @@
 	return b.String()
 }
 
-// requestHead holds the fields that threadwall reads of a caller's body. Other fields
-// are passed on unchanged.
+// requestHead holds the fields that threadwall reads from a caller's body. Other fields
+// are forwarded unchanged.
 type requestHead struct {
 	Model         string            `json:"model"`
 	Messages      []json.RawMessage `json:"messages"`
--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -13,7 +13,7 @@
 	PromptTokens, CachedTokens, OutputTokens, Events   atomic.Int64
 }
 
-// deliveredText collects the text that the caller has, for templates that let another
+// deliveredText collects the text delivered to the caller, for templates that let another
 // target continue it.
 type deliveredText struct{ b strings.Builder }
 
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -23,7 +23,7 @@
 	conn     *conn
 	verifier *relay.Verifier
 	work     *loadview.Work
-	begun    bool // an event of this attempt was passed on
+	begun    bool // an event of this attempt was forwarded
 }
 
 // send sends the call and relays the response, with up to maxResumes resumes.
@@ -72,7 +72,7 @@
 	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller has disconnected or stopped reading")
 }
 
-// relay passes events on until the stream is complete or broken. Before it waits for the
+// relay forwards events until the stream is complete or broken. Before it waits for the
 // next event, it flushes the earlier ones and starts the idle timer.
 func (s *stream) relay() error {
 	defer s.conn.close()
@@ -110,7 +110,7 @@
 	}
 }
 
-// forward passes a verified event to the caller. It replaces the attempt's id by the
+// forward sends a verified event to the caller. It replaces the attempt's id with the
 // request's, so that the ids stay the same over all attempts.
 func (s *stream) forward(ev relay.Event, v relay.Verdict) error {
 	r := s.r
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -127,8 +127,8 @@
 	ctl     *http.ResponseController
 	request ids.Request
 	started bool
-	number  uint64
-	buf     []byte
+	number  uint64 // of the last event
+	buf     []byte // events not yet flushed
 
 	deadlineSet time.Time // when the write deadline was last extended
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -72,8 +72,8 @@
 }
 
 const (
-	// minSenders is the number of VMs of a whole fleet that send to a target with a low limit:
-	// it takes seconds to detect that one is gone.
+	// minSenders is the number of VMs of a whole fleet that send to a target with a low limit.
+	// It is more than one, since it takes seconds to detect that a sender is gone.
 	minSenders = 2
 	// sendersPerRate is the number of additional senders for each request/s. The full buckets of
 	// all senders stay within what targets tolerate beyond the rate.
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -22,7 +22,8 @@
 	maxTransit = 100 * time.Millisecond
 	// staleAfter is the time without any report or response after which a limit may have ended.
 	staleAfter = 10 * time.Second
-	// staleRequests is the same as a number of requests that all VMs may send in that time.
+	// staleRequests extends staleAfter, for low limits, to the time in which all VMs together
+	// may send this many requests.
 	staleRequests = 5
 	// forgetAfter is the time without any report or response after which a limit is dropped.
 	forgetAfter = 10 * time.Minute
@@ -175,14 +176,14 @@
 // updatePosition reads this VM's position again. A VM that becomes a sender starts without
 // credit, since the sender that it replaces may have used its own. The caller holds the lock.
 func (l *Limiter) updatePosition(id ids.Target, e *targetLimit, now time.Time) {
-	s := Position{Live: 1, Listed: 1}
+	p := Position{Live: 1, Listed: 1}
 	if l.Position != nil {
-		s = l.Position(id)
+		p = l.Position(id)
 	}
-	e.position, e.positionAt = s, now
-	share := s.share(e.limit.rate())
+	e.position, e.positionAt = p, now
+	share := p.share(e.limit.rate())
 	if now.Sub(e.confirmedAt) > staleTime(e.limit) {
-		share = max(share, s.equalShare(e.limit.rate()))
+		share = max(share, p.equalShare(e.limit.rate()))
 	}
 	if e.share == 0 || share == 0 {
 		e.credit = min(e.credit, 0)
--- a/internal/retry/after.go
+++ b/internal/retry/after.go
@@ -13,8 +13,8 @@
 const MaxAfter = time.Hour
 
 // After returns the delay that the Retry-After header of a response asks for (RFC 9110,
-// 10.2.3). The value is a number of seconds, which may have a fraction, or a date. Zero: the
-// header is missing or malformed.
+// 10.2.3). The value is a number of seconds, which may have a fraction, or a date. It returns
+// zero if the header is missing or malformed, or asks for no delay.
 func After(h http.Header) time.Duration {
 	text := strings.TrimSpace(h.Get("Retry-After"))
 	if text == "" {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -29,7 +29,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// HeaderIdempotencyKey carries the caller's idempotency key. It is passed on to targets.
+// HeaderIdempotencyKey carries the caller's idempotency key. It is forwarded to targets.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
 const (
@@ -68,7 +68,7 @@
 
 // Init creates the HTTP client. Every call gets a new connection: the target may close a
 // pooled one while a call is written to it, and net/http then resends a request that
-// carries an Idempotency-Key without asking.
+// carries an Idempotency-Key by itself.
 func (r *Runner) Init(dialTimeout time.Duration) {
 	r.http = &http.Client{
 		Transport: &http.Transport{
@@ -100,7 +100,7 @@
 // repeatable tries up to maxAttempts targets until one responds.
 func (r *Runner) repeatable(ctx context.Context, c *Call) (*claims.Response, error) {
 	var tried []ids.Target
-	mayRan := false
+	mayHaveRun := false
 	for {
 		a, target, err := r.try(ctx, c, ids.NewAttempt(), tried)
 		tried = append(tried, target)
@@ -108,7 +108,7 @@
 			return a, nil
 		}
 		e := outcome.Of(err)
-		if mayRan = mayRan || e.Outcome != outcome.NotRun; mayRan && e.Outcome == outcome.NotRun {
+		if mayHaveRun = mayHaveRun || e.Outcome != outcome.NotRun; mayHaveRun && e.Outcome == outcome.NotRun {
 			// The last attempt did not run; an earlier one may have.
 			e = outcome.Wrap(err, outcome.Unknown, e.Code, e.Step, e.Peer, e.Message).After(e.RetryAfter)
 		}
@@ -178,7 +178,7 @@
 			recorded.Kept, recorded.Body = true, a.Body
 		}
 	}
-	// The claim must be settled even if the caller has disconnected.
+	// The claim must be settled even if the call's deadline has passed.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	r.Ledger.Settle(ctx, held, o, recorded)
@@ -189,8 +189,8 @@
 	r.Events.Record(timeline.Event{Kind: timeline.KindClaim, Request: c.Request, Attempt: a, Text: step + ": " + text}, nil)
 }
 
-// try sends the call to one target. The returned target is empty if the call was not
-// sent.
+// try sends the call to one target. The returned target is empty if none was available
+// or the call is quarantined.
 func (r *Runner) try(ctx context.Context, c *Call, attempt ids.Attempt, tried []ids.Target) (*claims.Response, ids.Target, error) {
 	target, err := r.pick(c, tried)
 	if err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -150,12 +150,12 @@
 			return nil, refusal
 		}
 	}
-	a, err := cn.exchange(ctx, to, r, &c.Strays)
+	resp, err := cn.exchange(ctx, to, r, &c.Strays)
 	if err != nil {
 		cn.close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
 // connect reuses an idle connection or dials a new one.
@@ -336,7 +336,7 @@
 	conn   *conn
 	resp   *http.Response
 	write  *requestWrite
-	stop   func() bool
+	stop   func() bool // keeps the end of the context from closing conn
 	ended  bool
 	closed bool // Response.Close was called
 }
--- a/internal/verdict/late.go
+++ b/internal/verdict/late.go
@@ -28,8 +28,8 @@
 	Objective time.Duration // for the time to the first event; zero: none, the call is never refused
 	Urgent    bool          // the call has the most urgent priority
 	// Usual is the typical number of tokens that an engine computes for a call of this route.
-	// It replaces the call's own size: when calls were judged by their own size, 0.35 of the
-	// longest tenth of calls were served, against 0.84 of all calls.
+	// It replaces the call's own size: when the prediction used that, 0.35 of the longest
+	// tenth of calls were served, against 0.84 of all calls.
 	Usual float64
 	// Jitter is a random number in [0, 1).
 	Jitter float64
--- a/internal/verdict/moves.go
+++ b/internal/verdict/moves.go
@@ -71,17 +71,17 @@
 	return plan
 }
 
-// A prefix is saved with the prompt that computes it; if every prompt whose prefix the store
-// lacks requested a save, all VMs would request the same one. This rule, together with fetches
-// from the store where it holds more, gained +0.013 in value and +0.005 as a fraction of all
-// value due, against neither (13 days with faults of two sites, standard errors 0.006 and 0.002),
-// and cut the cost of recomputed tokens by 22%.
-//
 // savable reports whether a prompt should be saved, given the tokens of its unshared suffix and
-// the tokens that the store lacks. A target saves the suffix, too, which takes link capacity and
-// store memory and is never fetched. Prefixes that several prompts share recur with a shorter
-// suffix. When every prompt was saved, half of the store held suffixes, shared prefixes were
-// evicted after 8 s (median), and half of the saves found the link busy: value 0.514 against
-// 0.526 (15 days with faults, standard error of the difference 0.009), with the same
-// fraction served in time.
+// the tokens that the store lacks. A prefix is saved with the prompt that computes it; if every
+// prompt whose prefix the store lacks requested a save, all VMs would request the same one.
+//
+// A target saves the suffix, too, which takes link capacity and store memory and is never fetched.
+// Prefixes that several prompts share recur with a shorter suffix. When every prompt was saved,
+// half of the store held suffixes, shared prefixes were evicted after 8 s (median), and half of
+// the saves found the link busy: value 0.514 against 0.526 (15 days with faults, standard error
+// of the difference 0.009), with the same fraction served in time.
+//
+// This rule, together with fetches from the store where it holds more, gained +0.013 in value and
+// +0.005 as a fraction of all value due, against neither (13 days with faults of two sites,
+// standard errors 0.006 and 0.002), and cut the cost of recomputed tokens by 22%.
 func savable(unshared, missing int32) bool { return missing >= MinTransfer && unshared <= missing }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -3,7 +3,7 @@
 // Package routing chooses the target, in the same style.
 //
 // All functions are pure: no I/O, no clock, no lock, no state. Both request paths use them
-// (packages dispatch, through admission, and forward), and so does the model in package
+// (packages dispatch, through admission, and forward), and so does the simulation in package
 // yardstick, so that the policy measured there is the policy that runs.
 //
 // Each file describes the workload that its policy handles and the reasons for its limits.
