--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -10,7 +10,7 @@
 )
 
 // next resolves the only waiting store call, after the backoff before it.
-func next(t *testing.T, s *storetest.Store, f storetest.Outcome) {
+func next(t *testing.T, s *storetest.Store, o storetest.Outcome) {
 	t.Helper()
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -18,7 +18,7 @@
 	if len(w) != 1 {
 		t.Fatalf("%d store calls wait, want 1", len(w))
 	}
-	s.Resolve(w[0], f)
+	s.Resolve(w[0], o)
 	synctest.Wait()
 }
 
--- a/internal/claims/fuzz_test.go
+++ b/internal/claims/fuzz_test.go
@@ -32,13 +32,13 @@
 }
 
 // model runs tries against the real ledger, with a store for which the test chooses
-// the order and fate of every call.
+// the order and outcome of every call.
 type model struct {
 	mu       sync.Mutex // guards runs and the fields of tries
 	store    *storetest.Store
 	runs     map[string]int
 	tries    []*try
-	weather  storetest.FaultProfile
+	faults   storetest.FaultProfile
 	crashes  bool
 	maxTries int
 }
@@ -99,13 +99,13 @@
 }
 
 // TestAtMostOnce generates tries of few keys through several VMs, and the order and
-// fate of every store call, with VMs that crash between any two calls and late writes
+// outcome of every store call, with VMs that crash between any two calls and late writes
 // that take effect at any time.
 func TestAtMostOnce(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
 		defer m.store.Drain()
-		m.weather = storetest.DrawFaultProfile(rt)
+		m.faults = storetest.DrawFaultProfile(rt)
 		m.maxTries = rapid.SampledFrom([]int{1, 2, 3, 20}).Draw(rt, "tries")
 		m.crashes = rapid.Bool().Draw(rt, "crashes")
 		steps := rapid.IntRange(10, 120).Draw(rt, "steps")
@@ -138,11 +138,11 @@
 			m.store.ApplyDelayed(rapid.IntRange(0, n-1).Draw(rt, "lands"))
 		}
 	case 6, 7:
-		time.Sleep(time.Second) // read-backs pause before they go on
+		time.Sleep(time.Second) // lets the backoff between repeated writes pass
 	default:
 		if len(waiting) > 0 {
 			c := waiting[rapid.IntRange(0, len(waiting)-1).Draw(rt, "call")]
-			m.store.Resolve(c, m.weather.Draw(rt))
+			m.store.Resolve(c, m.faults.Draw(rt))
 		}
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -56,7 +56,8 @@
 	Engine *engine.Client
 	Events *timeline.Log
 	Budget *retry.Budget
-	Gate   Gate
+	// Gate admits requests. If nil, every request is admitted.
+	Gate Gate
 	// Guard quarantines prompts that crash targets. If nil, no prompt is quarantined.
 	Guard       *quarantine.Guard
 	VM          ids.VM
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -13,10 +13,10 @@
 	at time.Time
 }
 
-func newTestLimiter(usual float64) *testLimiter {
+func newTestLimiter(recentRate float64) *testLimiter {
 	o := &testLimiter{at: time.Unix(1_000_000, 0)}
 	o.Limiter = New(func() time.Time { return o.at })
-	o.RecentRate = func(ids.Target) float64 { return usual }
+	o.RecentRate = func(ids.Target) float64 { return recentRate }
 	return o
 }
 
--- a/internal/ratelimit/play_test.go
+++ b/internal/ratelimit/play_test.go
@@ -33,17 +33,17 @@
 const unresponsiveAfter = 3 * time.Second
 
 func (f *fleetView) position() Position {
-	s := Position{Listed: f.listed, Live: 1}
+	p := Position{Listed: f.listed, Live: 1}
 	for vm, at := range f.lastSeen {
 		if vm == f.self || at.IsZero() || f.now().Sub(at) >= unresponsiveAfter {
 			continue
 		}
-		s.Live++
+		p.Live++
 		if (vm*37)%101 < (f.self*37)%101 {
-			s.Rank++
+			p.Rank++
 		}
 	}
-	return s
+	return p
 }
 
 // scenario is a load on one target together with its limit and with faults of the VMs.
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -171,9 +171,9 @@
 
 // partitionInto partitions the fleet into parts.
 func partitionInto(parts int, from, till time.Duration) func(int, time.Duration) int {
-	cut := between(from, till)
+	partitioned := between(from, till)
 	return func(vm int, t time.Duration) int {
-		if cut(t) {
+		if partitioned(t) {
 			return vm % parts
 		}
 		return 0
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -336,7 +336,7 @@
 	conn   *conn
 	resp   *http.Response
 	write  *requestWrite
-	stop   func() bool // keeps the end of the context from closing conn
+	stop   func() bool // stops the AfterFunc that closes conn when the context ends
 	ended  bool
 	closed bool // Response.Close was called
 }
--- a/internal/verdict/moves.go
+++ b/internal/verdict/moves.go
@@ -41,11 +41,12 @@
 }
 
 // PlanTransfer plans the transfers of a call. A prefix that another target holds is fetched from
-// there, unless the store holds more of it: where engines held only the common terms, the rest
-// of a contract was computed again. If no source is estimated to hold more, the plan names the
-// rendezvous target, to which other VMs send the prompt, or else the store: a lookup that finds
-// nothing takes 1 ms, and a target fetches only what it lacks. The store is named even if the
-// target is estimated to hold the whole prefix, since the estimate may be wrong.
+// there, unless the store holds more of it: with prompts about contracts, engines held only
+// the terms that all contracts share, and the rest was computed again. If no source is estimated
+// to hold more, the plan names the rendezvous target, to which other VMs send the prompt, or else
+// the store: a lookup that finds nothing takes 1 ms, and a target fetches only what it lacks. The
+// store is named even if the target is estimated to hold the whole prefix, since the estimate may
+// be wrong.
 func PlanTransfer(p Prompt, at Locations) TransferPlan {
 	plan := TransferPlan{Work: max(p.Tokens-at.Held, 0)}
 	if at.Holder.Tokens-at.Held >= MinTransfer {
