--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -9,8 +9,8 @@
 	"github.com/threadwall/threadwall/internal/storetest"
 )
 
-// next decides the only waiting store call, after the pauses before it.
-func next(t *testing.T, s *storetest.Store, f storetest.Outcome) {
+// next resolves the only waiting store call, after the backoff before it.
+func next(t *testing.T, s *storetest.Store, o storetest.Outcome) {
 	t.Helper()
 	time.Sleep(time.Second)
 	synctest.Wait()
@@ -18,7 +18,7 @@
 	if len(w) != 1 {
 		t.Fatalf("%d store calls wait, want 1", len(w))
 	}
-	s.Resolve(w[0], f)
+	s.Resolve(w[0], o)
 	synctest.Wait()
 }
 
@@ -47,7 +47,7 @@
 	})
 }
 
-// resolveCalls is how often objectapi sends a write whose fate is unknown.
+// resolveCalls is how often objectapi sends a write whose outcome is unknown.
 const resolveCalls = 3
 
 // TestLateUpdateOfAbandonedClaim does the same for a claim on a key whose previous
