--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -111,7 +111,7 @@
 // takes the retry out of the retry budget.
 func (r *run) mayRetry(ctx context.Context, err error) bool {
 	e := outcome.Of(err)
-	var caller *engine.CallerError
+	var caller *engine.StatusError
 	switch {
 	case ctx.Err() != nil, r.attempts >= maxAttempts:
 		return false
@@ -187,7 +187,7 @@
 // reportToGuard reports the end of an attempt to the quarantine: the target answered and is live,
 // or it closed the connection and may have crashed on the request.
 func (r *run) reportToGuard(ctx context.Context, c choice, sent time.Time, err error) {
-	var caller *engine.CallerError
+	var caller *engine.StatusError
 	switch {
 	case err == nil:
 		r.guard.Answered(http.StatusOK)
@@ -250,7 +250,7 @@
 	e := outcome.Of(err)
 	ev.Text = e.Outcome.String() + " at " + e.Step + ": " + e.Message
 	var refusal *engine.Refusal
-	var caller *engine.CallerError
+	var caller *engine.StatusError
 	switch {
 	case errors.As(err, &refusal):
 		r.d.Fleet.ApplySignals(call.Target, refusal.Incarnation, refusal.Signals(), clock.Now())
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -185,11 +185,11 @@
 	return s.relay()
 }
 
-// resumeError returns the error of a failed resume. A CallerError here means that the
+// resumeError returns the error of a failed resume. A StatusError here means that the
 // target no longer holds the response, not that the caller's request is invalid, so
 // another target may still continue it.
 func resumeError(err error, call *engine.Call) error {
-	var refused *engine.CallerError
+	var refused *engine.StatusError
 	if errors.As(err, &refused) {
 		return outcome.New(outcome.Unknown, outcome.CodeUpstream, "resume", string(call.Target), "the target no longer holds the response")
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -101,15 +101,15 @@
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("refused with status %d", r.Status) }
 
-// CallerError is the error for a response that is neither a success nor a refusal. With
+// StatusError is the error for a response that is neither a success nor a refusal. With
 // a 4xx status the caller's request is invalid, and another target would reject it too.
-type CallerError struct {
+type StatusError struct {
 	Status int
 	Body   []byte
 }
 
 // Error implements error.
-func (e *CallerError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
 // Start sends a call and returns the response once its headers have arrived. Errors are
 // of type *outcome.Error.
@@ -181,7 +181,7 @@
 		return outcome.Wrap(cause, outcome.NotRun, outcome.CodeUpstream, "answer", peer, errorRefused)
 	}
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
-	cause := &CallerError{Status: resp.StatusCode, Body: body}
+	cause := &StatusError{Status: resp.StatusCode, Body: body}
 	if resp.StatusCode >= 400 && resp.StatusCode < 500 {
 		return outcome.Wrap(cause, outcome.Ran, outcome.CodeBadRequest, "answer", peer, "the target rejected the request as invalid")
 	}
--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -99,7 +99,7 @@
 
 // callerDetail returns what a target reported about an invalid request.
 func callerDetail(e *outcome.Error) string {
-	var ce *engine.CallerError
+	var ce *engine.StatusError
 	if e.Outcome != outcome.Ran || !errors.As(e, &ce) {
 		return ""
 	}
