--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -28,9 +28,10 @@
 	"github.com/threadwall/threadwall/internal/retry"
 )
 
-// Headers, paths and limits of the protocol between threadwall and targets.
+// Headers, paths and limits of the protocol between threadwall and targets, and texts of errors
+// that callers see.
 const (
-	HeaderRequestID   = "X-Request-Id"      // the attempt; the response id is derived from it
+	HeaderRequestID   = "X-Request-Id"      // id of the attempt; the response id is derived from it
 	HeaderAttempt     = "X-Attempt"         // echoed by the target
 	HeaderIncarnation = "X-Incarnation"     // of the target
 	HeaderWeights     = "X-Weights-Version" // of the target
@@ -41,7 +42,7 @@
 	PathResume        = "/v1/resume"        // POST {attempt, after}
 	PathLoad          = "/load"             // GET
 	PathEvents        = "/cache/events"     // GET ?after=&wait=
-	headerNotRun      = "not-run"           // value of HeaderOutcome
+	outcomeNotRun     = "not-run"           // value of HeaderOutcome
 	maxFullResponse   = 8 << 20             // bytes of a response that is not streamed
 	maxErrorBody      = 4 << 10             // bytes kept of an error response
 	contentTypeJSON   = "application/json"  // of requests
@@ -176,7 +177,7 @@
 
 func statusError(resp *http.Response, r *Response, call *Call) error {
 	peer := string(call.Target)
-	if resp.Header.Get(HeaderOutcome) == headerNotRun {
+	if resp.Header.Get(HeaderOutcome) == outcomeNotRun {
 		cause := ReadRefusal(resp)
 		return outcome.Wrap(cause, outcome.NotRun, outcome.CodeUpstream, "answer", peer, errorRefused)
 	}
@@ -215,10 +216,10 @@
 		err = eris.New("the response is larger than 8 MiB")
 	}
 	if err == nil && !json.Valid(body) {
-		err = eris.New("the response is truncated or not JSON")
+		err = eris.Errorf("the response is truncated or not JSON: got %d bytes", len(body))
 	}
 	if err == nil && !bytes.Contains(body, []byte(call.Attempt)) {
-		err = eris.New("the response does not contain the id of the attempt")
+		err = eris.Errorf("the response does not contain the attempt's id %s", call.Attempt)
 	}
 	if err == nil && !bytes.Contains(body, []byte(`"finish_reason"`)) {
 		err = eris.New("the response has no finish reason")
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -42,14 +42,16 @@
 	maxEventsBody = 4 << 20
 )
 
-// Probe reads a target's load.
+// Probe reads a target's load. It fails unless the target responds with status 200 within
+// timeout. Unlike those of Start and Resume, its errors have no outcome.
 func (c *Client) Probe(ctx context.Context, addr string, timeout time.Duration) (Load, error) {
 	var l Load
 	err := c.get(ctx, "http://"+addr+PathLoad, timeout, maxLoadBody, &l)
 	return l, err
 }
 
-// Events reads the engine's cache events that follow event number after.
+// Events reads the engine's cache events that follow event number after. It fails as Probe
+// does.
 func (c *Client) Events(ctx context.Context, addr string, after uint64, timeout time.Duration) (EventBatch, error) {
 	var b EventBatch
 	err := c.get(ctx, fmt.Sprintf("http://%s%s?after=%d", addr, PathEvents, after), timeout, maxEventsBody, &b)
@@ -61,19 +63,19 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return eris.Wrap(err, "build probe")
+		return eris.Wrap(err, "build request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return eris.Wrapf(err, "probe %s", url)
+		return eris.Wrapf(err, "get %s", url)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("probe %s: status %d", url, resp.StatusCode)
+		return eris.Errorf("get %s: status %d, want 200", url, resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit))
 	if err != nil {
-		return eris.Wrapf(err, "probe %s", url)
+		return eris.Wrapf(err, "read response of %s", url)
 	}
-	return eris.Wrapf(json.Unmarshal(body, into), "probe %s", url)
+	return eris.Wrapf(json.Unmarshal(body, into), "decode response of %s", url)
 }
