--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -95,7 +95,8 @@
 	}),
 )
 
-// New builds a daemon. It starts no goroutine and opens no listener; Start does.
+// New builds a daemon. It opens no listener and starts no background task; Start does. The only
+// goroutine that it starts is the writer of the event log, which Stop ends.
 func New(s settings.Settings, o Options) (*Daemon, error) {
 	level, err := zerolog.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -193,8 +194,8 @@
 	d.runTask("callers", func() error { return d.callerSrv.Serve(listeners[0]) })
 	d.runTask("peers", func() error { return d.peerSrv.Serve(d.Node.CountTraffic(listeners[1])) })
 	d.runTask("admin", func() error { return d.adminSrv.Serve(listeners[2]) })
-	for name, duty := range d.backgroundTasks() {
-		d.runTask(name, func() error { duty(ctx); return nil })
+	for name, task := range d.backgroundTasks() {
+		d.runTask(name, func() error { task(ctx); return nil })
 	}
 	d.Events.Record(timeline.Event{Kind: timeline.KindLifecycle, Text: "started"}, nil)
 	d.Log.Info().Str("step", "start").Str("listen", d.Settings.Listen).Str("failure_domain", string(d.Settings.FailureDomain)).Msg("threadwalld started")
@@ -232,8 +233,9 @@
 }
 
 // Stop shuts down gracefully. It reports "not ready" and notifies peers, gives the load
-// balancer time to notice, refuses new requests, waits for those in flight up to the drain
-// timeout, and then ends the background tasks. It always returns nil.
+// balancer time to notice, closes the listener for callers, waits for requests in flight up to
+// the drain timeout and for pending claims up to settleTimeout, and then ends the background
+// tasks. It always returns nil.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.ready.set(false, "shutting down")
 	d.Node.Leaving.Store(true)
--- a/internal/daemon/duties.go
+++ b/internal/daemon/duties.go
@@ -158,14 +158,14 @@
 	if len(events) == 0 {
 		return max(rev, after), nil
 	}
-	store := d.Node.Config
+	local := d.Node.Config
 	if space == peerpb.KeySpace_PLATFORM {
-		store = d.Node.Platform
+		local = d.Node.Platform
 	}
-	// Peers may already have sent changes that this watch returns later; those are skipped.
-	base := store.Revision()
+	// Skips changes that this VM has already adopted from peers.
+	base := local.Revision()
 	events = slices.DeleteFunc(events, func(o objectapi.Object) bool { return o.Version <= base })
-	d.Node.Adopt(space, store.Delta(base, events, rev), "store")
+	d.Node.Adopt(space, local.Delta(base, events, rev), "store")
 	return rev, nil
 }
 
@@ -185,8 +185,8 @@
 }
 
 // gossip sends this VM's updates to the peers of its domain: at each heartbeat, and between
-// heartbeats if there are any, immediately if they are urgent. Jitter desynchronizes VMs that
-// started together.
+// heartbeats at the update interval if any are pending. An urgent update ends the wait for the
+// interval. Jitter desynchronizes VMs that started together.
 func (d *Daemon) gossip(ctx context.Context) {
 	var last time.Time
 	heartbeat := d.Settings.Heartbeat.D()
@@ -210,7 +210,7 @@
 	}
 }
 
-// exchangeCrossDomain exchanges summaries with other failure domains at each heartbeat.
+// exchangeCrossDomain exchanges summaries with other failure domains once per heartbeat interval.
 func (d *Daemon) exchangeCrossDomain(ctx context.Context) {
 	for timing.Sleep(ctx, d.Settings.Heartbeat.D()) {
 		d.Node.ExchangeCrossDomain(ctx)
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -29,7 +29,7 @@
 type probeResult struct {
 	sent     membership.Report // last report sent to peers
 	sentAt   time.Time
-	failures int
+	failures int // consecutive failed probes
 }
 
 // probeState holds the probe results of all targets.
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -49,7 +49,8 @@
 	outputDropped atomic.Uint64 // lines dropped because the buffer was full
 }
 
-// New returns a log that writes to w; fields are added to every line.
+// New returns a log that writes to w from a goroutine of its own, which Close ends. It adds
+// fields to every line.
 func New(w io.Writer, fields map[string]string) *Log {
 	l := &Log{
 		request: rate.NewLimiter(requestLinesPerSecond, requestBurst),
@@ -92,9 +93,9 @@
 
 // ReportDropped logs the number of lines dropped since the last call, if there are any.
 func (l *Log) ReportDropped() {
-	over, missed := l.overBudget.Swap(0), l.outputDropped.Swap(0)
-	if over > 0 || missed > 0 {
-		l.z.Warn().Str("event", "log").Uint64("over_budget", over).Uint64("output_stalled", missed).Msg("log lines were dropped")
+	overBudget, outputDropped := l.overBudget.Swap(0), l.outputDropped.Swap(0)
+	if overBudget > 0 || outputDropped > 0 {
+		l.z.Warn().Str("event", "log").Uint64("over_budget", overBudget).Uint64("output_stalled", outputDropped).Msg("log lines were dropped")
 	}
 }
 
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -32,7 +32,7 @@
 		l.z.Info().Str("event", "x").Send() // bypasses the rate limits
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Fatalf("writing took %v", took)
+		t.Fatalf("writing to a stalled output took %v, want at most 1 s", took)
 	}
 	close(out.release)
 	time.Sleep(100 * time.Millisecond)
@@ -61,7 +61,7 @@
 	}
 	for _, want := range []string{`"event":"ready"`, `"over_budget":`} {
 		if !strings.Contains(out.String(), want) {
-			t.Fatalf("%s is missing", want)
+			t.Fatalf("the log does not contain %s", want)
 		}
 	}
 }
