--- a/cmd/threadwall-lab/main.go
+++ b/cmd/threadwall-lab/main.go
@@ -78,7 +78,7 @@
 	}
 	for _, r := range rows {
 		if r.Lost > 0 || r.Duplicates > 0 {
-			return eris.Errorf("policy %s: %d lost, %d doubled", r.Policy, r.Lost, r.Duplicates)
+			return eris.Errorf("policy %s: %d requests lost or misreported, %d executed more than once; want none", r.Policy, r.Lost, r.Duplicates)
 		}
 	}
 	return nil
@@ -201,13 +201,13 @@
 				return err
 			}
 			out.Result.Booked, out.Result.NotRun = out.Booked, out.NotRun
-			doubled, untrue := lab.CheckRuns(runs, out.Result)
-			fmt.Printf("requests %d, whole %d, refused %d, unknown %d, caller retries %d; bookings run %d, doubled %d, untrue answers %d, lost or wrong %d\n",
-				out.Requests, out.Completed, out.Refused, out.Unknown, out.Retries, len(runs), doubled, untrue, out.Lost)
+			duplicates, misreported := lab.CheckRuns(runs, out.Result)
+			fmt.Printf("requests %d, completed %d, refused %d, unknown %d, caller retries %d; bookings executed %d, more than once %d, misreported %d, lost or wrong %d\n",
+				out.Requests, out.Completed, out.Refused, out.Unknown, out.Retries, len(runs), duplicates, misreported, out.Lost)
 			for _, w := range out.Wrong {
 				fmt.Println(" ", w)
 			}
-			if doubled+untrue+out.Lost > 0 {
+			if duplicates+misreported+out.Lost > 0 {
 				return eris.New("verification failed: calls were lost, executed twice or reported wrongly")
 			}
 			return nil
--- a/cmd/threadwall-lab/measure.go
+++ b/cmd/threadwall-lab/measure.go
@@ -77,6 +77,7 @@
 		Usage: "measure the coefficients that docs/CAPACITY.md uses, and print them as JSON",
 		Action: func(context.Context, *cli.Command) error {
 			var out capacityOutput
+			// Numbers of replicas and of cache view entries.
 			for _, size := range [][2]int{{9, 10_000}, {153, 10_000}, {153, 100_000}, {600, 100_000}} {
 				out.Decide = append(out.Decide, capacity.Decide(size[0], size[1]))
 			}
--- a/internal/cli/commands/call.go
+++ b/internal/cli/commands/call.go
@@ -81,6 +81,8 @@
 	return nil
 }
 
+// printStream prints the text of a streamed response. It fails if the stream reports an error or
+// ends without "[DONE]".
 func printStream(w io.Writer, r io.Reader) error {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, 1<<20)
@@ -121,7 +123,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "build request")
 	}
-	req.GetBody = nil
+	req.GetBody = nil // keeps the HTTP transport from retrying the call by itself
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+c.String("key"))
 	if idempotencyKey != "" {
--- a/internal/cli/common/common.go
+++ b/internal/cli/common/common.go
@@ -30,7 +30,7 @@
 // callTimeout limits one call to the object API or to a VM.
 const callTimeout = 5 * time.Second
 
-// callsPerSecond limits both reads and writes of the object API.
+// callsPerSecond limits reads from the object API and, separately, writes to it.
 const callsPerSecond = 100
 
 // Flags returns the global flags of the command line.
--- a/internal/cli/queries/logs.go
+++ b/internal/cli/queries/logs.go
@@ -61,18 +61,20 @@
 	if l.Target == "" {
 		l.Target = text("dependency")
 	}
-	l.Time, _ = time.Parse(time.RFC3339, text("time")) // zero if the line has none
+	l.Time, _ = time.Parse(time.RFC3339, text("time")) // zero if missing or malformed
 	return l
 }
 
-// repeatEvents are the events of lines about crashes under a request's repeats, and about the
-// resulting quarantine. Explanations include them from all VMs and without a limit on their age,
-// because a VM refuses a request for crashes that its repeats caused at other VMs.
+// repeatEvents are the events of lines about crashes of targets that ran a request or a repeat of
+// it, and about the resulting quarantine. Explanations include them from all VMs and without a
+// limit on their age, because a VM refuses a request for crashes that its repeats caused at other
+// VMs.
 var repeatEvents = []string{"crashed-under", "quarantined", "quarantine-trial", "quarantine-lifted"}
 
-// explainLogs returns the lines about a request, its VM's lines about the state of the store and
-// of the request's targets from stateWindow before to the request's end, and the lines about its
-// repeats. The result is in the order of time.
+// explainLogs returns the lines about a request and its repeats. From stateWindow before the
+// request's first line to its last, it adds those lines about the state of the request's VM that
+// concern the store, one of the request's targets, or no particular target. The result is sorted
+// by time.
 func explainLogs(lines []logLine, request string) []logLine {
 	var own []logLine
 	targets, fingerprints := map[string]bool{}, map[string]bool{}
