--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup captures SIGHUP from the initialization of the process on. Until a handler is
-// installed the signal terminates the process, and a platform may signal new settings to a
-// process that it has just started.
+// Package hangup captures SIGHUP from the initialization of the process on. A platform sends the
+// signal when settings have changed, even to a process that it has just started, and the signal
+// terminates a process that has no handler yet.
 package hangup
 
 import (
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -18,6 +18,6 @@
 	select {
 	case <-Signals():
 	case <-time.After(5 * time.Second):
-		t.Fatal("the signal was lost")
+		t.Fatal("no signal received within 5 s, want the SIGHUP sent before")
 	}
 }
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -31,7 +31,7 @@
 // state that was recorded about an earlier incarnation is no longer valid.
 type Incarnation uint64
 
-// Request identifies one caller's request in responses, logs and the time line.
+// Request identifies one caller's request in responses, logs and the timeline.
 type Request string
 
 // Attempt identifies one attempt to run a request on a target. An id that a target may
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -33,12 +33,12 @@
 // The states.
 const (
 	StateLive    State = "live"
-	StateLeaving State = "leaving" // gets no new work
+	StateLeaving State = "leaving" // gets no new requests
 )
 
 // Record is one VM in the platform's list.
 type Record struct {
-	Key           string             `json:"-"` // key of the object; not always set
+	Key           string             `json:"-"` // key of the object; empty in records that Decode returns
 	ID            string             `json:"id"`
 	Role          Role               `json:"role"`
 	FailureDomain ids.FailureDomain  `json:"failure_domain"`
--- a/internal/sockets/bounded.go
+++ b/internal/sockets/bounded.go
@@ -3,8 +3,8 @@
 import "net"
 
 // LimitWriteBuffer returns a listener whose TCP connections have a kernel send buffer of about the
-// given size, which bounds the data that the peer has not read. The kernel treats the size as a
-// hint.
+// given size, which bounds the memory that the kernel uses for a peer that reads slowly. The
+// kernel treats the size as a hint.
 func LimitWriteBuffer(l net.Listener, bytes int) net.Listener {
 	return &limitedListener{Listener: l, bytes: bytes}
 }
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,9 +1,10 @@
-// Package sockets creates TCP connections that detect a dead peer.
+// Package sockets creates TCP connections that detect a dead peer, and limits the kernel's send
+// buffer of accepted connections.
 //
 // A connection can die without a reset: the peer lost power, or a middlebox dropped the state of
-// the connection. Reads and writes on it then never fail unless the kernel probes the peer. All
-// connections that this process dials therefore use keepalive probes, and fail when sent data
-// is not acknowledged in time.
+// the connection. Reads and writes on it then hang unless the kernel probes the peer. Connections
+// made with Dialer therefore use keepalive probes, and fail when sent data is not acknowledged in
+// time.
 package sockets
 
 import (
@@ -18,9 +19,9 @@
 // seconds within which a VM has to notice a fault. Two probes allow for a link that loses a few
 // percent of its packets.
 const (
-	probeAfter = time.Second
+	probeAfter = time.Second // idle time before the first keepalive probe
 	probeEvery = time.Second
-	probes     = 2
+	probes     = 2 // unanswered probes after which the connection fails
 	// userTimeout is how long sent data may stay unacknowledged (TCP_USER_TIMEOUT).
 	userTimeout = 2500 * time.Millisecond
 )
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -33,7 +33,7 @@
 			}
 		}
 		if on, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_KEEPALIVE); err != nil || on == 0 {
-			t.Errorf("SO_KEEPALIVE is %d, %v", on, err)
+			t.Errorf("SO_KEEPALIVE: got %d, %v, want it enabled", on, err)
 		}
 	})
 	if err != nil {
