--- a/internal/lab/answers.go
+++ b/internal/lab/answers.go
@@ -72,8 +72,8 @@
 	case e.faults.trigger(FaultCloseEarly):
 		return false
 	case e.faults.trigger(FaultDuplicate):
-		again := write(n, data)
-		return again && write(n, data)
+		ok := write(n, data)
+		return ok && write(n, data)
 	case e.faults.trigger(FaultReorder):
 		return write(n+1, data) && write(n, data)
 	case e.faults.trigger(FaultCross):
@@ -86,7 +86,7 @@
 	}
 }
 
-// serveFull writes a response that is not streamed.
+// serveFull writes a response that is not streamed, once all its tokens are generated.
 func (e *Engine) serveFull(w http.ResponseWriter, r *http.Request, g *generation) {
 	g.addReaders(1)
 	defer g.addReaders(-1)
@@ -116,7 +116,8 @@
 	_, _ = w.Write([]byte(body))
 }
 
-// textOf returns the text in the data of an event or chunk.
+// textOf returns the text in the data of an event, or "" if the data carries none, as a usage
+// event does.
 func textOf(data string) string {
 	var c struct {
 		Choices []struct {
@@ -132,6 +133,8 @@
 	return c.Choices[0].Delta.Content + c.Choices[0].Text
 }
 
+// serveResume streams the rest of an attempt's response, from the event after the one that the
+// caller names.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Attempt ids.Attempt `json:"attempt"`
--- a/internal/lab/blockcache/blockcache.go
+++ b/internal/lab/blockcache/blockcache.go
@@ -12,22 +12,23 @@
 // Cache is an LRU cache of prompt blocks. Not safe for concurrent use.
 type Cache struct {
 	capacity int
-	lru      *list.List // of prefix.ID, most recently used first
-	at       map[prefix.ID]*list.Element
+	lru      *list.List                  // of prefix.ID, most recently used first
+	elements map[prefix.ID]*list.Element // of lru
 	seq      uint64
 	onEvent  func(cacheview.Event)
 }
 
-// New returns an empty cache of capacity blocks. Use calls onEvent, which may be nil, for
-// every block stored and removed.
+// New returns an empty cache for at most capacity blocks. Use calls onEvent, which may be nil,
+// for every block that it stores or evicts, with consecutive numbers from 1.
 func New(capacity int, onEvent func(cacheview.Event)) *Cache {
 	if onEvent == nil {
 		onEvent = func(cacheview.Event) {}
 	}
-	return &Cache{capacity: capacity, lru: list.New(), at: map[prefix.ID]*list.Element{}, onEvent: onEvent}
+	return &Cache{capacity: capacity, lru: list.New(), elements: map[prefix.ID]*list.Element{}, onEvent: onEvent}
 }
 
-// Blocks returns the block IDs of a prompt. An incomplete last block has none.
+// Blocks returns the block IDs of a prompt. An incomplete last block has none. seed separates
+// workspaces and models; see prefix.Seed.
 func Blocks(seed uint64, text []byte) []prefix.ID {
 	var out []prefix.ID
 	hash := seed
@@ -39,32 +40,34 @@
 	return out
 }
 
-// Use returns the number of leading blocks that are cached, and caches all blocks.
+// Use returns the number of leading blocks that were cached, then caches all blocks and evicts
+// the least recently used ones beyond the capacity.
 func (c *Cache) Use(blocks []prefix.ID) (hit int) {
-	for hit < len(blocks) && c.at[blocks[hit]] != nil {
+	for hit < len(blocks) && c.elements[blocks[hit]] != nil {
 		hit++
 	}
 	// Blocks are used from last to first, so that LRU evicts a prefix after its extensions.
 	for i := len(blocks) - 1; i >= 0; i-- {
-		if e := c.at[blocks[i]]; e != nil {
+		if e := c.elements[blocks[i]]; e != nil {
 			c.lru.MoveToFront(e)
 			continue
 		}
-		c.at[blocks[i]] = c.lru.PushFront(blocks[i])
+		c.elements[blocks[i]] = c.lru.PushFront(blocks[i])
 		c.event(blocks[i], true)
 	}
 	for c.lru.Len() > c.capacity {
 		last := c.lru.Back()
 		id := c.lru.Remove(last).(prefix.ID)
-		delete(c.at, id)
+		delete(c.elements, id)
 		c.event(id, false)
 	}
 	return hit
 }
 
-// Holds returns the number of leading blocks that are cached. It does not change the cache.
+// Holds returns the number of leading blocks that are cached. It does not change the cache or
+// the order of eviction.
 func (c *Cache) Holds(blocks []prefix.ID) (hit int) {
-	for hit < len(blocks) && c.at[blocks[hit]] != nil {
+	for hit < len(blocks) && c.elements[blocks[hit]] != nil {
 		hit++
 	}
 	return hit
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -20,14 +20,14 @@
 
 // DemoSpec configures a demo.
 type DemoSpec struct {
-	Example  string
+	Example  string // directory, see ReadExample
 	Domains  []ids.FailureDomain
-	VMs      int // per failure domain
-	Policies []string
-	Requests int
-	Rate     float64
+	VMs      int      // per failure domain
+	Policies []string // routing policies to compare
+	Requests int      // per policy
+	Rate     float64  // requests/s; 0: unlimited
 	Seed     uint64
-	Progress io.Writer
+	Progress io.Writer // receives progress lines and descriptions of lost requests; required
 }
 
 // DemoRow is the result of one policy.
@@ -35,12 +35,12 @@
 	Policy           string  `json:"policy"`
 	Requests         int     `json:"requests"`
 	Completed        int     `json:"whole"`
-	Lost             int     `json:"lost"`
-	Duplicates       int     `json:"doubled"`
+	Lost             int     `json:"lost"`    // lost requests, and bookings whose reported outcome is wrong
+	Duplicates       int     `json:"doubled"` // bookings that ran more than once
 	Refused          int     `json:"refused"`
 	Unknown          int     `json:"unknown"`
-	HitRate          float64 `json:"hit_rate"`
-	RecomputedTokens int64   `json:"recomputed_tokens"`
+	HitRate          float64 `json:"hit_rate"`          // fraction of the prompt tokens that were cached
+	RecomputedTokens int64   `json:"recomputed_tokens"` // prompt tokens that were not cached
 	TTFT             TTFT    `json:"ttft_ms"`
 	Seconds          float64 `json:"seconds"`
 }
@@ -110,7 +110,7 @@
 	return row
 }
 
-// QuantilesOf returns the quantiles of a histogram of microseconds.
+// QuantilesOf returns quantiles in milliseconds of a histogram that holds microseconds.
 func QuantilesOf(h *hdrhistogram.Histogram) TTFT {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return TTFT{P50: ms(50), P95: ms(95), P99: ms(99)}
@@ -124,8 +124,9 @@
 // readyTimeout is the time within which all daemons must become ready.
 const readyTimeout = 10 * time.Second
 
-// StartVMs starts perDomain entry VMs in each domain and waits until they are ready. On error
-// it returns the VMs started so far.
+// StartVMs adds perDomain entry VMs in each domain to the platform's list, starts them and waits
+// until they are ready. The VMs of a domain are peers of each other. On error it returns the VMs
+// started so far, which the caller must stop.
 func StartVMs(ctx context.Context, s *StandIns, domains []ids.FailureDomain, perDomain int, policy string) (*VMs, error) {
 	v := &VMs{}
 	var all []settings.Settings
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -1,6 +1,7 @@
 // Package lab holds small stand-ins for the systems around threadwall (model engines, plain
-// services and the platform's object API) and a load generator that checks every response.
-// All of them run in the calling process; the package does not model a cluster.
+// services and the platform's object API), a load generator that checks every response, and
+// measurements of VMs. All of them run in the calling process; the package does not model a
+// cluster.
 package lab
 
 import (
@@ -42,18 +43,20 @@
 	Weights: "w1", PrefillRate: 60_000, TokenEvery: 2 * time.Millisecond, Slots: 32, CacheBlocks: 2_500,
 }
 
-// minSleep is the shortest sleep worth taking. The timer may extend a shorter one to a
-// millisecond, which measurements would count as a cost of the router or the engine.
+// minSleep is the shortest prefill that the engine simulates by a sleep. The timer may extend a
+// shorter sleep to a millisecond, which measurements would count as overhead of the router or
+// the engine.
 const minSleep = 500 * time.Microsecond
 
 // resumeGrace is how long the engine generates a response without a reader before it
 // cancels the response.
 const resumeGrace = 1500 * time.Millisecond
 
-// maxEvents is the maximum number of cache events that an engine keeps for readers.
+// maxEvents is the maximum number of cache events that an engine keeps for readers. When it is
+// exceeded, the engine drops the oldest half.
 const maxEvents = 20_000
 
-// Engine is a stand-in model engine.
+// Engine is a stand-in model engine. Safe for concurrent use.
 type Engine struct {
 	spec        EngineSpec
 	incarnation ids.Incarnation
@@ -64,8 +67,8 @@
 	cache     *blockcache.Cache
 	events    []cacheview.Event
 	responses map[ids.Attempt]*generation
-	queued    int
-	running   int
+	queued    int // prompt tokens whose prefill has not ended
+	running   int // responses that are emitting tokens
 	leaving   bool
 	loading   bool
 	weights   ids.WeightsVersion
@@ -74,7 +77,8 @@
 	appliedFences []uint64
 
 	faults Faults
-	// PromptTokens and CachedTokens count tokens; Cancelled and Served count responses.
+	// PromptTokens counts the tokens of all prompts, CachedTokens those that were cached.
+	// Cancelled and Served count responses that were cancelled and completed.
 	PromptTokens, CachedTokens, Cancelled, Served atomic.Int64
 }
 
@@ -192,8 +196,8 @@
 	h.Set(engine.HeaderWeights, string(e.weights))
 }
 
-// reject refuses a request while the engine is leaving or loading weights, or by a fault. It
-// reports whether it did.
+// reject refuses a request while the engine is leaving or loading weights, or if an armed fault
+// asks for it. It reports whether it refused the request.
 func (e *Engine) reject(w http.ResponseWriter) bool {
 	e.mu.Lock()
 	leaving, loading := e.leaving, e.loading
@@ -212,8 +216,8 @@
 	attempt ids.Attempt
 	chat    bool
 	prompt  int // tokens
-	cached  int
-	total   int
+	cached  int // prompt tokens that were cached
+	total   int // tokens of the complete response
 	skip    int // tokens that the caller already has
 	tag     string
 
@@ -221,11 +225,13 @@
 	events    []string // data of events 1 to n
 	done      bool
 	readers   int
-	idleSince time.Time
+	idleSince time.Time     // when the last reader left; zero: none has left yet
 	changed   chan struct{} // closed and replaced at each change
 	cancel    context.CancelFunc
 }
 
+// start stores a response for the attempt and generates it in a goroutine that does not end
+// with the caller's connection.
 func (e *Engine) start(attempt ids.Attempt, body *completionBody) *generation {
 	var text strings.Builder
 	for _, m := range body.Messages {
@@ -248,6 +254,7 @@
 	return g
 }
 
+// lastUser returns the last message of the user, or the prompt of a text completion.
 func lastUser(body *completionBody) string {
 	for i := len(body.Messages) - 1; i >= 0; i-- {
 		if body.Messages[i].Role == "user" {
@@ -328,7 +335,8 @@
 	g.changed = make(chan struct{})
 }
 
-// abandoned reports whether the response has had no reader for longer than resumeGrace.
+// abandoned reports whether the response has no reader and the last one left longer than
+// resumeGrace ago.
 func (g *generation) abandoned() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/lab/example.go
+++ b/internal/lab/example.go
@@ -24,12 +24,13 @@
 // ExampleLoad is the workload of an example, read from its load.json.
 type ExampleLoad struct {
 	Template          string `json:"template"`
-	Parameter         string `json:"parameter"`
-	Text              string `json:"text"` // "contract" or "history"
+	Parameter         string `json:"parameter"` // request parameter of the template
+	Text              string `json:"text"`      // "contract" or "history"
 	TextsPerWorkspace int    `json:"texts_per_workspace"`
 	Service           string `json:"service"`
 	MaxTokens         int    `json:"max_tokens"`
-	Workspaces        []string
+	// Workspaces lists the names of the example's workspace objects.
+	Workspaces []string
 }
 
 // ReadExample reads an example directory.
@@ -65,7 +66,8 @@
 	return eris.Wrapf(json.Unmarshal(std, into), "read %s", path)
 }
 
-// Spec returns the workload against the VMs with the given base URLs.
+// Spec returns the example's workload, to be sent to VMs at the given base URLs. The caller sets
+// the number, rate and mix of requests.
 func (e *Example) Spec(entries []string) LoadSpec {
 	text := texts.Contract
 	if e.Load.Text == "history" {
--- a/internal/lab/fatal.go
+++ b/internal/lab/fatal.go
@@ -50,8 +50,10 @@
 	f.standIns.mu.Unlock()
 	srv.Close()
 	time.AfterFunc(f.restartDelay, func() {
-		if again, err := f.serve(srv.Addr, ids.Incarnation(time.Now().UnixMilli())); err == nil {
-			f.standIns.track(again) // an error means that two requests crashed it and it has restarted already
+		// On error the address is in use: two requests crashed the same incarnation, and the
+		// next one has started already.
+		if restarted, err := f.serve(srv.Addr, ids.Incarnation(time.Now().UnixMilli())); err == nil {
+			f.standIns.track(restarted)
 		}
 	})
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -16,21 +16,21 @@
 
 // The faults that engines and services inject.
 const (
-	FaultTruncate   Fault = "truncate"    // close the connection within an event
+	FaultTruncate   Fault = "truncate"    // close the connection in the middle of an event or response
 	FaultCloseEarly Fault = "close-early" // end the response cleanly before its last event
 	FaultDuplicate  Fault = "duplicate"   // send an event twice
-	FaultReorder    Fault = "reorder"     // send events in the wrong order
-	FaultCross      Fault = "cross"       // send an event of another response
+	FaultReorder    Fault = "reorder"     // send an event first under the next event's number, then under its own
+	FaultCross      Fault = "cross"       // send an event with the ID of another attempt
 	FaultStall      Fault = "stall"       // pause the response
 	FaultRefuse     Fault = "refuse"      // refuse the request with outcome "not-run"
 	FaultRest       Fault = "rest"        // refuse likewise, with a Retry-After of RestTime
 	FaultForget     Fault = "forget"      // respond 404 to a request to resume
-	FaultLostAnswer Fault = "lost-answer" // run the call and lose the response
+	FaultLostAnswer Fault = "lost-answer" // run the call, but close the connection before the response is complete
 	FaultFail       Fault = "fail"        // respond 500 without running the call
-	FaultLoseEvents Fault = "lose-events" // omit an entry from the cache feed
+	FaultLoseEvents Fault = "lose-events" // omit an event from the cache feed
 )
 
-// faultFromEvent is the number of the first event of a stream in which faults are injected.
+// faultFromEvent is the number of the first event of a stream that a fault may affect.
 const faultFromEvent = 3
 
 // RestTime is the backoff that FaultRest asks for.
@@ -44,7 +44,7 @@
 type Faults struct {
 	mu    sync.Mutex
 	armed map[Fault]FaultSpec
-	Hits  map[Fault]int
+	Hits  map[Fault]int // injections so far, guarded by mu; read them with Triggered
 }
 
 // FaultSpec configures how often a fault is injected. Count 0 disarms it; a negative Count is
@@ -100,7 +100,8 @@
 	return f.Hits[name]
 }
 
-// dropEvent omits one entry from a batch of cache events if FaultLoseEvents triggers.
+// dropEvent omits one event from a batch of at least four cache events if FaultLoseEvents is
+// triggered.
 func (f *Faults) dropEvent(events []cacheview.Event) []cacheview.Event {
 	if len(events) < 4 || !f.trigger(FaultLoseEvents) {
 		return events
--- a/internal/lab/http.go
+++ b/internal/lab/http.go
@@ -25,7 +25,7 @@
 
 // Server is a running HTTP server.
 type Server struct {
-	Addr string
+	Addr string // ip:port
 	srv  *http.Server
 }
 
--- a/internal/lab/link.go
+++ b/internal/lab/link.go
@@ -11,24 +11,24 @@
 )
 
 // Link is a TCP proxy that simulates a network link. It forwards connections to an address;
-// while it is down, it closes all connections, new ones included.
+// while it is down, it closes all connections, new ones included. Safe for concurrent use.
 type Link struct {
-	Addr   string
-	target string
-	l      net.Listener
+	Addr     string // ip:port at which the link accepts connections
+	upstream string
+	l        net.Listener
 
 	mu    sync.Mutex
 	down  bool
 	conns map[net.Conn]bool
 }
 
-// NewLink starts a link that forwards to an address.
-func NewLink(to string) (*Link, error) {
+// NewLink starts a link that forwards to an address, ip:port.
+func NewLink(upstream string) (*Link, error) {
 	l, err := net.Listen("tcp", loopback.Addr())
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for a network link")
 	}
-	k := &Link{Addr: l.Addr().String(), target: to, l: l, conns: map[net.Conn]bool{}}
+	k := &Link{Addr: l.Addr().String(), upstream: upstream, l: l, conns: map[net.Conn]bool{}}
 	go k.accept()
 	return k, nil
 }
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", k.target)
+		out, err := net.Dial("tcp", k.upstream)
 		if err != nil {
 			_ = in.Close()
 			continue
@@ -72,7 +72,8 @@
 	}
 }
 
-// track records the two ends of a forwarded connection, or closes them if the link is down.
+// track records the two ends of a forwarded connection, or closes them if the link is down. It
+// reports whether the link is up.
 func (k *Link) track(ends ...net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -25,10 +25,11 @@
 
 // LoadSpec is a mixed workload of streamed prompts and bookings.
 type LoadSpec struct {
-	Entries           []string // base URLs, http://ip:port, at which VMs accept callers' requests
-	Workspaces        []string // names; a workspace's key is KeyOf(name)
-	Template          string
-	Parameter         string // the template's request parameter
+	Entries    []string // base URLs, http://ip:port, at which VMs accept callers' requests
+	Workspaces []string // names; a workspace's key is KeyOf(name)
+	Template   string
+	Parameter  string // the template's request parameter
+	// Texts returns parameter text number i of a workspace.
 	Texts             func(workspace string, i int) string
 	TextsPerWorkspace int // distinct parameter texts of one workspace
 	Service           string
@@ -38,8 +39,9 @@
 	Rate              float64 // requests/s; 0: as fast as Concurrency allows
 	MaxTokens         int
 	Seed              uint64
-	Retries           int // per request, of bookings and of prompts that were refused or broke off
-	Progress          func(done, total int)
+	Retries           int // maximum per request: of a booking, or of a prompt whose request or stream failed
+	// Progress, if set, is called after each request, concurrently.
+	Progress func(done, total int)
 }
 
 // KeyOf returns the API key of an example workspace.
@@ -54,9 +56,9 @@
 	Unknown   int                     `json:"unknown"` // bookings whose outcome the caller was not told
 	Retries   int                     `json:"retries"`
 	Seconds   float64                 `json:"seconds"`
-	TTFT      *hdrhistogram.Histogram `json:"-"`
-	Booked    []string                `json:"-"` // keys reported to callers as run
-	NotRun    []string                `json:"-"` // keys reported to callers as not run
+	TTFT      *hdrhistogram.Histogram `json:"-"` // in microseconds
+	Booked    []string                `json:"-"` // idempotency keys reported to callers as run
+	NotRun    []string                `json:"-"` // idempotency keys reported to callers as not run
 	Wrong     []string                `json:"-"` // descriptions of the first 10 lost requests
 }
 
@@ -150,6 +152,8 @@
 // defaultRetryDelay is the wait before a caller's retry if the response sets none.
 const defaultRetryDelay = 200 * time.Millisecond
 
+// waitRetry waits before a retry for as long as the response asks, but at most 5 s. resp may be
+// nil.
 func waitRetry(ctx context.Context, resp *http.Response) {
 	wait := defaultRetryDelay
 	if resp != nil {
@@ -203,13 +207,13 @@
 	for try := 0; ; try++ {
 		resp, err := l.post(ctx, l.entry(r)+"/v1/chat/completions", ws, "", body)
 		if err == nil && resp.StatusCode == http.StatusOK {
-			why := l.readStream(resp, AnswerTag(question), start)
-			if why == "" {
+			problem := l.readStream(resp, AnswerTag(question), start)
+			if problem == "" {
 				l.update(func(res *Result) { res.Completed++ })
 				return
 			}
-			if try >= l.spec.Retries || strings.HasPrefix(why, "wrong") {
-				l.recordLost("request %d: %s", i, why)
+			if try >= l.spec.Retries || strings.HasPrefix(problem, "wrong") {
+				l.recordLost("request %d: %s", i, problem)
 				return
 			}
 			resp = nil
@@ -247,7 +251,8 @@
 }
 
 // readStream checks a streamed response token by token. It returns a description of the
-// fault, or "". "broken" is a stream that ended before [DONE]; the caller may retry it.
+// fault, or "". A description that starts with "wrong" stands for a wrong response, which must
+// not be retried. "broken" stands for a stream that ended before [DONE]; the caller may retry it.
 func (l *loader) readStream(resp *http.Response, tag string, start time.Time) string {
 	defer func() { _ = resp.Body.Close() }()
 	scan := bufio.NewScanner(resp.Body)
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -72,7 +72,7 @@
 	s.all = append(s.all, h)
 	addr, ok := h.next()
 	if !ok {
-		return "", eris.Errorf("no free port on loopback, last tried IP %s", h.ip)
+		return "", eris.Errorf("no free port from %d to %d on the newly reserved loopback IP %s", firstPort, lastPort, h.ip)
 	}
 	return addr, nil
 }
@@ -115,8 +115,9 @@
 	return "", false
 }
 
-// isFree reports whether no server of the machine listens on the port on all IPs. Its own
-// short listen disturbs nobody, since the address is reserved for this process.
+// isFree reports whether addr can be bound for TCP and UDP. It cannot if a server listens on
+// the port on all IPs. The listeners that isFree opens for the check conflict with no other
+// process, since the IP is reserved for this one.
 func isFree(addr string) bool {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -18,20 +18,20 @@
 	if _, err := reserveHost(func() string { return first.ip }); err == nil {
 		t.Fatalf("%s was reserved twice", first.ip)
 	}
-	drawn := []string{first.ip, first.ip}
+	candidates := []string{first.ip, first.ip}
 	second, err := reserveHost(func() string {
-		if len(drawn) == 0 {
+		if len(candidates) == 0 {
 			return randomIP()
 		}
-		ip := drawn[0]
-		drawn = drawn[1:]
+		ip := candidates[0]
+		candidates = candidates[1:]
 		return ip
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = second.lock.Close() }()
-	if second.ip == first.ip || len(drawn) > 0 {
+	if second.ip == first.ip || len(candidates) > 0 {
 		t.Fatalf("reserved %s and %s, want another IP after two attempts", first.ip, second.ip)
 	}
 	_ = first.lock.Close()
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -14,8 +14,8 @@
 // it loads weights.
 const loadPoll = 10 * time.Millisecond
 
-// serveOrder applies an order. The engine loads new weights after its requests in flight
-// have ended, and loses its cache.
+// serveOrder applies an order. If the order names other weights, the engine loads them after its
+// requests in flight have ended, empties its cache, and responds only then.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var m orders.Message
 	if !decode(w, r, &m) {
--- a/internal/lab/overhead.go
+++ b/internal/lab/overhead.go
@@ -36,8 +36,8 @@
 	overheadRate      = 200 // requests/s, direct and routed each
 	overheadSeconds   = 8
 	throughputStreams = 64
-	throughputTokens  = 3000
-	overheadTokens    = 8
+	throughputTokens  = 3000 // per stream
+	overheadTokens    = 8    // per response
 )
 
 // Overhead measures the time to first token, alternately direct and through a VM, and then
@@ -74,6 +74,7 @@
 	return row, m.lastErr()
 }
 
+// meter sends the requests of a measurement and holds its last error.
 type meter struct {
 	client *http.Client
 	mu     sync.Mutex
@@ -86,7 +87,7 @@
 	return m.err
 }
 
-// latency sends requests at a constant rate, every second one through the VM.
+// latency sends requests at a constant rate, alternately direct and through the VM.
 func (m *meter) latency(ctx context.Context, direct, routed string) OverheadRow {
 	hist := [2]*hdrhistogram.Histogram{hdrhistogram.New(histMin, histMax, histDigits), hdrhistogram.New(histMin, histMax, histDigits)}
 	start := time.Now()
@@ -107,7 +108,8 @@
 	return row
 }
 
-// throughput reads throughputStreams long streams concurrently through the VM.
+// throughput reads throughputStreams long streams concurrently through the VM. It returns the
+// tokens per second of real time and per second of the process's CPU time.
 func (m *meter) throughput(ctx context.Context, routed string, pid int) (perSecond, perCore float64) {
 	var wg sync.WaitGroup
 	cpu, start := cpuSeconds(pid), time.Now()
@@ -119,10 +121,11 @@
 	return tokens / time.Since(start).Seconds(), tokens / (cpuSeconds(pid) - cpu)
 }
 
-// ticksPerSecond is the unit of CPU times in /proc/PID/stat.
+// ticksPerSecond is the number of clock ticks per second, the unit of CPU times in
+// /proc/PID/stat.
 const ticksPerSecond = 100
 
-// cpuSeconds returns a process's CPU time, or zero if it cannot be read.
+// cpuSeconds returns a process's user and system CPU time, or zero if it cannot be read.
 func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -153,7 +156,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return 0, m.setErr(eris.Errorf("unexpected status %d", resp.StatusCode))
+		return 0, m.setErr(eris.Errorf("%s responded with status %d, want 200", base, resp.StatusCode))
 	}
 	var one [1]byte
 	_, _ = resp.Body.Read(one[:])
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -19,7 +19,7 @@
 )
 
 // Service is a stand-in plain service. It executes every call, also repeated ones, and
-// counts the runs of each idempotency key.
+// counts the runs of each idempotency key. Safe for concurrent use.
 type Service struct {
 	name        string
 	incarnation ids.Incarnation
@@ -102,7 +102,7 @@
 	_, _ = fmt.Fprintf(w, `{"service":%q,"key":%q,"run":%d,"bytes":%d}`+"\n", s.name, key, n, len(body))
 }
 
-// appendRun appends a key to the runs file, which lets a check count runs across crashes
+// appendRun appends a key to the runs file, from which a check counts runs across crashes
 // of this process. The caller holds s.mu.
 func (s *Service) appendRun(key string) {
 	if s.runsFile == "" {
--- a/internal/lab/spread.go
+++ b/internal/lab/spread.go
@@ -18,12 +18,12 @@
 // PropagationRow holds the times until changes of configuration are in force on all VMs.
 type PropagationRow struct {
 	VMs       int        `json:"vms"`
-	SingleMS  []float64  `json:"single_ms"` // sorted
+	SingleMS  []float64  `json:"single_ms"` // per single change, sorted
 	BurstSize int        `json:"burst_size"`
 	BurstMS   float64    `json:"burst_ms"` // from the last write of the burst
 	Calls     StoreCalls `json:"store_calls"`
-	// LeavingMS holds, per engine, the time from its first report that it is leaving until
-	// every VM knows, with the object API down. Sorted.
+	// LeavingMS holds, per engine, the time from when it starts to report that it is leaving
+	// until every VM knows, with the object API down. Sorted.
 	LeavingMS []float64 `json:"leaving_ms"`
 }
 
@@ -83,7 +83,7 @@
 	for _, d := range v.Daemons {
 		for d.Fleet.Members.State(id, time.Now()) != routing.Leaving {
 			if time.Since(start) > propagationTimeout {
-				return 0, eris.Errorf("%s does not know that %s is leaving", d.Settings.VM, id)
+				return 0, eris.Errorf("VM %s does not know after %v that target %s is leaving", d.Settings.VM, propagationTimeout, id)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -91,11 +91,11 @@
 	return float64(time.Since(start).Microseconds()) / 1000, nil
 }
 
-// measureChange writes n objects and returns the time from the last write until it is in
-// force on all VMs, in milliseconds.
-func (v *VMs) measureChange(ctx context.Context, s *StandIns, from, n int) (float64, error) {
+// measureChange writes n documents, numbered from first on, and returns the time from the last
+// write until all VMs have the configuration revision of that write, in milliseconds.
+func (v *VMs) measureChange(ctx context.Context, s *StandIns, first, n int) (float64, error) {
 	var last objectapi.Revision
-	for i := from; i < from+n; i++ {
+	for i := first; i < first+n; i++ {
 		o := config.Object{Kind: config.KindDocument, Name: fmt.Sprint("spread-", i), Document: &config.Document{Text: "text"}}
 		value, err := json.Marshal(o)
 		if err != nil {
@@ -109,7 +109,7 @@
 	for _, d := range v.Daemons {
 		for d.Node.Config.Revision() < last {
 			if time.Since(start) > propagationTimeout {
-				return 0, eris.Errorf("%s is at configuration revision %d, want %d", d.Settings.VM, d.Node.Config.Revision(), last)
+				return 0, eris.Errorf("VM %s is at configuration revision %d after %v, want %d", d.Settings.VM, d.Node.Config.Revision(), propagationTimeout, last)
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -17,12 +17,12 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// StandIns are the external systems of one example, in this process.
+// StandIns are the simulated external systems of one example, in this process.
 type StandIns struct {
 	Store    *FaultyStore
 	StoreURL string
-	Engines  map[string]*Engine
-	Services map[string]*Service
+	Engines  map[string]*Engine  // by VM ID; the first incarnations
+	Services map[string]*Service // by VM ID; the first incarnations
 	Records  []platform.Record
 	// Network, if set, returns the addresses at which a VM with the given settings reaches
 	// the object API and at which peers reach the VM.
@@ -41,11 +41,12 @@
 type StartOptions struct {
 	// FixedPorts uses the addresses of the example instead of free ports.
 	FixedPorts bool
-	// StoreAddr is the store's address, if FixedPorts is set.
+	// StoreAddr is the object API's address, ip:port, if FixedPorts is set.
 	StoreAddr string
 	// Domains lists the failure domains to start; empty: all.
 	Domains []ids.FailureDomain
-	Engine  EngineSpec
+	// Engine configures all engines; its Model is ignored, since the example sets it.
+	Engine EngineSpec
 	// Only lists the VMs to start, and "store" for the object API; empty: all. It allows
 	// each stand-in to run in its own process.
 	Only []string
@@ -54,7 +55,7 @@
 	// incarnation at the same address. Empty: no crashes.
 	CrashText    string
 	RestartDelay time.Duration
-	// RunsFile is the file to which services append the key of each executed call.
+	// RunsFile is the file to which services append the key of each executed call; empty: none.
 	RunsFile string
 }
 
@@ -65,8 +66,8 @@
 	return len(o.Only) == 0 || slices.Contains(o.Only, name)
 }
 
-// Start starts the store, engines and services of an example, adds them to the platform's
-// list of VMs and applies the example's objects.
+// Start starts the object API, engines and services of an example, adds the VMs to the
+// platform's list and applies the example's objects.
 func Start(ctx context.Context, ex *Example, o StartOptions) (*StandIns, error) {
 	s := &StandIns{Store: NewFaultyStore(objectapi.NewMemory()), Engines: map[string]*Engine{}, Services: map[string]*Service{}}
 	storeAddr := "127.0.0.1:0"
@@ -125,9 +126,9 @@
 		spec.Model = r.Model
 		e := NewEngine(spec, inc)
 		s.Engines[r.ID] = e
-		start = func(again ids.Incarnation) http.Handler {
-			if again != inc {
-				e = NewEngine(spec, again)
+		start = func(current ids.Incarnation) http.Handler {
+			if current != inc {
+				e = NewEngine(spec, current)
 			}
 			return e.Handler()
 		}
@@ -135,9 +136,9 @@
 		svc := NewService(r.Service, inc, serviceDelay)
 		svc.runsFile = o.RunsFile
 		s.Services[r.ID] = svc
-		start = func(again ids.Incarnation) http.Handler {
-			if again != inc {
-				svc = NewService(r.Service, again, serviceDelay)
+		start = func(current ids.Incarnation) http.Handler {
+			if current != inc {
+				svc = NewService(r.Service, current, serviceDelay)
 			}
 			return svc.Handler()
 		}
@@ -175,10 +176,10 @@
 	key := platform.Prefix + r.ID
 	if old, err := s.Store.Get(ctx, key); err == nil {
 		_, err = s.Store.Update(ctx, key, value, old.Version)
-		return eris.Wrapf(err, "list %s", r.ID)
+		return eris.Wrapf(err, "update the platform's record of VM %s", r.ID)
 	}
 	_, err = s.Store.Create(ctx, key, value)
-	return eris.Wrapf(err, "list %s", r.ID)
+	return eris.Wrapf(err, "create the platform's record of VM %s", r.ID)
 }
 
 // Runs returns the number of runs by idempotency key over all services.
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -10,8 +10,8 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// FaultyStore wraps a store and injects faults of the platform: outages, delay, and responses
-// lost after the write took effect. Safe for concurrent use.
+// FaultyStore wraps a store and injects faults of the platform: outages, delays, lost writes, and
+// responses lost after the write took effect. It also counts calls. Safe for concurrent use.
 type FaultyStore struct {
 	objectapi.Store
 
@@ -25,7 +25,7 @@
 	Down         bool    `json:"down"`
 	LostResponse float64 `json:"lost_answer"` // probability per write that succeeds without a response
 	LostWrite    float64 `json:"lost_write"`  // probability per write that fails without effect
-	DelayMS      int     `json:"delay_ms"`
+	DelayMS      int     `json:"delay_ms"`    // added to each call
 }
 
 // StoreCalls counts calls by kind.
@@ -33,14 +33,14 @@
 
 var _ objectapi.Store = (*FaultyStore)(nil)
 
-// NewFaultyStore wraps a store without any faults.
+// NewFaultyStore wraps a store. Until SetFaults is called it injects no faults.
 func NewFaultyStore(s objectapi.Store) *FaultyStore { return &FaultyStore{Store: s} }
 
 // SetFaults replaces the injected faults.
-func (f *FaultyStore) SetFaults(t StoreFaults) {
+func (f *FaultyStore) SetFaults(faults StoreFaults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.faults = t
+	f.faults = faults
 }
 
 // Calls returns the number of calls so far.
@@ -50,13 +50,14 @@
 	return f.calls
 }
 
+// begin counts a call in count, waits for the configured delay and returns the faults to inject.
 func (f *FaultyStore) begin(count *int) StoreFaults {
 	f.mu.Lock()
 	*count++
-	t := f.faults
+	faults := f.faults
 	f.mu.Unlock()
-	time.Sleep(time.Duration(t.DelayMS) * time.Millisecond)
-	return t
+	time.Sleep(time.Duration(faults.DelayMS) * time.Millisecond)
+	return faults
 }
 
 // Get implements objectapi.Store.
@@ -100,15 +101,15 @@
 }
 
 func (f *FaultyStore) write(do func() (objectapi.Revision, error)) (objectapi.Revision, error) {
-	t := f.begin(&f.calls.Writes)
-	if t.Down {
+	faults := f.begin(&f.calls.Writes)
+	if faults.Down {
 		return 0, objectapi.ErrUnavailable
 	}
-	if rand.Float64() < t.LostWrite {
+	if rand.Float64() < faults.LostWrite {
 		return 0, objectapi.ErrAmbiguous
 	}
 	rev, err := do()
-	if rand.Float64() < t.LostResponse {
+	if rand.Float64() < faults.LostResponse {
 		return 0, objectapi.ErrAmbiguous
 	}
 	return rev, err
@@ -119,9 +120,9 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", objectapi.Handler(f))
 	mux.HandleFunc("POST /lab/trouble", func(w http.ResponseWriter, r *http.Request) {
-		var t StoreFaults
-		if decode(w, r, &t) {
-			f.SetFaults(t)
+		var faults StoreFaults
+		if decode(w, r, &faults) {
+			f.SetFaults(faults)
 		}
 	})
 	mux.HandleFunc("GET /lab/calls", func(w http.ResponseWriter, _ *http.Request) { encode(w, f.Calls()) })
