--- a/internal/lab/platformlab/caller.go
+++ b/internal/lab/platformlab/caller.go
@@ -15,10 +15,10 @@
 	Path     string
 	Key      string // API key; empty: none
 	Body     string
-	Deadline time.Duration
-	Model    string   // if set, the call carries a prompt
-	Tokens   int      // of the prompt
-	Parts    []string // prefix of the prompt, ID:TOKENS each
+	Deadline time.Duration // from now, sent in whole milliseconds
+	Model    string        // if set, the call carries a prompt for this model
+	Tokens   int           // of the prompt
+	Parts    []string      // prefix of the prompt, ID:TOKENS each
 }
 
 // maxOutputTokens is the output limit that a call with a prompt declares.
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // keeps the transport from retrying the request unseen
+	req.GetBody = nil // stops the transport from retrying the request on another connection
 	req.Host = c.Host
 	req.Header.Set("X-Request-Id", c.ID)
 	req.Header.Set("X-Request-Deadline", fmt.Sprint(c.Deadline.Milliseconds()))
--- a/internal/lab/platformlab/fatal.go
+++ b/internal/lab/platformlab/fatal.go
@@ -14,7 +14,7 @@
 	Workspace       string
 	Delay           time.Duration // from the request's arrival to the crash
 	PartialResponse bool          // send the response header and one event before the crash
-	// OnCrash, if set, is called once, after the replica has ended.
+	// OnCrash, if set, is called once, after a request has crashed the replica.
 	OnCrash func(r *Replica)
 }
 
@@ -22,8 +22,8 @@
 	return f != nil && f.Body != "" && strings.HasPrefix(body, f.Body) && (f.Workspace == "" || f.Workspace == workspace)
 }
 
-// crashDuring ends the replica while it runs req, which also ends all other requests in
-// progress there.
+// crashDuring crashes the replica while it runs req. The crash also ends all other requests
+// that the replica is running.
 func (r *Replica) crashDuring(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("X-Response-Signature", "sig-"+r.ID)
 	if r.CrashOn.PartialResponse {
--- a/internal/lab/platformlab/replica.go
+++ b/internal/lab/platformlab/replica.go
@@ -62,8 +62,8 @@
 	return out
 }
 
-// Replica is a simulated target in one of its incarnations. Its exported fields are set
-// before it starts.
+// Replica is a simulated target in one of its incarnations. Set the exported fields before it
+// starts. After the start its methods are safe for concurrent use, except SetVersion.
 type Replica struct {
 	ID            string
 	Service       string
@@ -77,19 +77,19 @@
 	CrashOn *CrashRule
 	// Software is the software version that the replica reports; empty: v1.
 	Software string
-	// WarmUp is the time after its start for which the replica reports that it is slow.
+	// WarmUp is the remaining warm-up time that the replica reports each time it registers.
 	WarmUp time.Duration
 
 	store     *Store
 	ledger    *Ledger
 	server    *http.Server
 	addr      string
-	published string
+	published string // address in the replica's entry, may be that of a proxy
 	mu        sync.Mutex
 	state     string
 	version   int
-	busy      bool
-	orders    int
+	busy      bool // loading weights
+	orders    int  // accepted so far
 	// handler, if set, may respond to a request in place of the default response.
 	handler      atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
 	signals      atomic.Pointer[Signals]
@@ -169,6 +169,7 @@
 	Version int    `json:"version"`
 }
 
+// slots is the number of requests that a replica reports to run concurrently. It is not enforced.
 const slots = 16
 
 func (r *Replica) register() {
@@ -258,6 +259,9 @@
 	Expected *int   `json:"expected"`
 }
 
+// order starts to load the weights that an order names and responds before they are loaded. It
+// refuses the order while weights are loading, or if Expected differs from the number of orders
+// accepted so far.
 func (r *Replica) order(w http.ResponseWriter, req *http.Request) {
 	var o Order
 	if err := json.NewDecoder(req.Body).Decode(&o); err != nil || o.Holder == "" || o.Fence == 0 {
@@ -288,6 +292,7 @@
 // weightsLoadTime is how long a replica takes to load weights.
 const weightsLoadTime = 150 * time.Millisecond
 
+// feed serves the replica's cache feed, which never has any events.
 func (r *Replica) feed(w http.ResponseWriter, req *http.Request) {
 	wait, _ := strconv.Atoi(req.Header.Get("Wait-Ms"))
 	select {
@@ -298,7 +303,8 @@
 	reply(w, http.StatusOK, r.withStart(map[string]any{"epoch": 1 + r.StartedMS, "next": 1, "lost": false, "events": []any{}}))
 }
 
-// run executes a request and records it in the ledger.
+// run refuses a request or executes it. It records the arrival in the ledger, and the execution
+// when it starts.
 func (r *Replica) run(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
--- a/internal/lab/platformlab/signals.go
+++ b/internal/lab/platformlab/signals.go
@@ -45,7 +45,7 @@
 
 // sendSignals records an arrival and sets the headers of the replica's signals. It reports
 // whether it refused the request, in which case the response is complete.
-func (r *Replica) sendSignals(w http.ResponseWriter, req *http.Request) (rejected bool) {
+func (r *Replica) sendSignals(w http.ResponseWriter, req *http.Request) (refused bool) {
 	s := r.signals.Load()
 	if s == nil {
 		s = &Signals{}
--- a/internal/lab/platformlab/store.go
+++ b/internal/lab/platformlab/store.go
@@ -56,8 +56,8 @@
 	history   []change
 	oldest    uint64 // lowest revision in the history; watches from before it get 410
 	faults    StoreFaults
-	changed   chan struct{}
-	interrupt chan struct{}
+	changed   chan struct{}  // closed and replaced at each change
+	interrupt chan struct{}  // closed and replaced to end waiting watches
 	calls     map[string]int // by method and kind, such as "GET config"
 
 	server *httptest.Server
@@ -81,10 +81,10 @@
 }
 
 // SetFaults replaces the injected faults and closes the connections of waiting watches.
-func (s *Store) SetFaults(t StoreFaults) {
+func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = t
+	s.faults = faults
 	close(s.interrupt)
 	s.interrupt = make(chan struct{})
 }
@@ -105,7 +105,8 @@
 	return s.calls[call]
 }
 
-// Put writes an object regardless of its revision and returns its revision.
+// Put writes an object regardless of its revision and returns the new revision. If spec is
+// unchanged, so is the revision.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -130,6 +131,7 @@
 	s.recordChange(change{kind: kind, object: o, removed: true})
 }
 
+// put writes an object regardless of its revision. The caller holds s.mu.
 func (s *Store) put(kind, name string, spec json.RawMessage) Object {
 	if s.kinds[kind] == nil {
 		s.kinds[kind] = map[string]Object{}
@@ -169,6 +171,7 @@
 	return o, ok
 }
 
+// recordChange appends to the history and wakes waiting watches. The caller holds s.mu.
 func (s *Store) recordChange(c change) {
 	s.history = append(s.history, c)
 	close(s.changed)
@@ -182,11 +185,11 @@
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, prefixObjects), "/")
 	name, isStatus := strings.CutSuffix(name, "/status")
 	s.mu.Lock()
-	t, interrupt := s.faults, s.interrupt
+	faults, interrupt := s.faults, s.interrupt
 	s.calls[r.Method+" "+kind]++
 	s.mu.Unlock()
-	time.Sleep(t.Delay)
-	switch t.Down {
+	time.Sleep(faults.Delay)
+	switch faults.Down {
 	case "busy":
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
@@ -209,7 +212,7 @@
 	case r.Method == http.MethodDelete:
 		s.Remove(kind, name)
 	default:
-		s.write(w, r, kind, name, isStatus, t.LostResponses)
+		s.write(w, r, kind, name, isStatus, faults.LostResponses)
 	}
 }
 
@@ -259,6 +262,8 @@
 	Removed bool   `json:"removed"`
 }
 
+// watch responds with the changes of a kind after a revision. If there are none, it waits for one,
+// for at most waitMs.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("watch"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("waitMs"))
@@ -289,8 +294,8 @@
 	}
 }
 
-// since returns the changes of a kind after a revision, and gone if the history no longer
-// covers them. The caller holds s.mu.
+// since returns the changes of a kind after a revision, and the store's current revision. gone
+// reports that the history no longer covers the changes. The caller holds s.mu.
 func (s *Store) since(kind string, after uint64) (events []event, gone bool, rev uint64) {
 	if after+1 < s.oldest {
 		return nil, true, s.rev
@@ -303,6 +308,8 @@
 	return events, false, s.rev
 }
 
+// write creates or updates an object, or its status. It responds 409 if a created object exists
+// or an updated one has another revision than the caller names; revision 0 matches any.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name string, isStatus bool, lostResponses float64) {
 	var in Object
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
--- a/internal/storetest/storetest.go
+++ b/internal/storetest/storetest.go
@@ -1,7 +1,7 @@
-// Package storetest lets a test control the order and the outcome of every object API
-// call that concurrent code makes. It supports stateful fuzzing in a testing/synctest
-// bubble: when all goroutines are blocked, the test picks one waiting call and its
-// outcome.
+// Package storetest lets a test control the order and the outcome of the Get, Create, Update
+// and Delete calls to the object API that concurrent code makes. List and Watch are not
+// controlled. The package supports stateful fuzzing in a testing/synctest bubble: when all
+// goroutines are blocked, the test picks one waiting call and its outcome.
 package storetest
 
 import (
@@ -37,8 +37,8 @@
 	faults      []Outcome
 }
 
-// DrawFaultProfile draws the fault rate of a case and its kinds of faults. A case with a
-// single kind of fault drives the code further down one path than a mix does.
+// DrawFaultProfile draws the fault rate of a case and its kinds of faults. A case with a single
+// kind of fault reaches states that need many such faults, which a mix of kinds rarely does.
 func DrawFaultProfile(rt *rapid.T) FaultProfile {
 	return FaultProfile{
 		normalOfTen: rapid.SampledFrom([]int{2, 4, 6, 9}).Draw(rt, "normal calls of ten"),
@@ -62,8 +62,8 @@
 	outcome chan Outcome
 }
 
-// Store holds each call until the test resolves it. Create it with New and use ForActor for
-// each actor.
+// Store holds each call of its actors until the test resolves it. Create it with New and give
+// each actor the store that ForActor returns. Calls to Store itself are not held.
 type Store struct {
 	objectapi.Store
 	mu      sync.Mutex
@@ -91,7 +91,7 @@
 	actor int
 }
 
-// Resolve ends one waiting call with the given outcome.
+// Resolve ends a call that Waiting returned, with the given outcome.
 func (s *Store) Resolve(c *Call, o Outcome) {
 	s.mu.Lock()
 	for i, w := range s.waiting {
@@ -124,7 +124,8 @@
 const idleSeconds = 3
 
 // Drain resolves all remaining calls with Normal, one after another. It applies delayed
-// writes once no call waits, then resolves the calls that follow.
+// writes once no call waits, then resolves the calls that follow. Call it in the test's
+// synctest bubble.
 func (s *Store) Drain() {
 	s.drain()
 	for s.DelayedWrites() > 0 {
@@ -146,6 +147,7 @@
 	}
 }
 
+// wait blocks until the test resolves the actor's call, and returns the outcome.
 func (v *actorStore) wait() Outcome {
 	s := v.Store
 	s.mu.Lock()
@@ -208,9 +210,9 @@
 	}
 }
 
-// Check runs a property, each case in a synctest bubble of its own. The rapid check itself
-// stays outside the bubble: it ends early once its clock has advanced by a day, which
-// happens at once in virtual time. All goroutines of a property must end, even if it fails.
+// Check runs a property, each case in a synctest bubble of its own. rapid.Check itself runs
+// outside the bubbles: it stops early once a day has passed on its clock, which takes no time on
+// a bubble's virtual clock. All goroutines of a property must end, even if it fails.
 func Check(t *testing.T, property func(*rapid.T)) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var failure any
@@ -218,7 +220,8 @@
 			defer func() { failure = recover() }()
 			property(rt)
 		})
-		// Rapid identifies a failure by the place that raises it.
+		// Rapid identifies a failure by the place that raises it, so the failure is raised again
+		// here, outside the bubble. invalidData is no failure: with it rapid discards the case.
 		switch kind := fmt.Sprintf("%T", failure); {
 		case failure == nil:
 		case kind == "rapid.invalidData":
