--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -29,20 +29,22 @@
 
 var domains = []ids.FailureDomain{"sala-heredia", "sala-cartago"}
 
-// start starts VMs in each of the domains, with the number of VMs per domain given by each.
-func start(t *testing.T, each int) *harness {
+// start starts the example platform and perDomain VMs in each of domains.
+func start(t *testing.T, perDomain int) *harness {
 	t.Helper()
-	return startOn(t, each, nil)
+	return startWithNetwork(t, perDomain, nil)
 }
 
-// startOn starts VMs whose store and peer addresses are set by network.
-func startOn(t *testing.T, each int, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
+// startWithNetwork starts the platform and VMs as start does. network returns the value of
+// lab.StandIns.Network, which sets the store and peer addresses of each VM.
+func startWithNetwork(t *testing.T, perDomain int, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
 	t.Helper()
-	return startWith(t, each, lab.StartOptions{}, network)
+	return startWithOptions(t, perDomain, lab.StartOptions{}, network)
 }
 
-// startWith starts the platform with options, and VMs as startOn does.
-func startWith(t *testing.T, each int, o lab.StartOptions, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
+// startWithOptions starts the platform with the options o, and VMs as startWithNetwork does. It
+// replaces the domains and the engine of o. network may be nil.
+func startWithOptions(t *testing.T, perDomain int, o lab.StartOptions, network func(*lab.StandIns) func(settings.Settings) (string, string)) *harness {
 	t.Helper()
 	ex, err := lab.ReadExample("../../examples/solano")
 	if err != nil {
@@ -57,7 +59,7 @@
 	if network != nil {
 		s.Network = network(s)
 	}
-	vms, err := lab.StartVMs(t.Context(), s, domains, each, "cost")
+	vms, err := lab.StartVMs(t.Context(), s, domains, perDomain, "cost")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,6 +71,7 @@
 	return openai.NewClient(option.WithBaseURL(h.vms.Entries()[0]+"/v1"), option.WithAPIKey(lab.KeyOf(workspace)), option.WithMaxRetries(0))
 }
 
+// params returns a request that uses the template check-contract.
 func params(question string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:     "template:check-contract",
@@ -87,14 +90,15 @@
 	return b.String()
 }
 
-// arm sets a fault on all engines.
+// arm arms a fault on all engines, to be injected count times by each. Count 0 disarms it; a
+// negative count is unlimited.
 func (h *harness) arm(f lab.Fault, count int) {
 	for _, e := range h.s.Engines {
 		e.Faults().Arm(lab.FaultSpec{Fault: f, Count: count})
 	}
 }
 
-// stream sends a question with the official client and returns the streamed text and the error.
+// stream sends a question with OpenAI's Go client and returns the streamed text and the error.
 func (h *harness) stream(question string) (string, error) {
 	c := h.client()
 	st := c.Chat.Completions.NewStreaming(h.Context(), params(question))
@@ -108,6 +112,8 @@
 	return b.String(), st.Err()
 }
 
+// TestOfficialClient checks that OpenAI's Go client gets complete responses to a chat completion
+// and a text completion, and the list of models.
 func TestOfficialClient(t *testing.T) {
 	h := start(t, 1)
 	c := h.client()
@@ -116,20 +122,20 @@
 		t.Fatal(err)
 	}
 	if got.Choices[0].Message.Content != wantText("whole?", 20) || got.Choices[0].FinishReason != "stop" {
-		t.Fatalf("response %+v", got.Choices[0])
+		t.Fatalf("got response %+v, want content %q and finish reason stop", got.Choices[0], wantText("whole?", 20))
 	}
 	if !strings.Contains(got.ID, "req-") || got.Usage.PromptTokens == 0 {
-		t.Fatalf("id %q, usage %+v", got.ID, got.Usage)
+		t.Fatalf("got ID %q and usage %+v, want an ID with req- and prompt tokens above 0", got.ID, got.Usage)
 	}
 	models, err := c.Models.List(t.Context())
 	if err != nil || len(models.Data) != 3 {
-		t.Fatalf("models %v, %v", models, err)
+		t.Fatalf("got models %v and error %v, want 3 models", models, err)
 	}
 	text, err := c.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model: "yard", Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("plain?")}, MaxTokens: openai.Int(5),
 	})
 	if err != nil || text.Choices[0].Text != wantText("plain?", 5) {
-		t.Fatalf("completion %v, %v", text, err)
+		t.Fatalf("got completion %v and error %v, want text %q", text, err, wantText("plain?", 5))
 	}
 }
 
@@ -182,7 +188,7 @@
 		q := fmt.Sprint("forgotten ", i)
 		text, err := h.stream(q)
 		if err == nil && text != wantText(q, 20) {
-			t.Errorf("stream looks complete with %q", text)
+			t.Errorf("stream ended without an error after %q, want %q", text, wantText(q, 20))
 		}
 		if err == nil && h.vms.Daemons[0].Metrics().Retries > 0 {
 			noneContinued = false
@@ -216,7 +222,7 @@
 		return resp.StatusCode == http.StatusOK
 	})
 	if h.runs("gone") != 1 {
-		t.Errorf("%d runs", h.runs("gone"))
+		t.Errorf("the booking ran %d times, want once", h.runs("gone"))
 	}
 }
 
@@ -276,6 +282,8 @@
 	}
 }
 
+// post sends a request to the VM with index entry. key is the API key and idem the idempotency
+// key; both may be empty. It returns the response and its body, which is closed.
 func (h *harness) post(entry int, path, key, idem, body string) (*http.Response, string) {
 	h.Helper()
 	req, _ := http.NewRequestWithContext(h.Context(), http.MethodPost, h.vms.Entries()[entry]+path, strings.NewReader(body))
@@ -294,6 +302,8 @@
 	return resp, string(b)
 }
 
+// TestTypedErrors checks the status, the code and the outcome of error responses, and that each
+// has a request ID.
 func TestTypedErrors(t *testing.T) {
 	h := start(t, 1)
 	key := lab.KeyOf(workspace)
@@ -310,15 +320,15 @@
 		{"no JSON", "/v1/chat/completions", key, "", "{", 400, "invalid_request", "not-run"},
 		{"no model", "/v1/chat/completions", key, "", "{}", 400, "invalid_request", "not-run"},
 		{"no messages", "/v1/chat/completions", key, "", `{"model":"yard"}`, 400, "invalid_request", "not-run"},
-		{"model", "/v1/chat/completions", key, "", chat("none", ""), 404, "model_not_found", "not-run"},
-		{"template", "/v1/chat/completions", key, "", chat("template:none", ""), 404, "template_not_found", "not-run"},
+		{"unknown model", "/v1/chat/completions", key, "", chat("none", ""), 404, "model_not_found", "not-run"},
+		{"unknown template", "/v1/chat/completions", key, "", chat("template:none", ""), 404, "template_not_found", "not-run"},
 		{"parameter missing", "/v1/chat/completions", key, "", chat("template:check-contract", ""), 400, "invalid_parameter", "not-run"},
-		{"parameter long", "/v1/chat/completions", key, "", chat("template:check-contract", `,"metadata":{"contract":"`+strings.Repeat("x", 70000)+`"}`), 400, "invalid_parameter", "not-run"},
-		{"body long", "/v1/chat/completions", key, "", strings.Repeat(" ", 5<<20), 413, "request_too_large", "not-run"},
-		{"service", "/v1/services/none/x", key, "k", "{}", 404, "service_not_found", "not-run"},
+		{"parameter too long", "/v1/chat/completions", key, "", chat("template:check-contract", `,"metadata":{"contract":"`+strings.Repeat("x", 70000)+`"}`), 400, "invalid_parameter", "not-run"},
+		{"body too long", "/v1/chat/completions", key, "", strings.Repeat(" ", 5<<20), 413, "request_too_large", "not-run"},
+		{"unknown service", "/v1/services/none/x", key, "k", "{}", 404, "service_not_found", "not-run"},
 		{"no idempotency key", "/v1/services/booking/x", key, "", "{}", 400, "idempotency_key_required", "not-run"},
-		{"old key", "/v1/services/booking/x", key, "017f22e2-79b0-7cc3-98c4-dc0c0c07398f", "{}", 422, "idempotency_key_expired", "not-run"},
-		{"path", "/v1/none", key, "", "{}", 400, "invalid_request", "not-run"},
+		{"expired idempotency key", "/v1/services/booking/x", key, "017f22e2-79b0-7cc3-98c4-dc0c0c07398f", "{}", 422, "idempotency_key_expired", "not-run"},
+		{"unknown path", "/v1/none", key, "", "{}", 400, "invalid_request", "not-run"},
 	} {
 		resp, body := h.post(0, c.path, c.key, c.idem, c.body)
 		var e struct {
@@ -326,13 +336,18 @@
 		}
 		_ = json.Unmarshal([]byte(body), &e)
 		if resp.StatusCode != c.status || e.Error.Code != c.code || e.Error.Outcome != c.outcome || resp.Header.Get("X-Request-Id") == "" {
-			t.Errorf("%s: status %d, body %s", c.name, resp.StatusCode, body)
+			t.Errorf("%s: got status %d, request ID %q and body %s; want status %d, a request ID, code %s and outcome %s",
+				c.name, resp.StatusCode, resp.Header.Get("X-Request-Id"), body, c.status, c.code, c.outcome)
 		}
 	}
 }
 
+// runs returns how often services ran the booking with an idempotency key.
 func (h *harness) runs(key string) int { return h.s.Runs()[key] }
 
+// TestBookings checks that a booking runs at most once, whether it is repeated, its response is
+// lost, it is refused, or the store is down or loses responses, and that the response says whether
+// it ran.
 func TestBookings(t *testing.T) {
 	h := start(t, 1)
 	key := lab.KeyOf(workspace)
@@ -342,10 +357,11 @@
 	first, a := book(0, "k1", `{"d":1}`)
 	again, b := book(1, "k1", `{"d":1}`)
 	if first.StatusCode != 200 || again.StatusCode != 200 || a != b || h.runs("k1") != 1 {
-		t.Fatalf("duplicate: %q then %q, %d runs", a, b, h.runs("k1"))
+		t.Fatalf("booking and its repeat: got %d %q, then %d %q, with %d runs; want status 200 and the same body twice, and 1 run",
+			first.StatusCode, a, again.StatusCode, b, h.runs("k1"))
 	}
 	if resp, body := book(1, "k1", `{"d":2}`); resp.StatusCode != 422 || h.runs("k1") != 1 {
-		t.Fatalf("other body: %d %s", resp.StatusCode, body)
+		t.Fatalf("same key with another body: got status %d, body %s, %d runs; want status 422 and 1 run", resp.StatusCode, body, h.runs("k1"))
 	}
 
 	arm := func(f lab.Fault, n int) {
@@ -356,35 +372,38 @@
 	arm(lab.FaultLostAnswer, 1)
 	resp, body := book(0, "k2", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "unknown" {
-		t.Fatalf("lost response: %s", body)
+		t.Fatalf("lost response: got outcome %q, body %s; want outcome unknown", resp.Header.Get("X-Threadwall-Outcome"), body)
 	}
 	arm(lab.FaultLostAnswer, 0)
 	resp, body = book(1, "k2", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "unknown" || h.runs("k2") != 1 {
-		t.Fatalf("after a lost response: %s, %d runs", body, h.runs("k2"))
+		t.Fatalf("repeat after a lost response: got outcome %q, body %s, %d runs; want outcome unknown and 1 run",
+			resp.Header.Get("X-Threadwall-Outcome"), body, h.runs("k2"))
 	}
 
 	arm(lab.FaultRefuse, 1) // each of the two replicas refuses once
 	resp, body = book(0, "k3", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || h.runs("k3") != 0 {
-		t.Fatalf("refused by all: %s, %d runs", body, h.runs("k3"))
+		t.Fatalf("refused by all: got outcome %q, body %s, %d runs; want outcome not-run and no run",
+			resp.Header.Get("X-Threadwall-Outcome"), body, h.runs("k3"))
 	}
 	if resp, body = book(1, "k3", "{}"); resp.StatusCode != 200 || h.runs("k3") != 1 {
-		t.Fatalf("after a refusal as not run: %d %s, %d runs", resp.StatusCode, body, h.runs("k3"))
+		t.Fatalf("repeat after a refusal as not run: got status %d, body %s, %d runs; want status 200 and 1 run", resp.StatusCode, body, h.runs("k3"))
 	}
 
 	h.s.Store.SetFaults(lab.StoreFaults{Down: true})
 	resp, body = book(0, "k4", "{}")
 	if resp.Header.Get("X-Threadwall-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" || h.runs("k4") != 0 {
-		t.Fatalf("store down: %s, %d runs", body, h.runs("k4"))
+		t.Fatalf("store down: got outcome %q, Retry-After %q, body %s, %d runs; want outcome not-run, a Retry-After and no run",
+			resp.Header.Get("X-Threadwall-Outcome"), resp.Header.Get("Retry-After"), body, h.runs("k4"))
 	}
 	if text, err := h.stream("store down?"); err != nil || text != wantText("store down?", 20) {
-		t.Fatalf("prompt with the store down: %v", err)
+		t.Fatalf("prompt with the store down: error %v, text %q", err, text)
 	}
 	h.s.Store.SetFaults(lab.StoreFaults{LostResponse: 1})
 	resp, body = book(0, "k5", "{}")
 	if resp.StatusCode != 200 || h.runs("k5") != 1 {
-		t.Fatalf("lost store responses: %d %s, %d runs", resp.StatusCode, body, h.runs("k5"))
+		t.Fatalf("lost store responses: got status %d, body %s, %d runs; want status 200 and 1 run", resp.StatusCode, body, h.runs("k5"))
 	}
 }
 
--- a/internal/e2e/rest_test.go
+++ b/internal/e2e/rest_test.go
@@ -8,13 +8,13 @@
 	"github.com/threadwall/threadwall/internal/lab"
 )
 
-// Engines and services that refuse calls may ask for a rest with Retry-After. Neither the path
-// of opaque calls nor that of threadwall's own API used to read it: a service that refused got
-// the next call as well, three within the 2 s that it had asked for.
+// Engines and services that refuse calls may ask for a rest with Retry-After, both for opaque
+// calls and for those of threadwall's own API. The test guards against a VM that ignores it: a
+// service that had asked for 2 s then got three calls within that time.
 
 // TestRestIsHonored has half of the engines and one service replica refuse calls and ask for
-// a rest of 2 s. The VM sends each of them one call in that time, and the others serve all
-// callers.
+// a rest of 2 s. The VM may send each of them at most one call in that time, and the others must
+// serve all calls.
 func TestRestIsHonored(t *testing.T) {
 	h := start(t, 1)
 	spec := lab.FaultSpec{Fault: lab.FaultRest, Count: -1}
@@ -39,7 +39,7 @@
 			t.Errorf("error %v, text %q", err, text)
 		}
 		if resp, body := h.post(0, "/v1/services/booking/bookings", lab.KeyOf(workspace), q, "{}"); resp.StatusCode != 200 {
-			t.Errorf("booking got status %d: %s", resp.StatusCode, body)
+			t.Errorf("booking got status %d, want 200: %s", resp.StatusCode, body)
 		}
 	}
 	for i, r := range resting {
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	if st.Err() != nil || text != wantText("in flight?", 400) {
-		t.Fatalf("request cut off by the shutdown: %v", st.Err())
+		t.Fatalf("request in flight at the shutdown: error %v, text %q", st.Err(), text)
 	}
 	if err := <-stopped; err != nil {
 		t.Fatal(err)
@@ -79,11 +79,11 @@
 	for i := range 40 {
 		q := fmt.Sprint("leaving ", i)
 		if text, err := h.stream(q); err != nil || text != wantText(q, 20) {
-			t.Fatal(err)
+			t.Fatalf("error %v, text %q", err, text)
 		}
 	}
 	if got := h.s.Engines[leaving].Served.Load(); got != before {
-		t.Fatalf("the leaving target got %d requests", got-before)
+		t.Fatalf("the leaving target served %d requests, want none", got-before)
 	}
 }
 
@@ -111,14 +111,14 @@
 }
 
 // TestRollingWeights changes the weights on all engines of a domain while requests are
-// served. No request may fail, and the engines must follow fenced orders. The test does not
-// check that responses report no cached tokens of the old weights.
+// served. No request may fail, and the engines must apply orders with a fencing number. The
+// test does not check that responses report no cached tokens of the old weights.
 func TestRollingWeights(t *testing.T) {
 	h := start(t, 1)
-	var moved []string
+	var updated []string
 	for _, r := range h.s.Records {
 		if r.Role == platform.RoleEngine && r.FailureDomain == domains[0] {
-			moved = append(moved, r.ID)
+			updated = append(updated, r.ID)
 			intent := orders.Intent{Target: ids.Target(r.ID), Desired: orders.DesiredState{Weights: "w2"}}
 			value, _ := json.Marshal(intent)
 			if _, err := h.s.Store.Create(t.Context(), orders.Prefix+r.ID, value); err != nil {
@@ -126,23 +126,23 @@
 			}
 		}
 	}
-	asked := 0
+	sent := 0
 	waitFor(t, func() bool {
-		q := fmt.Sprint("rolling ", asked)
-		asked++
+		q := fmt.Sprint("rolling ", sent)
+		sent++
 		if text, err := h.stream(q); err != nil || text != wantText(q, 20) {
-			t.Fatalf("request %d: %v", asked, err)
+			t.Fatalf("request %d: error %v, text %q", sent, err, text)
 		}
-		for _, id := range moved {
+		for _, id := range updated {
 			if h.s.Engines[id].Weights() != "w2" {
 				return false
 			}
 		}
 		return true
 	})
-	for _, id := range moved {
+	for _, id := range updated {
 		if got := h.s.Engines[id].AppliedFences(); len(got) == 0 || got[0] == 0 {
-			t.Errorf("%s followed orders with fences %v", id, got)
+			t.Errorf("%s applied orders with fencing numbers %v, want at least one and the first above 0", id, got)
 		}
 	}
 }
@@ -180,13 +180,13 @@
 	d := h.restart(0)
 	waitFor(t, func() bool { return d.Status().Ready })
 	if got, want := len(d.Fleet.Cache.Entries(100)), len(peer.Fleet.Cache.Entries(100)); got < want || want == 0 {
-		t.Errorf("%d cache view entries after the restart, the peer has %d", got, want)
+		t.Errorf("%d cache view entries after the restart, want the peer's %d or more, and not 0", got, want)
 	}
 	if d.Node.Config.Revision() != peer.Node.Config.Revision() {
-		t.Errorf("configuration revision %d, the peer has %d", d.Node.Config.Revision(), peer.Node.Config.Revision())
+		t.Errorf("configuration revision %d after the restart, want the peer's %d", d.Node.Config.Revision(), peer.Node.Config.Revision())
 	}
 	if text, err := h.stream("after the restart"); err != nil || text != wantText("after the restart", 20) {
-		t.Errorf("%v", err)
+		t.Errorf("after the restart: error %v, text %q", err, text)
 	}
 }
 
@@ -235,7 +235,7 @@
 	d := h.restart(0)
 	waitFor(t, func() bool { return strings.Contains(d.Status().Reason, "neither a peer nor the object API") })
 	if resp, body := h.post(0, "/v1/chat/completions", lab.KeyOf(workspace), "", "{}"); resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, %s", resp.StatusCode, body)
+		t.Errorf("got status %d, Retry-After %q, body %s; want status 503 and a Retry-After", resp.StatusCode, resp.Header.Get("Retry-After"), body)
 	}
 }
 
@@ -257,7 +257,7 @@
 			}
 			n++
 			if got := routing.Replay(routing.NewCost(), &rec); got != rec.Chosen {
-				t.Errorf("recorded %s, replayed %s", rec.Chosen, got)
+				t.Errorf("replayed choice is %s, want the recorded %s", got, rec.Chosen)
 			}
 			for i := range rec.Candidates {
 				if rec.Candidates[i].Target == rec.Chosen {
@@ -265,12 +265,12 @@
 				}
 			}
 			if got := routing.Replay(routing.NewCost(), &rec); len(rec.Candidates) > 1 && got == rec.Chosen {
-				t.Error("the choice does not depend on the record")
+				t.Error("replay still gives the recorded choice after its queue was made the longest")
 			}
 		}
 	}
 	if n < 30 {
-		t.Fatalf("%d decisions were recorded", n)
+		t.Fatalf("%d decisions were recorded, want at least 30", n)
 	}
 }
 
@@ -290,7 +290,7 @@
 // and gets the configuration of the other VMs after the partition heals.
 func TestDomainPartition(t *testing.T) {
 	var links []*lab.Link
-	h := startOn(t, 1, func(s *lab.StandIns) func(settings.Settings) (string, string) {
+	h := startWithNetwork(t, 1, func(s *lab.StandIns) func(settings.Settings) (string, string) {
 		storeLink := link(t, strings.TrimPrefix(s.StoreURL, "http://"))
 		links = append(links, storeLink)
 		return func(set settings.Settings) (string, string) {
@@ -317,10 +317,10 @@
 		return resp.StatusCode, resp.Header.Get("X-Threadwall-Outcome")
 	}
 	if status, outcome := book(0, "cut"); status != 503 || outcome != "not-run" || h.runs("cut") != 0 {
-		t.Errorf("booking in the partitioned domain: %d %s, %d runs", status, outcome, h.runs("cut"))
+		t.Errorf("booking in the partitioned domain: got status %d, outcome %q, %d runs; want 503, not-run and none", status, outcome, h.runs("cut"))
 	}
 	if status, outcome := book(1, "cut"); status != 200 || outcome != "ran" {
-		t.Errorf("the same booking in the other domain: %d %s", status, outcome)
+		t.Errorf("the same booking in the other domain: got status %d, outcome %q; want 200 and ran", status, outcome)
 	}
 	o := config.Object{Kind: config.KindDocument, Name: "during-the-cut", Document: &config.Document{Text: "text"}}
 	value, _ := json.Marshal(o)
@@ -330,7 +330,7 @@
 	}
 	waitFor(t, func() bool { return h.vms.Daemons[1].Node.Config.Revision() >= rev })
 	if got := h.vms.Daemons[0].Node.Config.Revision(); got >= rev {
-		t.Fatalf("the partitioned domain has revision %d", got)
+		t.Fatalf("the partitioned domain has configuration revision %d, want one below %d", got, rev)
 	}
 	for _, k := range links {
 		k.SetDown(false)
@@ -338,6 +338,6 @@
 	waitFor(t, func() bool { return h.vms.Daemons[0].Node.Config.Revision() >= rev })
 	waitFor(t, func() bool { status, _ := book(0, "cut"); return status == 200 })
 	if h.runs("cut") != 1 {
-		t.Errorf("the booking ran %d times", h.runs("cut"))
+		t.Errorf("the booking ran %d times, want once", h.runs("cut"))
 	}
 }
