--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -27,8 +27,8 @@
 )
 
 // TestFatalRequests repeats a request that crashes its target at the VMs of two failure domains.
-// At most maxLateCrashes targets may crash later than propagationLimit after the third crash, when all
-// VMs must know of the request. Another call must be served afterwards.
+// At most maxLateCrashes targets may crash later than propagationLimit after the third
+// crash, when all VMs must know of the request. Another call must be served afterwards.
 func TestFatalRequests(t *testing.T) {
 	key := lab.KeyOf(workspace)
 	for name, send := range map[string]func(h *harness, n int) int{
--- a/internal/lab/standins.go
+++ b/internal/lab/standins.go
@@ -105,6 +105,8 @@
 	return s, err
 }
 
+// startVM starts the engine or service of a VM's record, if o selects it, and keeps the record
+// with the address and incarnation for publish. It starts no entry VM.
 func (s *StandIns) startVM(r platform.Record, o StartOptions) error {
 	inc := ids.Incarnation(time.Now().UnixMilli())
 	addr := "127.0.0.1:0"
