--- a/internal/capacity/plots.go
+++ b/internal/capacity/plots.go
@@ -126,7 +126,7 @@
 		}
 	}
 	hit := func(r *yardstick.Result) float64 { return r.HitRate() }
-	p99 := func(r *yardstick.Result) float64 { return min(r.Quantile(99)/1000, cutSeconds) }
+	p99 := func(r *yardstick.Result) float64 { return min(r.Percentile(99)/1000, cutSeconds) }
 	if err := PlotPolicies(dir, "hit-rate", "Prefix hit rate", results, hit); err != nil {
 		return err
 	}
--- a/internal/yardstick/report.go
+++ b/internal/yardstick/report.go
@@ -16,7 +16,7 @@
 		_, _ = fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.2f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n",
 			r.Workload, r.Policy, r.Requests, r.Refused, r.Failed, float64(r.Attempts)/float64(max(r.Requests-r.Refused, 1)),
 			r.HitRate(), r.HitRate()/o.HitRate(), r.Wasted/1000, r.Recomputed/1000, float64(r.Recomputed)/float64(max(o.Recomputed, 1)),
-			r.Quantile(50), r.Quantile(95), r.Quantile(99), r.Quantile(99)/o.Quantile(99), r.Fairness())
+			r.Percentile(50), r.Percentile(95), r.Percentile(99), r.Percentile(99)/o.Percentile(99), r.Fairness())
 	}
 	return t.Flush()
 }
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -71,9 +71,9 @@
 // HitRate returns the fraction of prompt tokens that were cached.
 func (r *Result) HitRate() float64 { return 1 - float64(r.Recomputed)/float64(max(r.Prompt, 1)) }
 
-// Quantile returns a percentile (0 to 100) of the time to first token, in
+// Percentile returns a percentile (0 to 100) of the time to first token, in
 // milliseconds.
-func (r *Result) Quantile(q float64) float64 { return float64(r.TTFT.ValueAtQuantile(q)) / 1000 }
+func (r *Result) Percentile(q float64) float64 { return float64(r.TTFT.ValueAtQuantile(q)) / 1000 }
 
 // simulation is the state of one run.
 type simulation struct {
--- a/internal/yardstick/yardstick_test.go
+++ b/internal/yardstick/yardstick_test.go
@@ -28,13 +28,13 @@
 			if got := float64(product.Recomputed) / float64(r.Recomputed); got > 1.2 {
 				t.Errorf("recomputed tokens are %.2f times the oracle's, want at most 1.2", got)
 			}
-			if got := product.Quantile(99) / r.Quantile(99); got > 1.25 {
+			if got := product.Percentile(99) / r.Percentile(99); got > 1.25 {
 				t.Errorf("TTFT p99 is %.2f times the oracle's, want at most 1.25", got)
 			}
 			continue
 		}
-		if product.Quantile(99) > r.Quantile(99) {
-			t.Errorf("TTFT p99 is %.0f ms, above %s's %.0f ms", product.Quantile(99), p.Name, r.Quantile(99))
+		if product.Percentile(99) > r.Percentile(99) {
+			t.Errorf("TTFT p99 is %.0f ms, above %s's %.0f ms", product.Percentile(99), p.Name, r.Percentile(99))
 		}
 	}
 }
@@ -67,7 +67,7 @@
 func TestRunIsDeterministic(t *testing.T) {
 	w := workload(t, "solano")
 	a, b := Run(w, Product()), Run(w, Product())
-	if a.Recomputed != b.Recomputed || a.Quantile(99) != b.Quantile(99) || a.Completed != b.Completed {
-		t.Fatalf("runs with the same seed differ: recomputed tokens %d and %d, TTFT p99 %v and %v ms", a.Recomputed, b.Recomputed, a.Quantile(99), b.Quantile(99))
+	if a.Recomputed != b.Recomputed || a.Percentile(99) != b.Percentile(99) || a.Completed != b.Completed {
+		t.Fatalf("runs with the same seed differ: recomputed tokens %d and %d, TTFT p99 %v and %v ms", a.Recomputed, b.Recomputed, a.Percentile(99), b.Percentile(99))
 	}
 }
