--- a/internal/capacity/plots.go
+++ b/internal/capacity/plots.go
@@ -82,8 +82,8 @@
 	Points []Point
 }
 
-// PlotSlope draws one line without a legend, to name.svg in dir.
-func PlotSlope(dir, name, title, x, y string, points []Point) error {
+// PlotLine draws one line without a legend, to name.svg in dir.
+func PlotLine(dir, name, title, x, y string, points []Point) error {
 	return PlotLines(dir, name, title, x, y, []Line{{Points: points}})
 }
 
@@ -144,8 +144,8 @@
 		}
 		updates = append(updates, Point{X: float64(vms), Y: row.BytesIn})
 	}
-	if err := PlotSlope(dir, "decide", "Decision, 100,000 cache view entries", "replicas", "p50 in microseconds", decide); err != nil {
+	if err := PlotLine(dir, "decide", "Decision, 100,000 cache view entries", "replicas", "p50 in microseconds", decide); err != nil {
 		return err
 	}
-	return PlotSlope(dir, "news", "Updates between VMs of a domain", "VMs", "bytes/s in, and as much out", updates)
+	return PlotLine(dir, "news", "Updates between VMs of a domain", "VMs", "bytes/s in, and as much out", updates)
 }
