--- a/cmd/threadwall-lab/soak.go
+++ b/cmd/threadwall-lab/soak.go
@@ -38,7 +38,7 @@
 	for i := range c.Int("seeds") {
 		report, err := soak.Run(ctx, soak.Options{
 			Program: c.String("program"), Seed: seed + uint64(i), VMs: c.Int("vms"), Callers: c.Int("callers"),
-			Faults: c.Duration("faults"), Keep: c.Bool("keep"),
+			FaultDuration: c.Duration("faults"), Keep: c.Bool("keep"),
 		})
 		if err != nil {
 			return eris.Wrapf(err, "seed %d", seed+uint64(i))
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -16,8 +16,8 @@
 	Seed    uint64
 	VMs     int
 	Callers int
-	// Faults is how long faults are injected. Calls continue until the fleet has recovered.
-	Faults time.Duration
+	// FaultDuration is how long faults are injected. Calls continue until the fleet has recovered.
+	FaultDuration time.Duration
 	// Busy states that the machine has other work. Timing bounds, such as that every call
 	// without a fault is served, are not checked then.
 	Busy bool
@@ -67,7 +67,7 @@
 	calling, stop := context.WithCancel(ctx)
 	c.run(calling, o.Callers, o.Seed)
 	c.runLimited(calling, o.Seed)
-	faulty, done := context.WithTimeout(ctx, o.Faults)
+	faulty, done := context.WithTimeout(ctx, o.FaultDuration)
 	apart, signals := h.injectExtraFaults(faulty, o.Seed), h.injectSignals(faulty, o.Seed)
 	h.inject(faulty, rand.New(rand.NewPCG(o.Seed, 0)), func(name string) { report.Faults[name]++ })
 	maps.Copy(report.Faults, apart())
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 func TestSoak(t *testing.T) {
 	program := build(t)
 	for _, r := range regressions {
-		report, err := Run(t.Context(), Options{Program: program, Seed: r.seed, VMs: 3, Callers: 6, Faults: 3 * time.Second, Busy: true})
+		report, err := Run(t.Context(), Options{Program: program, Seed: r.seed, VMs: 3, Callers: 6, FaultDuration: 3 * time.Second, Busy: true})
 		if err != nil {
 			t.Fatalf("seed %d: %v", r.seed, err)
 		}
