--- a/internal/soak/allowance.go
+++ b/internal/soak/allowance.go
@@ -12,13 +12,13 @@
 	limitedWorkspace = "limited"
 	limitedKey       = "key-limited"
 	limitedCallers   = 3
-	// limitedPause is the pause between two calls of one of its callers.
+	// limitedPause is the pause between two calls of one caller of the workspace.
 	limitedPause = 10 * time.Millisecond
-	// Its allowance, in requests, and the window over which operators count.
+	// The allowance of the workspace, in requests, and the window over which operators count.
 	limitedRate   = 20.0 // requests/s
 	limitedBurst  = 20.0
 	limitedWindow = 3 * time.Second
-	// The excess that operators tolerate: a share of the allowance, and a number of requests.
+	// The excess that operators tolerate: a fraction of the allowance, plus a number of requests.
 	limitedExcess = 0.1
 	limitedSlack  = 15.0
 )
@@ -26,7 +26,7 @@
 // timeOfDay is the layout of times in the report.
 const timeOfDay = "15:04:05.000"
 
-// allKilledTimes returns the times at which all VMs were killed.
+// allKilledTimes returns the times at which all VMs were killed, in the layout timeOfDay.
 func (h *harness) allKilledTimes() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,9 +52,9 @@
 	}
 }
 
-// allowance checks that the limited workspace runs no more calls over all VMs than its
-// allowance in any window, also when VMs are partitioned, killed, suspended or restarted.
-// A call counts once, however often it ran.
+// allowance checks that in any window, the limited workspace runs no more calls over all VMs
+// than its allowance and the tolerated excess, also when VMs are partitioned, killed, suspended
+// or restarted. A call counts once, however often it ran, at the time at which it was sent.
 func (c *checker) allowance(calls []call) {
 	var sent []time.Time
 	for i := range calls {
@@ -77,7 +77,7 @@
 		}
 	}
 	if float64(most) > bound {
-		c.report("%d calls of the limited workspace ran in the %v before %s, allowed are %.0f; all VMs were killed at %v",
-			most, limitedWindow, when.Format(timeOfDay), allowed, c.h.allKilledTimes())
+		c.report("%d calls of the limited workspace ran in the %v before %s, allowed are %.0f and tolerated %.0f; all VMs were killed at %v",
+			most, limitedWindow, when.Format(timeOfDay), allowed, bound, c.h.allKilledTimes())
 	}
 }
--- a/internal/soak/apart.go
+++ b/internal/soak/apart.go
@@ -9,8 +9,8 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// extraFaults were added after the others. They have a random source of their own, so that
-// a seed still draws the same sequence from faults.
+// extraFaults are drawn from a random source of their own, so that a seed draws the same sequence
+// from faults as before extraFaults were added.
 var extraFaults = []fault{
 	{"a request crashes replicas", func(h *harness, rng *rand.Rand) { h.repeatFatal(rng) }},
 	{"suspend a VM", func(h *harness, rng *rand.Rand) { suspend(rng, h.anyVM(rng)) }},
@@ -20,13 +20,15 @@
 }
 
 const (
-	// extraFaultSeeds is the number of seeds in a row of which one has extra faults: one in three.
+	// One in extraFaultSeeds seeds has extra faults.
 	extraFaultSeeds = 3
-	// suspension is how far the clock of a suspended VM advances while its timers stand still.
+	// suspension is how far suspend advances the clock that governs expiry in a VM. The timers of
+	// the VM do not advance.
 	suspension = 3 * time.Second
 )
 
-// suspend stops processes for up to a second and advances their clocks by suspension.
+// suspend stops processes for up to a second and advances their clocks by suspension, as if the
+// VMs had been suspended for longer.
 func suspend(rng *rand.Rand, vms ...*process) {
 	for _, p := range vms {
 		defer p.begin()()
@@ -40,7 +42,7 @@
 }
 
 // injectExtraFaults draws extra faults one after the other until ctx ends, if the seed has any.
-// The returned function waits for the last fault and returns their number by name.
+// The returned function waits for the last fault and returns the number of faults by name.
 func (h *harness) injectExtraFaults(ctx context.Context, seed uint64) (wait func() map[string]int) {
 	if seed%extraFaultSeeds != 0 {
 		return func() map[string]int { return nil }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -27,7 +27,7 @@
 	broken    bool // the response was cut off
 	signed    bool
 	faultFree bool // no fault on its VM or outside the VMs, from faultFreeTime before it was sent to its end
-	version   int  // newest configuration that was confirmed propagationTime before it was sent
+	version   int  // newest configuration that the store confirmed propagationTime before the call was sent
 }
 
 // Paths of the routes, by kind.
@@ -42,7 +42,7 @@
 // callers make calls continuously, each over its own keep-alive connections.
 type callers struct {
 	h      *harness
-	number atomic.Int64
+	number atomic.Int64 // of the last call
 	mu     sync.Mutex
 	calls  []call
 	wg     sync.WaitGroup
@@ -69,7 +69,7 @@
 // deadline is how long a caller waits for a response.
 const deadline = 2 * time.Second
 
-// callRandom makes one call of a random kind, with one of the keys that change.
+// callRandom makes one call on a random route, with one of the keys that faults replace.
 func (c *callers) callRandom(rng *rand.Rand, transport *http.Transport) {
 	c.call(rng, transport, paths[rng.IntN(len(paths))], c.h.key(rng.IntN(keyCount)))
 }
@@ -79,7 +79,7 @@
 	h := c.h
 	out := call{
 		id: fmt.Sprintf("s%08d", c.number.Add(1)), path: path, key: key,
-		vm: h.vms[rng.IntN(len(h.vms))], version: h.confirmed(),
+		vm: h.vms[rng.IntN(len(h.vms))], version: h.confirmedVersion(),
 	}
 	faultFree := h.faultFree(out.vm)
 	out.sent = time.Now()
--- a/internal/soak/calm_test.go
+++ b/internal/soak/calm_test.go
@@ -49,8 +49,8 @@
 		sent time.Duration // after the change
 		want bool
 	}{{"gone", 0, true}, {"new", 0, true}, {"new", propagationTime - 1, true}, {"new", propagationTime, false}, {"first", 0, false}} {
-		if got := c.good(&call{key: k.key, sent: now.Add(k.sent), status: 401}); got != k.want {
-			t.Errorf("refused call with key %q, sent %v after the change: good() = %v", k.key, k.sent, got)
+		if got := c.acceptable(&call{key: k.key, sent: now.Add(k.sent), status: 401}); got != k.want {
+			t.Errorf("refused call with key %q, sent %v after the change: acceptable() = %v, want %v", k.key, k.sent, got, k.want)
 		}
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -9,7 +9,7 @@
 	"github.com/threadwall/threadwall/internal/lab/platformlab"
 )
 
-// maxViolations bounds the violations that the report lists.
+// maxViolations bounds the violations that a checker records.
 const maxViolations = 20
 
 // checker compares what callers and replicas recorded with the guarantees of the router.
@@ -19,6 +19,7 @@
 	violations []string
 }
 
+// check returns the violations of the router's guarantees, at most maxViolations.
 func (h *harness) check(calls []call) []string {
 	c := &checker{h: h, runs: map[string][]platformlab.Run{}}
 	for _, r := range h.ledger.Runs() {
@@ -27,7 +28,7 @@
 	known := map[string]bool{}
 	for i := range calls {
 		known[calls[i].id] = true
-		c.call(&calls[i])
+		c.checkCall(&calls[i])
 	}
 	for _, repeats := range h.fatal {
 		for _, k := range repeats {
@@ -45,28 +46,30 @@
 	return c.violations
 }
 
+// report records a violation, unless maxViolations are recorded already.
 func (c *checker) report(format string, args ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *checker) call(k *call) {
+// checkCall checks one call and its runs.
+func (c *checker) checkCall(k *call) {
 	runs := c.runs[k.id]
 	c.atMostOnce(k, runs)
 	c.completeOrBroken(k)
 	c.keys(k, runs)
 	c.routeFound(k)
 	c.replicas(k, runs)
-	if c.h.checkTiming && k.faultFree && !c.good(k) {
+	if c.h.checkTiming && k.faultFree && !c.acceptable(k) {
 		c.report("call %s on %s to %s failed without a fault: status %d, broken %v, after %v", k.id, k.path, k.vm.name, k.status, k.broken, k.ended.Sub(k.sent))
 	}
 }
 
-// good reports whether a call made without a fault ended correctly: served, or refused
+// acceptable reports whether a call made without a fault ended correctly: served, or refused
 // because its key is revoked or is too new for the VM to know it yet. A call of the limited
 // workspace may be refused only because of its allowance.
-func (c *checker) good(k *call) bool {
+func (c *checker) acceptable(k *call) bool {
 	if k.status == http.StatusOK && !k.broken {
 		return true
 	}
@@ -82,18 +85,18 @@
 }
 
 // atMostOnce checks that a call that must not be repeated runs at most once and any other at
-// most twice, and that a call refused as not run did not run.
+// most twice, and that a call did not run if it was refused with a status that states so.
 func (c *checker) atMostOnce(k *call, runs []platformlab.Run) {
 	most := 2
 	if k.path == pathOnce {
 		most = 1
 	}
 	if len(runs) > most {
-		c.report("call %s on %s ran %d times", k.id, k.path, len(runs))
+		c.report("call %s on %s ran %d times, allowed are %d", k.id, k.path, len(runs), most)
 	}
 	refused := k.status == http.StatusServiceUnavailable || k.status == http.StatusTooManyRequests
 	if refused && len(runs) > 0 {
-		c.report("call %s on %s was refused as not run and ran at %s", k.id, k.path, runs[0].Replica)
+		c.report("call %s on %s was refused with status %d, which states that it did not run, but ran at %s", k.id, k.path, k.status, runs[0].Replica)
 	}
 }
 
@@ -107,28 +110,28 @@
 	case !k.signed:
 		c.report("call %s got a successful response without a signature", k.id)
 	case !k.broken && k.body != k.wantBody():
-		c.report("call %s on %s got %q as a complete response", k.id, k.path, k.body)
+		c.report("call %s on %s got %q as a complete response, want %q", k.id, k.path, k.body, k.wantBody())
 	case k.broken && !strings.HasPrefix(k.wantBody(), k.body):
-		c.report("call %s on %s got the beginning of another response: %q", k.id, k.path, k.body)
+		c.report("call %s on %s got a cut-off response %q, want a prefix of %q", k.id, k.path, k.body, k.wantBody())
 	}
 }
 
-// keys checks that replicas receive a workspace in place of the caller's key, with path and
-// body unchanged, and that no VM accepts a key later than keyTTL after its revocation.
+// keys checks that replicas receive a workspace in place of the caller's key, and path and body
+// unchanged, and that no VM accepts a key later than keyTTL after its revocation.
 func (c *checker) keys(k *call, runs []platformlab.Run) {
 	c.h.mu.Lock()
 	revokedAt, revoked := c.h.revoked[k.key]
 	c.h.mu.Unlock()
 	for _, r := range runs {
 		if r.Workspace == "" || r.Key != "" {
-			c.report("call %s reached a replica with workspace %q and key %q", k.id, r.Workspace, r.Key)
+			c.report("call %s reached a replica with workspace %q and key %q, want a workspace and no key", k.id, r.Workspace, r.Key)
 		}
 		if r.Body != "body of "+k.id || r.URI != k.path+"x" {
-			c.report("call %s reached a replica as %s with body %q", k.id, r.URI, r.Body)
+			c.report("call %s reached a replica as %s with body %q, want %s and %q", k.id, r.URI, r.Body, k.path+"x", "body of "+k.id)
 		}
 	}
 	if revoked && len(runs) > 0 && k.sent.After(revokedAt.Add(keyTTL)) {
-		c.report("call %s ran %v after its key was revoked", k.id, k.sent.Sub(revokedAt))
+		c.report("call %s was sent %v after its key was revoked and ran, allowed are %v", k.id, k.sent.Sub(revokedAt), keyTTL)
 	}
 }
 
@@ -141,8 +144,8 @@
 }
 
 // replicas checks that a VM without faults sends nothing to a replica later than drainTime
-// after that began to leave, and that a run under a cache salt has the weights that the salt
-// names.
+// after the replica began to drain, and that a run under a cache salt has the weights that the
+// salt names.
 func (c *checker) replicas(k *call, runs []platformlab.Run) {
 	c.h.mu.Lock()
 	defer c.h.mu.Unlock()
@@ -150,9 +153,9 @@
 		if r.Salt != "" && !strings.HasPrefix(r.Salt, fmt.Sprint(r.Version, "/")) {
 			c.report("call %s ran with weights %d under cache salt %q", k.id, r.Version, r.Salt)
 		}
-		left, ok := c.h.left[r.Replica]
-		if ok && c.h.checkTiming && k.faultFree && k.sent.After(left.Add(drainTime)) {
-			c.report("call %s ran at %s, %v after that replica began to leave", k.id, r.Replica, k.sent.Sub(left))
+		drainStart, ok := c.h.drainStart[r.Replica]
+		if ok && c.h.checkTiming && k.faultFree && k.sent.After(drainStart.Add(drainTime)) {
+			c.report("call %s was sent %v after replica %s began to drain and ran there, allowed are %v", k.id, k.sent.Sub(drainStart), r.Replica, drainTime)
 		}
 	}
 }
@@ -179,7 +182,7 @@
 	return true
 }
 
-// await polls f until it holds, for at most limit, and reports whether it did.
+// await polls f until it returns true, for at most limit, and reports whether it did.
 func await(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if f() {
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -10,7 +10,7 @@
 	"github.com/threadwall/threadwall/internal/lab/platformlab"
 )
 
-// A fatal request crashes each replica that runs it, and is repeated at all VMs.
+// A fatal request crashes each replica that runs it. The soak repeats it at random VMs.
 
 const (
 	// fatalBody is the beginning of the body of a fatal request.
@@ -19,8 +19,9 @@
 	fatalWork = 30 * time.Millisecond
 	// fatalInterval is the pause between two repeats.
 	fatalInterval = 200 * time.Millisecond
-	// maxFatalReplicas is how many replicas a fatal request may reach once all VMs can know of its
-	// first maxFatalReplicas crashes: faultFreeTime and a second after the last of those runs.
+	// maxFatalReplicas is how many replicas a fatal request may reach after all VMs can know that
+	// it crashed maxFatalReplicas replicas. All VMs can know it faultFreeTime and a second after
+	// the last of those runs started.
 	maxFatalReplicas = 3
 )
 
@@ -28,11 +29,11 @@
 type fatalCall struct {
 	id        string
 	sent      time.Time
-	faultFree bool // its VM had no fault for faultFreeTime
+	faultFree bool // its VM had no fault for faultFreeTime before it was sent
 }
 
-// onFatalCrash takes a replica that a fatal request crashed out of the list. A second later
-// it removes the replica from the store and starts another in its place.
+// onFatalCrash removes r, which a fatal request crashed, from the list of replicas. A second
+// later it removes r from the store and starts another replica in its place.
 func (h *harness) onFatalCrash(r *replica) {
 	end := h.begin()
 	r.proxy.Close()
@@ -81,8 +82,9 @@
 	}
 }
 
-// fatalBound checks that a fatal request reaches at most maxFatalReplicas replicas once all
-// VMs can know of it. When all VMs are killed, the fleet loses that knowledge.
+// fatalBound checks that a fatal request reaches at most maxFatalReplicas replicas after all VMs
+// can know that it is fatal. Calls after a kill of all VMs do not count, since the fleet loses
+// that knowledge then.
 func (c *checker) fatalBound() {
 	for body, calls := range c.h.fatal {
 		var starts []time.Time // of runs, which end soon after
@@ -102,13 +104,13 @@
 			}
 		}
 		if late > maxFatalReplicas {
-			c.report("request %q reached %d replicas after all VMs could know that it crashes replicas", body, late)
+			c.report("request %q reached %d replicas after all VMs could know that it crashes replicas, allowed are %d", body, late, maxFatalReplicas)
 		}
 	}
 }
 
-// allKilledBetween reports whether all VMs were killed between two times, or less than twice
-// faultFreeTime before.
+// allKilledBetween reports whether all VMs were killed between from and to, or less than twice
+// faultFreeTime before from.
 func (h *harness) allKilledBetween(from, to time.Time) bool {
 	for _, at := range h.allKilled {
 		if at.After(from.Add(-2*faultFreeTime)) && at.Before(to) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -113,7 +113,7 @@
 		r := h.takeReplica(rng)
 		r.Drain()
 		h.mu.Lock()
-		h.left[r.ID] = time.Now()
+		h.drainStart[r.ID] = time.Now()
 		h.mu.Unlock()
 		h.replace(r)
 		time.Sleep(drainTime + time.Second)
@@ -129,14 +129,14 @@
 		h.keys[i] = h.newKey()
 		h.config.Tenants[i].APIKeys = []string{h.keys[i]}
 		h.config.Version += 1 + rng.IntN(3)
-		h.write()
+		h.writeConfig()
 		h.revoked[old], h.issued[h.keys[i]] = time.Now(), time.Now()
 	}},
 	{"configurations in a row", func(h *harness, rng *rand.Rand) {
 		for range 5 {
 			h.mu.Lock()
 			h.config.Version++
-			h.write()
+			h.writeConfig()
 			h.mu.Unlock()
 			sleep(rng, 60*time.Millisecond)
 		}
@@ -149,14 +149,15 @@
 	}},
 }
 
-// inject draws faults until ctx ends, up to faultsAtOnce at a time, and waits for the last.
-func (h *harness) inject(ctx context.Context, rng *rand.Rand, done func(name string)) {
+// inject draws faults until ctx ends, up to faultsAtOnce at a time, and waits for the last. It
+// calls count with the name of each fault before the fault starts.
+func (h *harness) inject(ctx context.Context, rng *rand.Rand, count func(name string)) {
 	slots := make(chan struct{}, faultsAtOnce)
 	for timing.Sleep(ctx, time.Duration(rng.Int64N(int64(faultPause)))) {
 		f := faults[rng.IntN(len(faults))]
 		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		slots <- struct{}{}
-		done(f.name)
+		count(f.name)
 		go func() {
 			defer func() { <-slots }()
 			f.do(h, own)
@@ -168,9 +169,9 @@
 }
 
 const (
-	// faultsAtOnce is the number of faults that may last at the same time.
+	// faultsAtOnce is the number of faults that may be active at the same time.
 	faultsAtOnce = 3
-	// faultPause is the longest drawn pause before the next fault.
+	// faultPause bounds the drawn pause before the next fault.
 	faultPause = 1200 * time.Millisecond
 )
 
@@ -219,7 +220,7 @@
 	return r
 }
 
-// replace starts a replica of the same service.
+// replace starts another replica of the service of r.
 func (h *harness) replace(r *replica) {
 	if err := h.addReplica(r.Service); err != nil {
 		panic(err) // the soak needs all its replicas
@@ -227,6 +228,7 @@
 }
 
 // injectResponses has a replica answer half of its requests with respond for a drawn time.
+// respond returns true if it handled the request; otherwise the replica executes it.
 func (h *harness) injectResponses(rng *rand.Rand, respond func(http.ResponseWriter, *http.Request) bool) {
 	defer h.begin()()
 	r := h.anyReplica(rng)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -19,26 +19,27 @@
 // process is one threadwalld process. The soak signals only processes that it started, by
 // their ids.
 type process struct {
-	name     string
-	program  string
-	settings string // file
-	log      string // file
-	listen   string
-	ready    string
-	store    *Proxy
+	name         string
+	program      string
+	settingsFile string
+	logFile      string
+	listen       string
+	ready        string
+	store        *Proxy
 
-	mu        sync.Mutex
-	cmd       *exec.Cmd
-	exited    chan struct{}
-	lastFault time.Time // start or end of the last fault on the process or its path to the store
-	faults    int       // number of faults that last
-	stopped   bool      // SIGTERM was sent and the process has not started again
-	// signalled are the times at which the process got a signal or started.
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{} // closed when the process has ended
+	lastFault    time.Time     // start or end of the last fault on the process or its path to the store
+	activeFaults int           // number of faults in progress
+	stopped      bool          // SIGTERM was sent and the process has not started again
+	// signalled holds the times at which the process received an OS signal or started.
 	signalled []time.Time
 }
 
-// newProcess writes settings for a VM and starts it. In fleets of more than directFleet VMs,
-// one VM reads the store for the others.
+// newProcess writes the settings of a VM and starts its process, which reaches the store at
+// storeAddr through a proxy. In fleets of more than directFleet VMs, one VM reads the store for
+// the others.
 func newProcess(dir, program, name, storeAddr string, directFleet int) (*process, error) {
 	store, err := NewProxy(storeAddr)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	p := &process{
 		name: name, program: program, store: store,
-		settings: filepath.Join(dir, name+".json"), log: filepath.Join(dir, name+".log"),
+		settingsFile: filepath.Join(dir, name+".json"), logFile: filepath.Join(dir, name+".log"),
 		// The addresses are reserved by this process, which outlives the daemons that listen
 		// on them: a restarted daemon finds them free, and no other program gets its calls.
 		listen: loopback.Addr(), ready: loopback.Addr(),
@@ -64,7 +65,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode settings")
 	}
-	if err := os.WriteFile(p.settings, data, 0o600); err != nil {
+	if err := os.WriteFile(p.settingsFile, data, 0o600); err != nil {
 		return nil, eris.Wrap(err, "write settings")
 	}
 	return p, p.start()
@@ -77,12 +78,12 @@
 	if p.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
 	defer func() { _ = out.Close() }() // the process has its own descriptor
-	cmd := exec.Command(p.program, "run", "-s", p.settings)
+	cmd := exec.Command(p.program, "run", "-s", p.settingsFile)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := cmd.Start(); err != nil {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// signal sends a signal if the process is running, and records a fault either way.
+// signal sends an OS signal if the process is running, and records a fault either way.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +116,8 @@
 	}
 }
 
-// signalledBetween reports whether the process got a signal or started between two times, and
-// so may have lost its state.
+// signalledBetween reports whether the process received an OS signal or started between two
+// times. Then it may have lost its state.
 func (p *process) signalledBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,33 +129,34 @@
 	return false
 }
 
-// markFault records a fault on the process or its path.
+// markFault records a fault on the process or its path to the store.
 func (p *process) markFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastFault = time.Now()
 }
 
-// begin records the start of a fault on the process or its path. The caller must call the
-// returned function at the end of the fault.
+// begin records the start of a fault on the process or its path to the store. The caller must
+// call the returned function at the end of the fault.
 func (p *process) begin() (end func()) {
 	p.markFault()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults++
+	p.activeFaults++
 	return func() {
 		p.markFault()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.faults--
+		p.activeFaults--
 	}
 }
 
-// faultFree reports whether the process is running, has no fault and had none for the given time.
-func (p *process) faultFree(since time.Duration) bool {
+// faultFree reports whether the process is running, has no fault and had none for the given
+// duration.
+func (p *process) faultFree(duration time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cmd != nil && !p.stopped && p.faults == 0 && time.Since(p.lastFault) > since
+	return p.cmd != nil && !p.stopped && p.activeFaults == 0 && time.Since(p.lastFault) > duration
 }
 
 // await waits for the process to end, for at most limit, and reports whether it did.
@@ -184,7 +186,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// end kills the process and its proxy.
+// end kills the process and closes its proxy.
 func (p *process) end() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -16,7 +16,7 @@
 	Pass      Fault = iota
 	Delay           // each chunk of data is delayed by delayTime
 	Blackhole       // no data passes in either direction; new connections are accepted and hang
-	NoReply         // data from the client passes, no data comes back
+	NoReply         // data from the client passes, data to the client does not
 	Refuse          // new connections are reset at once
 )
 
@@ -26,24 +26,25 @@
 // pollInterval is how often a blocked copy checks the fault.
 const pollInterval = 5 * time.Millisecond
 
-// Proxy forwards TCP connections to a target on loopback and injects a fault when one is
-// set. It is safe for concurrent use.
+// Proxy forwards TCP connections to an upstream address and injects a fault while one is set.
+// It is safe for concurrent use.
 type Proxy struct {
-	target string
-	l      net.Listener
-	fault  atomic.Int32
+	upstream string
+	l        net.Listener
+	fault    atomic.Int32
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 }
 
-// NewProxy starts a proxy for target on a free loopback port. The caller must close it.
-func NewProxy(target string) (*Proxy, error) {
+// NewProxy starts a proxy for the address upstream, host:port, on a free loopback port. The
+// caller must close it.
+func NewProxy(upstream string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, l: l, conns: map[net.Conn]bool{}}
+	p := &Proxy{upstream: upstream, l: l, conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -86,12 +87,12 @@
 		_ = client.Close()
 		return
 	}
-	server, err := net.Dial("tcp", p.target)
+	server, err := net.Dial("tcp", p.upstream)
 	if err != nil {
 		_ = client.Close()
 		return
 	}
-	p.keep(client, server)
+	p.track(client, server)
 	var both sync.WaitGroup
 	both.Go(func() { p.copy(server, client, false) })
 	both.Go(func() { p.copy(client, server, true) })
@@ -99,7 +100,7 @@
 	p.drop(client, server)
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -116,7 +117,8 @@
 	}
 }
 
-// copy forwards data in one direction. EOF of one side half-closes the other; an error resets it.
+// copy forwards data in one direction; reply states that it is the direction to the client. At
+// EOF of from it half-closes to; after an error it resets to and closes from.
 func (p *Proxy) copy(to, from net.Conn, reply bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -140,7 +142,8 @@
 	_ = from.Close()
 }
 
-// hold blocks for as long as the fault delays or blocks data of this direction.
+// hold blocks for as long as the fault delays or blocks data of one direction: to the client if
+// reply is set, else to the upstream.
 func (p *Proxy) hold(reply bool) {
 	for {
 		switch f := Fault(p.fault.Load()); {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -21,7 +21,7 @@
 	// Busy states that the machine has other work. Timing bounds, such as that every call
 	// without a fault is served, are not checked then.
 	Busy bool
-	// Keep leaves settings and logs in place also when the soak found no violation.
+	// Keep states that settings and logs are kept even if the soak finds no violation.
 	Keep bool
 }
 
@@ -30,15 +30,15 @@
 	Seed       uint64         `json:"seed"`
 	Calls      int            `json:"calls"`
 	Served     int            `json:"served"`
-	Runs       int            `json:"runs"`
-	Faults     map[string]int `json:"faults"`
+	Runs       int            `json:"runs"`             // of calls at replicas
+	Faults     map[string]int `json:"faults"`           // number of faults and signals, by name
 	Violations []string       `json:"broken,omitempty"` // of the guarantees
-	Logs       []string       `json:"logs,omitempty"`   // files that were left in place
+	Logs       []string       `json:"logs,omitempty"`   // paths of files that were kept
 }
 
-// Bounds of the time after the last fault.
+// Times after the last fault.
 const (
-	// recoverTime is how long the VMs may take until all are ready again.
+	// recoverTime is how long the VMs may take until all are ready, also after their first start.
 	recoverTime = 10 * time.Second
 	// settleTime is how long the engines may take until all have the newest weights.
 	settleTime = 15 * time.Second
@@ -47,7 +47,7 @@
 )
 
 // Run runs one soak. It returns an error if the soak could not be run; violations are in the
-// report.
+// report. It panics if a VM or a replica can't be started again after a fault.
 func Run(ctx context.Context, o Options) (Report, error) {
 	report := Report{Seed: o.Seed, Faults: map[string]int{}}
 	dir, err := makeDir()
@@ -61,21 +61,21 @@
 		return report, err
 	}
 	if !await(recoverTime, h.readyAll) {
-		return report, fmt.Errorf("VMs did not become ready, see logs in %s", dir)
+		return report, fmt.Errorf("not all VMs became ready within %v of their start, see logs in %s", recoverTime, dir)
 	}
 	c := &callers{h: h}
-	calling, stop := context.WithCancel(ctx)
-	c.run(calling, o.Callers, o.Seed)
-	c.runLimited(calling, o.Seed)
-	faulty, done := context.WithTimeout(ctx, o.FaultDuration)
-	apart, signals := h.injectExtraFaults(faulty, o.Seed), h.injectSignals(faulty, o.Seed)
-	h.inject(faulty, rand.New(rand.NewPCG(o.Seed, 0)), func(name string) { report.Faults[name]++ })
-	maps.Copy(report.Faults, apart())
-	maps.Copy(report.Faults, signals())
-	done()
+	callCtx, stopCalls := context.WithCancel(ctx)
+	c.run(callCtx, o.Callers, o.Seed)
+	c.runLimited(callCtx, o.Seed)
+	faultCtx, stopFaults := context.WithTimeout(ctx, o.FaultDuration)
+	waitExtraFaults, waitSignals := h.injectExtraFaults(faultCtx, o.Seed), h.injectSignals(faultCtx, o.Seed)
+	h.inject(faultCtx, rand.New(rand.NewPCG(o.Seed, 0)), func(name string) { report.Faults[name]++ })
+	maps.Copy(report.Faults, waitExtraFaults())
+	maps.Copy(report.Faults, waitSignals())
+	stopFaults()
 	h.awaitRecovery(&report)
 	time.Sleep(afterTime)
-	stop()
+	stopCalls()
 	c.wg.Wait()
 	h.evaluate(c.all(), &report)
 	if len(report.Violations) > 0 || o.Keep {
@@ -85,8 +85,8 @@
 	return report, os.RemoveAll(dir)
 }
 
-// directFleet returns the largest fleet whose VMs all read the store themselves. In every
-// second seed it is 1, so that one VM reads the store for the others.
+// directFleet returns the size, in VMs, of the largest fleet whose VMs all read the store
+// themselves. For every second seed it is 1, so that one VM reads the store for the others.
 func directFleet(seed uint64) int {
 	if seed%2 == 0 {
 		return 1
@@ -95,13 +95,13 @@
 }
 
 // awaitRecovery waits until all VMs are ready and all engines have the newest weights, and adds a
-// violation to the report for each bound that is missed.
+// violation to the report for each of the two that does not happen in time.
 func (h *harness) awaitRecovery(r *Report) {
 	if !await(recoverTime, h.readyAll) {
-		r.Violations = append(r.Violations, "not all VMs are ready again after the last fault")
+		r.Violations = append(r.Violations, fmt.Sprintf("not all VMs were ready again within %v of the last fault", recoverTime))
 	}
 	if !await(settleTime, h.settled) {
-		r.Violations = append(r.Violations, "not all engines have the newest weights")
+		r.Violations = append(r.Violations, fmt.Sprintf("not all engines had the newest weights within %v of the recovery of the VMs", settleTime))
 	}
 	time.Sleep(faultFreeTime) // later calls count as free of faults
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// regressions are seeds that once showed a fault, with its cause. The draws of a seed are
-// fixed but their timing is not, so each cause also has a test of its own.
+// regressions are seeds that once showed a violation, with its cause. A seed fixes the faults but
+// not their timing, so each cause also has a test of its own, named in parentheses.
 var regressions = []struct {
 	seed  uint64
 	cause string
@@ -26,7 +26,7 @@
 	{110, "a decision used a snapshot older than a change that was being applied (fleet TestSnapshotShowsMarkedChanges)"},
 }
 
-// build builds the daemon.
+// build compiles threadwalld into a temporary directory and returns its path.
 func build(t *testing.T) (program string) {
 	t.Helper()
 	program = filepath.Join(t.TempDir(), "threadwalld")
@@ -49,7 +49,7 @@
 			t.Errorf("seed %d (%s): %v, logs %v", r.seed, r.cause, report.Violations, report.Logs)
 		}
 		if report.Served == 0 {
-			t.Errorf("seed %d: no call was served", r.seed)
+			t.Errorf("seed %d: none of %d calls was served", r.seed, report.Calls)
 		}
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -33,7 +33,7 @@
 	// propagationTime is how long a VM without faults may take to apply a configuration after
 	// the store confirmed it.
 	propagationTime = 2 * time.Second
-	// faultFreeTime is how long no fault may have occurred for timing bounds to hold.
+	// faultFreeTime is the time without faults after which timing bounds hold again.
 	faultFreeTime = 3 * time.Second
 	// drainTime is how long a draining replica continues to serve.
 	drainTime = 2 * time.Second
@@ -45,25 +45,25 @@
 	store  *platformlab.Store
 	ledger *platformlab.Ledger
 	vms    []*process
-	// checkTiming: calls without a fault must be served, and timing bounds must hold.
+	// checkTiming states that calls without a fault must be served and timing bounds must hold.
 	checkTiming bool
 
-	mu           sync.Mutex
-	replicas     []*replica
-	started      int
-	config       config
-	confirms     []confirm
-	revoked      map[string]time.Time // when the store confirmed the revocation of a key
-	issued       map[string]time.Time // when the store confirmed a key that replaced another
-	left         map[string]time.Time // when a replica began to drain, by its id
-	keys         [keyCount]string
-	keyNumber    int
-	weights      int
-	fatal        map[string][]fatalCall // repeats of fatal requests, by body
-	crashes      int                    // of replicas that ran fatal requests
-	allKilled    []time.Time            // when all VMs were killed
-	lastFault    time.Time              // start or end of the last fault outside the VMs
-	activeFaults int                    // number of faults outside the VMs that last
+	mu            sync.Mutex
+	replicas      []*replica
+	replicaNumber int // of the last replica, as in its id
+	config        config
+	confirmations []confirmation
+	revoked       map[string]time.Time // when the store confirmed the revocation of a key
+	issued        map[string]time.Time // when the store confirmed a key that replaced another
+	drainStart    map[string]time.Time // when a replica began to drain, by its id
+	keys          [keyCount]string
+	keyNumber     int                    // of the last key
+	weights       int                    // newest version
+	fatal         map[string][]fatalCall // repeats of fatal requests, by body
+	crashes       int                    // of replicas that ran fatal requests
+	allKilled     []time.Time            // times at which all VMs were killed
+	lastFault     time.Time              // start or end of the last fault outside the VMs
+	activeFaults  int                    // number of faults in progress outside the VMs
 }
 
 // replica is a simulated replica behind a proxy.
@@ -84,13 +84,13 @@
 type tenant struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"apiKeys"`
-	// Allowance in requests; 0 means none.
+	// The allowance, in requests/s and requests; 0 means no limit.
 	RatePerS float64 `json:"ratePerS,omitempty"`
 	Burst    float64 `json:"burst,omitempty"`
 }
 
-// confirm is a configuration version and when the store confirmed it.
-type confirm struct {
+// confirmation is a configuration version and the time at which the store confirmed it.
+type confirmation struct {
 	version int
 	at      time.Time
 }
@@ -105,7 +105,7 @@
 // newHarness starts the store, three replicas of each service and vms processes. The caller
 // must close the returned harness, also after an error.
 func newHarness(dir, program string, vms, directFleet int) (*harness, error) {
-	h := &harness{dir: dir, store: platformlab.NewStore(), ledger: &platformlab.Ledger{}, revoked: map[string]time.Time{}, issued: map[string]time.Time{}, left: map[string]time.Time{}, fatal: map[string][]fatalCall{}, weights: 1}
+	h := &harness{dir: dir, store: platformlab.NewStore(), ledger: &platformlab.Ledger{}, revoked: map[string]time.Time{}, issued: map[string]time.Time{}, drainStart: map[string]time.Time{}, fatal: map[string][]fatalCall{}, weights: 1}
 	h.config = config{
 		Version: 1,
 		Routes: []map[string]any{
@@ -122,7 +122,7 @@
 	h.config.Tenants = append(h.config.Tenants, tenant{
 		Name: limitedWorkspace, APIKeys: []string{limitedKey}, RatePerS: limitedRate, Burst: limitedBurst,
 	})
-	h.write()
+	h.writeConfig()
 	h.store.Put("versions", model, map[string]any{"model": model, "version": h.weights})
 	for range 3 {
 		if err := h.addReplica("llm"); err != nil {
@@ -147,18 +147,18 @@
 	return fmt.Sprintf("key-%d", h.keyNumber)
 }
 
-// write stores the configuration. The caller holds mu, unless no other goroutine uses the
-// harness yet.
-func (h *harness) write() {
+// writeConfig writes the configuration to the store. The caller holds mu, unless no other
+// goroutine uses the harness yet.
+func (h *harness) writeConfig() {
 	h.store.Put("config", "main", h.config)
-	h.confirms = append(h.confirms, confirm{h.config.Version, time.Now()})
+	h.confirmations = append(h.confirmations, confirmation{h.config.Version, time.Now()})
 }
 
 // addReplica starts a replica of a service behind a proxy.
 func (h *harness) addReplica(service string) error {
 	h.mu.Lock()
-	h.started++
-	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, h.started), Service: service, Zone: "z1", ServiceTime: 3 * time.Millisecond}}
+	h.replicaNumber++
+	r := &replica{Replica: &platformlab.Replica{ID: fmt.Sprintf("i-%s-%d", service, h.replicaNumber), Service: service, Zone: "z1", ServiceTime: 3 * time.Millisecond}}
 	if service == "llm" {
 		r.Model, r.Chunks, r.ChunkInterval = model, chunks, 5*time.Millisecond
 		r.SetVersion(h.weights)
@@ -180,20 +180,20 @@
 	return nil
 }
 
-// key returns the i-th key that is valid now.
+// key returns the current key of the i-th workspace.
 func (h *harness) key(i int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keys[i]
 }
 
-// confirmed returns the newest version that the store confirmed more than propagationTime
-// ago.
-func (h *harness) confirmed() int {
+// confirmedVersion returns the newest configuration version that the store confirmed more than
+// propagationTime ago.
+func (h *harness) confirmedVersion() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	version := 0
-	for _, c := range h.confirms {
+	for _, c := range h.confirmations {
 		if time.Since(c.at) > propagationTime {
 			version = c.version
 		}
@@ -219,9 +219,9 @@
 // faultFreeTime.
 func (h *harness) faultFree(p *process) bool {
 	h.mu.Lock()
-	quiet := h.activeFaults == 0 && time.Since(h.lastFault) > faultFreeTime
+	outsideFaultFree := h.activeFaults == 0 && time.Since(h.lastFault) > faultFreeTime
 	h.mu.Unlock()
-	return quiet && p.faultFree(faultFreeTime)
+	return outsideFaultFree && p.faultFree(faultFreeTime)
 }
 
 // close ends all processes and replicas, and the store.
