--- a/internal/yardstick/engine.go
+++ b/internal/yardstick/engine.go
@@ -1,8 +1,11 @@
 // Package yardstick compares routing policies by simulation. Runs are in virtual
 // time and seeded, so a seed always gives the same figures. The decision code is
 // the production code (packages fleet, routing, cacheview, loadview, membership,
-// retry); only the engines and the clock are emulated. The network, processes and
-// the membership protocol are not modeled.
+// retry, admission); only the engines and the clock are emulated. The network,
+// processes and the membership protocol are not modeled.
+//
+// A second, simpler simulation (ReplayTransfers) compares policies for the transfer
+// of KV cache between engines and a store. It runs packages routing and verdict.
 package yardstick
 
 import (
@@ -52,6 +55,7 @@
 	heap.Push(&c.queue, event{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
+// every runs do at intervals of d, the last time at or after until.
 func (c *clock) every(d time.Duration, until time.Time, do func()) {
 	c.after(d, func() {
 		do()
@@ -75,7 +79,7 @@
 	Overhead    time.Duration // fixed time of each prefill
 	Slots       int           // responses generated concurrently
 	TokenEvery  time.Duration // time between output tokens
-	CacheTokens int
+	CacheTokens int           // capacity of the prefix cache
 }
 
 // blockTokens is the size of a cache block of an emulated engine. It is larger
@@ -84,14 +88,14 @@
 
 // job is one attempt at an engine.
 type job struct {
-	number   uint64
-	blocks   []prefix.ID
-	tokens   int
-	output   int
-	priority int
-	uncached int // set when the prefill begins
-	started  func(cached int)
-	done     func(ok bool)
+	number       uint64
+	blocks       []prefix.ID
+	tokens       int
+	output       int
+	priority     int
+	uncached     int // prompt tokens that are not cached; set when the prefill begins
+	onFirstToken func(cached int)
+	done         func(ok bool)
 }
 
 // fakeEngine prefills one job at a time and generates responses in a limited
@@ -116,13 +120,14 @@
 	return e
 }
 
+// restart starts the engine with an empty cache.
 func (e *fakeEngine) restart(incarnation ids.Incarnation) {
 	e.incarnation, e.up, e.feed = incarnation, true, nil
 	e.running = map[*job]bool{}
 	e.cache = blockcache.New(e.spec.CacheTokens/blockTokens, func(ev cacheview.Event) { e.feed = append(e.feed, ev) })
 }
 
-// crash clears the engine and fails all of its jobs.
+// crash stops the engine, fails all of its jobs and increments its incarnation.
 func (e *fakeEngine) crash() {
 	lost := e.queue
 	if e.prefilling != nil {
@@ -141,6 +146,8 @@
 	return slices.SortedFunc(maps.Keys(m), func(a, b *job) int { return cmp.Compare(a.number, b.number) })
 }
 
+// submit queues a job behind those of the same or a higher priority. If the engine is
+// down, the job fails after a millisecond.
 func (e *fakeEngine) submit(j *job) {
 	if !e.up {
 		e.clk.after(time.Millisecond, func() { j.done(false) })
@@ -172,7 +179,7 @@
 		}
 		e.prefilling = nil
 		e.running[j] = true
-		j.started(cached)
+		j.onFirstToken(cached)
 		e.clk.after(time.Duration(j.output)*e.spec.TokenEvery, func() { e.finish(j) })
 		e.startPrefill()
 	})
@@ -200,7 +207,8 @@
 	return n
 }
 
-// exactWait returns the time until the prefill of a job submitted now would start.
+// exactWait returns the time until the prefill of a job of the lowest priority, submitted
+// now, would start if a slot were always free.
 func (e *fakeEngine) exactWait() time.Duration {
 	wait := time.Duration(0)
 	if e.prefilling != nil {
--- a/internal/yardstick/moves.go
+++ b/internal/yardstick/moves.go
@@ -28,22 +28,22 @@
 
 // TransferWorkload is a workload and its fleet, in the format of a workload file.
 type TransferWorkload struct {
-	Seconds      float64         `json:"seconds" validate:"gt=0"`
+	Seconds      float64         `json:"seconds" validate:"gt=0"` // duration of the run
 	Engines      int             `json:"engines" validate:"min=1"`
-	Domains      int             `json:"domains" validate:"min=1"`
+	Domains      int             `json:"domains" validate:"min=1"`       // failure domains
 	EngineTokens int             `json:"engine_tokens" validate:"min=1"` // KV cache of one engine
 	PrefillPerS  float64         `json:"prefill_per_s" validate:"gt=0"`  // tokens/s
 	TokenBytes   float64         `json:"token_bytes" validate:"gt=0"`    // KV cache of one token
-	LinkGbitS    float64         `json:"link_gbit_s" validate:"gt=0"`
-	StoreTokens  int             `json:"store_tokens" validate:"min=0"`
+	LinkGbitS    float64         `json:"link_gbit_s" validate:"gt=0"`    // of each link, within a failure domain
+	StoreTokens  int             `json:"store_tokens" validate:"min=0"`  // KV cache of the store
 	Routes       []TransferRoute `json:"routes" validate:"min=1,dive"`
 }
 
 // TransferRoute is one kind of prompt.
 type TransferRoute struct {
 	Name     string          `json:"name" validate:"required"`
-	PerS     float64         `json:"per_s" validate:"gt=0"`
-	Levels   []TransferLevel `json:"levels" validate:"dive"`
+	PerS     float64         `json:"per_s" validate:"gt=0"`         // prompts/s
+	Levels   []TransferLevel `json:"levels" validate:"dive"`        // sections of the shared prefix, in order
 	Suffix   float64         `json:"own" validate:"gt=0"`           // mean length of the unshared suffix, in tokens
 	Spread   float64         `json:"spread" validate:"min=0"`       // standard deviation of the logarithm of the suffix length
 	OutputMs float64         `json:"output_ms" validate:"required"` // time for which the run occupies memory after the prefill
@@ -58,21 +58,21 @@
 
 // ReadTransferWorkload reads and validates a workload file, which is JSON with comments.
 func ReadTransferWorkload(path string) (TransferWorkload, error) {
-	var l TransferWorkload
+	var workload TransferWorkload
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return l, eris.Wrap(err, "read workload")
+		return workload, eris.Wrap(err, "read workload")
 	}
 	std, err := hujson.Standardize(data)
 	if err != nil {
-		return l, eris.Wrapf(err, "workload %s", path)
+		return workload, eris.Wrapf(err, "parse workload %s", path)
 	}
 	dec := json.NewDecoder(bytes.NewReader(std))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(&l); err != nil {
-		return l, eris.Wrapf(err, "workload %s", path)
+	if err := dec.Decode(&workload); err != nil {
+		return workload, eris.Wrapf(err, "decode workload %s", path)
 	}
-	return l, eris.Wrapf(validator.New(validator.WithRequiredStructEnabled()).Struct(l), "workload %s", path)
+	return workload, eris.Wrapf(validator.New(validator.WithRequiredStructEnabled()).Struct(workload), "validate workload %s", path)
 }
 
 // TransferPolicy plans the transfers of a prompt.
@@ -82,32 +82,32 @@
 type TransferResult struct {
 	Prompts          int
 	Computed         float64                    // tokens
-	RecomputedShared float64                    // tokens of shared prefixes that had been computed before
+	RecomputedShared float64                    // tokens of shared prefixes that were computed again
 	Transferred      float64                    // tokens sent over links
 	Saves            int                        // saves that were sent to the store
-	SavesSkipped     int                        // saves that were given up since the link was busy for more than maxLinkWait
+	SavesSkipped     int                        // saves not sent since they would have waited for a link for more than maxLinkWait
 	TTFT             map[string][]time.Duration // by route, sorted
 }
 
 // Quantile returns a quantile (0 to 1) of the TTFT of a route; 0 if the route has no prompts.
 func (r *TransferResult) Quantile(route string, q float64) time.Duration {
-	w := r.TTFT[route]
-	if len(w) == 0 {
+	ttfts := r.TTFT[route]
+	if len(ttfts) == 0 {
 		return 0
 	}
-	return w[min(int(q*float64(len(w))), len(w)-1)]
+	return ttfts[min(int(q*float64(len(ttfts))), len(ttfts)-1)]
 }
 
 // transferSimulation is the state of one run. Times are in seconds since its start.
 type transferSimulation struct {
-	l        TransferWorkload
+	workload TransferWorkload
 	policy   TransferPolicy
 	router   *routing.Router
 	rnd      *rand.Rand
 	engines  []*node
 	store    *node
 	view     routing.View
-	computed map[prefix.ID]bool // sections of shared prefixes that were computed before
+	computed map[prefix.ID]bool // sections of shared prefixes that engines have computed
 	res      *TransferResult
 	scratch  routing.Scratch
 	seq      uint64
@@ -117,12 +117,12 @@
 type node struct {
 	addr        string
 	domain      ids.FailureDomain
-	capacity    int
-	used        int
+	capacity    int // tokens
+	used        int // tokens
 	entries     map[prefix.ID]*cacheEntry
-	prefillFree float64 // time at which the queue of prefills ends
-	linkFree    float64 // time at which the last transfer ends
-	runEnds     []float64
+	prefillFree float64   // time at which the queue of prefills ends
+	linkFree    float64   // time at which the last transfer ends
+	runEnds     []float64 // times at which the runs on the engine end
 }
 
 // cacheEntry is a section of a prompt in the memory of a node.
@@ -141,21 +141,21 @@
 const maxLinkWait = 2
 
 // ReplayTransfers simulates a workload under a policy. A seed always gives the same result.
-func ReplayTransfers(l TransferWorkload, policy TransferPolicy, seed uint64) *TransferResult {
+func ReplayTransfers(workload TransferWorkload, policy TransferPolicy, seed uint64) *TransferResult {
 	w := &transferSimulation{
-		l: l, policy: policy, router: routing.NewFetching(), rnd: rand.New(rand.NewPCG(seed, 7)), computed: map[prefix.ID]bool{},
-		res: &TransferResult{TTFT: map[string][]time.Duration{}}, store: newNode(storeAddr, "d0", l.StoreTokens),
+		workload: workload, policy: policy, router: routing.NewFetching(), rnd: rand.New(rand.NewPCG(seed, 7)), computed: map[prefix.ID]bool{},
+		res: &TransferResult{TTFT: map[string][]time.Duration{}}, store: newNode(storeAddr, "d0", workload.StoreTokens),
 	}
-	for i := range l.Engines {
-		e := newNode(fmt.Sprint("e", i), ids.FailureDomain(fmt.Sprint("d", i%l.Domains)), l.EngineTokens)
+	for i := range workload.Engines {
+		e := newNode(fmt.Sprint("e", i), ids.FailureDomain(fmt.Sprint("d", i%workload.Domains)), workload.EngineTokens)
 		w.engines = append(w.engines, e)
 		w.view.Targets = append(w.view.Targets, routing.Target{ID: ids.Target(e.addr), FailureDomain: e.domain, Service: "s", Addr: e.addr, Hash: routing.HashTarget(ids.Target(e.addr))})
 	}
 	rate := 0.0
-	for _, r := range l.Routes {
+	for _, r := range workload.Routes {
 		rate += r.PerS
 	}
-	for now := w.rnd.ExpFloat64() / rate; now < l.Seconds; now += w.rnd.ExpFloat64() / rate {
+	for now := w.rnd.ExpFloat64() / rate; now < workload.Seconds; now += w.rnd.ExpFloat64() / rate {
 		w.serve(now, w.draw(rate))
 	}
 	for _, waits := range w.res.TTFT {
@@ -173,16 +173,17 @@
 	route  *TransferRoute
 	levels []prefix.Level // sections of the shared prefix
 	suffix prefix.ID
-	tokens int32
+	tokens int32 // length, with the suffix
 }
 
+// draw draws the next prompt, given the total rate of all routes in prompts/s.
 func (w *transferSimulation) draw(rate float64) transferPrompt {
 	x := w.rnd.Float64() * rate
-	p := transferPrompt{route: &w.l.Routes[len(w.l.Routes)-1]}
+	p := transferPrompt{route: &w.workload.Routes[len(w.workload.Routes)-1]}
 	at := 0
-	for i := range w.l.Routes {
-		if x -= w.l.Routes[i].PerS; x < 0 {
-			p.route, at = &w.l.Routes[i], i
+	for i := range w.workload.Routes {
+		if x -= w.workload.Routes[i].PerS; x < 0 {
+			p.route, at = &w.workload.Routes[i], i
 			break
 		}
 	}
@@ -202,8 +203,8 @@
 	in := make([]routing.Input, len(w.engines))
 	for i, e := range w.engines {
 		in[i] = routing.Input{
-			State: routing.Live, SlowStart: 1, PrefillRate: float32(w.l.PrefillPerS), Cached: e.holds(p.levels, now), Slots: 64,
-			QueueTokens: float32(max(e.prefillFree-now, 0) * w.l.PrefillPerS), InFlight: int32(e.running(now)),
+			State: routing.Live, SlowStart: 1, PrefillRate: float32(w.workload.PrefillPerS), Cached: e.holds(p.levels, now), Slots: 64,
+			QueueTokens: float32(max(e.prefillFree-now, 0) * w.workload.PrefillPerS), InFlight: int32(e.running(now)),
 		}
 	}
 	req := routing.Request{
@@ -227,7 +228,8 @@
 	return levels[len(levels)-1].Tokens
 }
 
-// locations returns where the prefix of a prompt is cached, apart from the chosen engine.
+// locations returns how much of the prefix of a prompt the chosen engine and the store hold,
+// which other engine holds most of it, and the rendezvous target if it is not the chosen engine.
 func (w *transferSimulation) locations(chosen int, in []routing.Input, levels []prefix.Level, now float64) verdict.Locations {
 	at := verdict.Locations{Held: in[chosen].Cached, Store: verdict.Source{Addr: storeAddr, Tokens: w.store.holds(levels, now)}}
 	for i, e := range w.engines {
@@ -257,7 +259,7 @@
 			held = max(held, l.Tokens)
 		}
 	}
-	end := start + float64(p.tokens-held)/w.l.PrefillPerS
+	end := start + float64(p.tokens-held)/w.workload.PrefillPerS
 	e.prefillFree = end
 	w.res.Prompts++
 	w.res.Computed += float64(p.tokens - held)
@@ -283,14 +285,14 @@
 // save sends the sections of a prompt that the store lacks, including the unshared suffix.
 func (w *transferSimulation) save(now float64, e *node, p transferPrompt) {
 	last, missing := int32(0), 0
-	type chunk struct {
+	type section struct {
 		id     prefix.ID
 		tokens int
 	}
-	var chunks []chunk
+	var sections []section
 	for _, l := range append(slices.Clone(p.levels), prefix.Level{ID: p.suffix, Tokens: p.tokens}) {
 		if w.store.entries[l.ID] == nil {
-			chunks = append(chunks, chunk{l.ID, int(l.Tokens - last)})
+			sections = append(sections, section{l.ID, int(l.Tokens - last)})
 			missing += int(l.Tokens - last)
 		}
 		last = l.Tokens
@@ -301,7 +303,7 @@
 		return
 	}
 	w.res.Saves++
-	for _, x := range chunks {
+	for _, x := range sections {
 		w.store.put(x.id, x.tokens, now, end, end)
 	}
 }
@@ -320,13 +322,14 @@
 }
 
 // transfer sends tokens over the links of both nodes, after the transfers queued there. Between
-// failure domains it takes twice as long. It returns false if the wait exceeds maxLinkWait.
+// failure domains it takes twice as long. It returns the time at which the transfer ends, or false
+// if the transfer would wait longer than maxLinkWait and so is not started.
 func (w *transferSimulation) transfer(now float64, from, to *node, tokens float64) (end float64, ok bool) {
 	begin := max(now, from.linkFree, to.linkFree)
 	if begin-now > maxLinkWait {
 		return 0, false
 	}
-	duration := tokens * w.l.TokenBytes * 8 / (w.l.LinkGbitS * 1e9)
+	duration := tokens * w.workload.TokenBytes * 8 / (w.workload.LinkGbitS * 1e9)
 	if from.domain != to.domain {
 		duration *= 2
 	}
@@ -351,8 +354,8 @@
 	return held
 }
 
-// put adds a section, and evicts the least recently used ones that no run uses if the capacity
-// is exceeded.
+// put adds a section. If that exceeds the capacity, it evicts the least recently used sections
+// that no run uses.
 func (e *node) put(id prefix.ID, tokens int, now, ready, pinnedUntil float64) {
 	if entry := e.entries[id]; entry != nil {
 		entry.lastUse, entry.pinnedUntil = now, max(entry.pinnedUntil, pinnedUntil)
@@ -375,7 +378,7 @@
 	}
 }
 
-// running returns the number of runs that have not ended.
+// running returns the number of runs on the engine that have not ended.
 func (e *node) running(now float64) int {
 	e.runEnds = slices.DeleteFunc(e.runEnds, func(end float64) bool { return end <= now })
 	return len(e.runEnds)
--- a/internal/yardstick/moves_test.go
+++ b/internal/yardstick/moves_test.go
@@ -13,36 +13,36 @@
 // saveAlways is verdict.PlanTransfer with a save for every prompt whose shared prefix is not
 // wholly in the store, whatever the length of the unshared suffix.
 func saveAlways(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
-	m := verdict.PlanTransfer(p, at)
-	m.Save = p.Shared >= verdict.MinTransfer && at.Store.Tokens < p.Shared
-	return m
+	plan := verdict.PlanTransfer(p, at)
+	plan.Save = p.Shared >= verdict.MinTransfer && at.Store.Tokens < p.Shared
+	return plan
 }
 
 // transferAnything is verdict.PlanTransfer without the minimum size of a transfer.
 func transferAnything(p verdict.Prompt, at verdict.Locations) verdict.TransferPlan {
-	m := verdict.PlanTransfer(p, at)
-	if m.Fetch == "" && at.Holder.Tokens > at.Held {
-		m.Fetch = at.Holder.Addr
-	} else if m.Fetch == "" && at.Store.Tokens > at.Held {
-		m.Fetch = at.Store.Addr
+	plan := verdict.PlanTransfer(p, at)
+	if plan.Fetch == "" && at.Holder.Tokens > at.Held {
+		plan.Fetch = at.Holder.Addr
+	} else if plan.Fetch == "" && at.Store.Tokens > at.Held {
+		plan.Fetch = at.Store.Addr
 	}
-	m.Save = at.Store.Tokens < p.Shared
-	return m
+	plan.Save = at.Store.Tokens < p.Shared
+	return plan
 }
 
 // compare simulates the workload of shared prompts under a variant and under
-// verdict.PlanTransfer, with the same seeds. It returns the mean of the difference of a figure
+// verdict.PlanTransfer, with the same seeds. It returns the mean of the difference of a metric
 // (variant minus PlanTransfer) and its standard error.
-func compare(t *testing.T, variant TransferPolicy, figure func(*TransferResult) float64) (mean, se float64) {
+func compare(t *testing.T, variant TransferPolicy, metric func(*TransferResult) float64) (mean, se float64) {
 	t.Helper()
-	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
+	workload, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seeds = 8
 	var diffs [seeds]float64
 	for seed := range diffs {
-		diffs[seed] = figure(ReplayTransfers(l, variant, uint64(seed+1))) - figure(ReplayTransfers(l, verdict.PlanTransfer, uint64(seed+1)))
+		diffs[seed] = metric(ReplayTransfers(workload, variant, uint64(seed+1))) - metric(ReplayTransfers(workload, verdict.PlanTransfer, uint64(seed+1)))
 		mean += diffs[seed] / seeds
 	}
 	for _, x := range diffs {
@@ -76,16 +76,16 @@
 
 // TestReplayIsDeterministic checks that a seed always gives the same figures.
 func TestReplayIsDeterministic(t *testing.T) {
-	l, err := ReadTransferWorkload("testdata/shared-prompts.json")
+	workload, err := ReadTransferWorkload("testdata/shared-prompts.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := ReplayTransfers(l, verdict.PlanTransfer, 3), ReplayTransfers(l, verdict.PlanTransfer, 3)
+	a, b := ReplayTransfers(workload, verdict.PlanTransfer, 3), ReplayTransfers(workload, verdict.PlanTransfer, 3)
 	if a.Transferred != b.Transferred || a.RecomputedShared != b.RecomputedShared || a.Quantile("long", 0.9) != b.Quantile("long", 0.9) {
 		t.Errorf("two replays with the same seed differ: %+v and %+v", a, b)
 	}
 	if a.Prompts < 1500 || a.Quantile("long", 0.5) <= 0 || a.Quantile("none", 0.5) != time.Duration(0) {
-		t.Errorf("%d prompts, want at least 1500; median TTFT of long prompts is %v, want more than 0", a.Prompts, a.Quantile("long", 0.5))
+		t.Errorf("%d prompts, want at least 1500; median TTFT of long prompts is %v, want more than 0; median TTFT of a route without prompts is %v, want 0", a.Prompts, a.Quantile("long", 0.5), a.Quantile("none", 0.5))
 	}
 }
 
--- a/internal/yardstick/policies.go
+++ b/internal/yardstick/policies.go
@@ -6,12 +6,13 @@
 
 // rendezvous is a baseline that uses no cache state: of the targets whose queue wait
 // is at most bound times the mean (plus boundSlack), it picks the one with the
-// highest rendezvous weight for the prefix of the prompt.
+// highest rendezvous weight for the longest shared prefix of the prompt.
 type rendezvous struct{ bound float32 }
 
 var _ routing.Picker = rendezvous{}
 
-// Pick implements routing.Picker. The costs are queue waits in seconds.
+// Pick implements routing.Picker. The costs are queue waits in seconds. It returns -1 if
+// no target is eligible.
 func (p rendezvous) Pick(r *routing.Request, v *routing.View, _ *routing.Eligible, costs []float32) int {
 	sum, n := float32(0), float32(0)
 	for _, c := range costs {
@@ -42,7 +43,8 @@
 	boundSlack = 0.25 // seconds; keeps the affinity when the fleet is idle
 )
 
-// Baselines returns the policies that the product is compared with.
+// Baselines returns the policies that the policy of the product is compared with,
+// including the oracle.
 func Baselines() []Policy {
 	queue := []routing.Scorer{routing.QueueScorer{}}
 	return []Policy{
--- a/internal/yardstick/report.go
+++ b/internal/yardstick/report.go
@@ -47,8 +47,8 @@
 	return sum * sum / (n * squares)
 }
 
-// Span returns the means of the hit rate and of the TTFT in milliseconds, over the
-// seconds from (inclusive) to to (exclusive) of the run.
+// Span returns the mean hit rate and the mean TTFT, in milliseconds, of the seconds of
+// the run in the interval [from, to).
 func (r *Result) Span(from, to int) (hit, ttft float64) {
 	n := 0.0
 	for i := from; i < to && i < len(r.WindowHit); i++ {
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -55,11 +55,11 @@
 type Result struct {
 	Workload, Policy               string
 	Requests, Completed, Failed    int
-	Refused, Attempts              int
-	SentEntries                    int   // cache entries that VMs sent to their peers
-	Prompt, Recomputed, Wasted     int64 // tokens; Wasted: recomputed although an eligible engine had them cached
-	TTFT                           *hdrhistogram.Histogram
-	CompletedByWorkspace           map[ids.Workspace]int // complete responses
+	Refused, Attempts              int                     // Refused: by admission control
+	SentEntries                    int                     // cache entries that VMs sent to their peers
+	Prompt, Recomputed, Wasted     int64                   // tokens; Wasted: recomputed although an eligible engine had them cached
+	TTFT                           *hdrhistogram.Histogram // in microseconds
+	CompletedByWorkspace           map[ids.Workspace]int   // complete responses
 	RequestsByWorkspace            map[ids.Workspace]int
 	WindowHit                      []float64 // hit rate, by second
 	WindowTTFT                     []float64 // mean TTFT in seconds, by second
@@ -73,7 +73,7 @@
 
 // Percentile returns a percentile (0 to 100) of the time to first token, in
 // milliseconds.
-func (r *Result) Percentile(q float64) float64 { return float64(r.TTFT.ValueAtQuantile(q)) / 1000 }
+func (r *Result) Percentile(p float64) float64 { return float64(r.TTFT.ValueAtQuantile(p)) / 1000 }
 
 // simulation is the state of one run.
 type simulation struct {
@@ -173,8 +173,8 @@
 	return v
 }
 
-// scheduleUpdates schedules the updates that VMs receive of one engine: delayed load
-// reports, and its feed of cache events, which one VM reads.
+// scheduleUpdates schedules what VMs learn from one engine: its load reports, which reach
+// all VMs with a delay, and its feed of cache events, which one VM reads.
 func (x *simulation) scheduleUpdates(i int, e *fakeEngine) {
 	phase := time.Duration(x.rnd.Int64N(int64(reportInterval)))
 	x.clk.after(phase, func() {
@@ -261,6 +261,7 @@
 	attempts int
 }
 
+// maxAttempts is the maximum number of attempts of a request.
 const maxAttempts = 4
 
 func (x *simulation) startRequest(p prompt) {
@@ -310,7 +311,8 @@
 	return snap.View.Targets[dec.Index].ID, dec
 }
 
-// applyExactState replaces the estimates of a VM by the actual state.
+// applyExactState replaces the estimates of a VM by the actual state, as far as the
+// policy asks for it.
 func (x *simulation) applyExactState(r *request, in []routing.Input) {
 	for i, e := range x.engines {
 		in[i].State, in[i].SlowStart, in[i].BreakerOpen = routing.Live, 1, false
@@ -347,7 +349,7 @@
 	x.jobSeq++
 	e.submit(&job{
 		number: x.jobSeq, blocks: r.prompt.blocks, tokens: r.prompt.tokens, output: x.w.Output, priority: r.prompt.priority,
-		started: func(cached int) {
+		onFirstToken: func(cached int) {
 			work.FirstToken()
 			cachedTokens = cached
 			x.res.recordFirstToken(x.now().Sub(start), x.now().Sub(r.arrived), r.prompt.tokens, cached, maxCached)
--- a/internal/yardstick/workloads.go
+++ b/internal/yardstick/workloads.go
@@ -27,7 +27,7 @@
 	Engine          EngineSpec
 	Rate            float64       // requests/s
 	Burst           float64       // factor on the rate in the middle third of the run; 0: none
-	Levels          []int         // tokens of the common, workspace and item level
+	Levels          []int         // tokens of each level; the last differs by workspace and item, the others by workspace
 	Items           int           // items (contracts, barriers) per workspace
 	HotItems        int           // number of items that are hot at a time; 0: none
 	ShiftEvery      time.Duration // time until other items are hot; 0: never
@@ -35,7 +35,7 @@
 	RecomputeWeight float32
 	EventLoss       float64 // probability that a batch of cache events loses one event
 	Faults          []Fault
-	Gate            func(now func() time.Time) gate
+	Gate            func(now func() time.Time) gate // returns the admission control of a VM; nil: none
 }
 
 // Fault is a fault that is injected at a time since the start of the run.
@@ -110,8 +110,8 @@
 	return min(int(math.Pow(float64(n), r.Float64()))-1, n-1)
 }
 
-// crash crashes a fraction of the engines and restarts them with empty caches after
-// the downtime.
+// crash returns a fault that crashes a fraction of the engines and restarts them with
+// empty caches after the downtime.
 func crash(fraction float64, downtime time.Duration) func(*simulation) {
 	return func(x *simulation) {
 		n := int(float64(len(x.engines)) * fraction)
@@ -123,8 +123,9 @@
 	}
 }
 
-// restartVMs restarts all VMs at once, or all but one if there is a survivor. The
-// restarted VMs receive the cache entries of the survivor, or start with none.
+// restartVMs returns a fault that restarts all VMs at once, or all but one if there is
+// a survivor. The restarted VMs receive the cache entries of the survivor, or start with
+// none.
 func restartVMs(survivor bool) func(*simulation) {
 	return func(x *simulation) {
 		known := x.vms[0].f.Cache.Entries(1 << 20)
--- a/internal/yardstick/yardstick_test.go
+++ b/internal/yardstick/yardstick_test.go
@@ -9,13 +9,13 @@
 			return w
 		}
 	}
-	t.Fatalf("no workload %s", name)
+	t.Fatalf("Workloads returns no workload %q", name)
 	return Workload{}
 }
 
-// TestPolicyGoalsOnSolano checks that the policy of the product stays close to the
-// oracle, and has a lower TTFT p99 than every baseline, on the burst of the solano
-// workload. Virtual time and fixed seeds make the figures repeatable.
+// TestPolicyGoalsOnSolano checks that on the solano workload, which includes a burst,
+// the policy of the product stays close to the oracle and has no higher TTFT p99 than
+// any other baseline. Virtual time and fixed seeds make the figures repeatable.
 func TestPolicyGoalsOnSolano(t *testing.T) {
 	w := workload(t, "solano")
 	product := Run(w, Product())
@@ -34,13 +34,14 @@
 			continue
 		}
 		if product.Percentile(99) > r.Percentile(99) {
-			t.Errorf("TTFT p99 is %.0f ms, above %s's %.0f ms", product.Percentile(99), p.Name, r.Percentile(99))
+			t.Errorf("TTFT p99 is %.0f ms, want at most %s's %.0f ms", product.Percentile(99), p.Name, r.Percentile(99))
 		}
 	}
 }
 
 // TestRecoveryAfterCrash crashes a third of the engines. There must be no retry storm,
-// and within ten seconds the hit rate must be back at 0.9 of its earlier value.
+// and ten to fifteen seconds later the hit rate must be at least 0.9 of its earlier
+// value.
 func TestRecoveryAfterCrash(t *testing.T) {
 	w := workload(t, "crash")
 	r := Run(w, Product())
@@ -48,11 +49,11 @@
 		t.Errorf("%.2f attempts per request, want at most 1.2", got)
 	}
 	if r.Failed > 0 {
-		t.Errorf("%d requests failed", r.Failed)
+		t.Errorf("%d requests failed, want 0", r.Failed)
 	}
 	steady, after := mean(r.WindowHit[15:25]), mean(r.WindowHit[35:40])
 	if after < 0.9*steady {
-		t.Errorf("hit rate is %.3f before the crash, %.3f ten seconds after it", steady, after)
+		t.Errorf("hit rate is %.3f before the crash and %.3f ten seconds after it, want at least %.3f", steady, after, 0.9*steady)
 	}
 }
 
