--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -1,6 +1,6 @@
 // Package capacity measures how the memory, CPU time and traffic of a VM grow with the
-// size of the deployment. It calls production code in plain loops. docs/CAPACITY.md
-// extrapolates the figures to the size to design for.
+// size of the deployment, and draws plots of measurements. It calls production code in plain
+// loops. docs/CAPACITY.md extrapolates the figures to the size that the router is designed for.
 package capacity
 
 import (
@@ -48,13 +48,13 @@
 	}
 }
 
-// DecideRow is the cost of a decision with one number of replicas and cache view entries.
+// DecideRow is the cost of a decision at given numbers of replicas and cache view entries.
 type DecideRow struct {
 	Replicas int     `json:"replicas"`
 	Entries  int     `json:"beliefs"`
-	P50      float64 `json:"p50_us"`
-	P99      float64 `json:"p99_us"`
-	UpdateNS float64 `json:"update_ns"` // time to add one cache view entry
+	P50      float64 `json:"p50_us"`    // median time of a decision in microseconds
+	P99      float64 `json:"p99_us"`    // its 99th percentile
+	UpdateNS float64 `json:"update_ns"` // mean time to add one cache view entry, in nanoseconds
 }
 
 // decisions is the number of decisions, and of cache view updates, in a measurement.
--- a/internal/capacity/news.go
+++ b/internal/capacity/news.go
@@ -32,20 +32,20 @@
 // loopback.
 type UpdatesSpec struct {
 	VMs, Targets int
-	Dispatches   float64 // per VM and second, each with a new prefix
-	Workspaces   int     // with demand on each VM
-	Span         time.Duration
+	Dispatches   float64       // per VM and second, each with a new prefix
+	Workspaces   int           // with demand on each VM
+	Span         time.Duration // for which updates are counted
 }
 
-// UpdatesRow is the mean cost of these updates to one VM.
+// UpdatesRow is the mean cost of these updates per VM.
 type UpdatesRow struct {
 	VMs        int     `json:"vms"`
-	BytesIn    float64 `json:"bytes_in_per_s"`
-	BytesOut   float64 `json:"bytes_out_per_s"`
-	Messages   float64 `json:"messages_out_per_s"`
-	CPU        float64 `json:"core_percent"` // percent of one core
+	BytesIn    float64 `json:"bytes_in_per_s"`     // bytes/s
+	BytesOut   float64 `json:"bytes_out_per_s"`    // bytes/s
+	Messages   float64 `json:"messages_out_per_s"` // messages/s
+	CPU        float64 `json:"core_percent"`       // percent of one core
 	HeapBytes  float64 `json:"heap_bytes"`
-	Replicated float64 `json:"learned"` // fraction of cache view entries that reached the VMs
+	Replicated float64 `json:"learned"` // mean fraction of all added cache view entries that a VM holds at the end, its own included
 }
 
 // updatesSpan is how long updates are counted for the plots.
@@ -54,8 +54,9 @@
 // warmUp is the time for connections to open before the count starts.
 const warmUp = 1500 * time.Millisecond
 
-// MeasureUpdates measures the updates of a domain for spec.Span. CPU time and heap are those
-// of the whole process, divided by the number of VMs.
+// MeasureUpdates measures the updates of a domain for spec.Span, after connections had time to
+// open. CPU time and heap are those of the whole process, divided by the number of VMs, so
+// nothing else may run in the process in the meantime.
 func MeasureUpdates(spec UpdatesSpec) (UpdatesRow, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -99,6 +100,8 @@
 	return updatesRow(spec, nodes, added, before, after, used), nil
 }
 
+// newUpdatesNode starts the gRPC server of a VM on a free loopback port. It returns the VM's
+// node, the server and its address.
 func newUpdatesNode(vm string) (*peers.Node, *grpc.Server, string, error) {
 	f := fleet.New(membership.New(ids.VM(vm), membership.DefaultTuning), cacheview.New(128<<10, nil), loadview.New(), routing.NewCost(), nil)
 	n := &peers.Node{
@@ -176,7 +179,7 @@
 }
 
 func updatesRow(spec UpdatesSpec, nodes []*peers.Node, added []int, before, after counts, cpu time.Duration) UpdatesRow {
-	per := float64(len(nodes)) * spec.Span.Seconds()
+	vmSeconds := float64(len(nodes)) * spec.Span.Seconds()
 	runtime.GC()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
@@ -186,8 +189,8 @@
 		held += len(n.Fleet.Cache.Entries(1 << 20))
 	}
 	return UpdatesRow{
-		VMs: len(nodes), BytesIn: float64(after.in-before.in) / per, BytesOut: float64(after.out-before.out) / per,
-		Messages: float64(after.messages-before.messages) / per, CPU: 100 * cpu.Seconds() / per,
+		VMs: len(nodes), BytesIn: float64(after.in-before.in) / vmSeconds, BytesOut: float64(after.out-before.out) / vmSeconds,
+		Messages: float64(after.messages-before.messages) / vmSeconds, CPU: 100 * cpu.Seconds() / vmSeconds,
 		HeapBytes: float64(mem.HeapAlloc) / float64(len(nodes)), Replicated: float64(held) / float64(max(expected, 1)),
 	}
 }
--- a/internal/capacity/plots.go
+++ b/internal/capacity/plots.go
@@ -17,10 +17,10 @@
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
-	barWidth   = 9  // points
-	cutSeconds = 10 // bars are cut at this height
-	halfGroup  = 0.5
-	legendRoom = 1.35
+	barWidth   = 9    // points
+	cutSeconds = 10   // bars of a TTFT are cut off at this height
+	halfGroup  = 0.5  // half the width of a workload on the X axis
+	legendRoom = 1.35 // factor on the Y axis, so that the legend covers no bars
 )
 
 var barColors = []color.Color{
@@ -40,8 +40,9 @@
 	color.RGBA{R: 60, G: 140, B: 70, A: 255},
 }
 
-// PlotPolicies draws the figure of each policy on each workload as bars, to name.svg in dir.
-func PlotPolicies(dir, name, title string, results []*yardstick.Result, figure func(*yardstick.Result) float64) error {
+// PlotPolicies draws a metric of each policy on each workload as bars, to name.svg in dir. The
+// results must be grouped by workload, with the same policies for each.
+func PlotPolicies(dir, name, title string, results []*yardstick.Result, metric func(*yardstick.Result) float64) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.Legend.Top, p.Legend.Left = true, true
@@ -54,7 +55,7 @@
 		if values[r.Policy] == nil {
 			policies = append(policies, r.Policy)
 		}
-		values[r.Policy] = append(values[r.Policy], figure(r))
+		values[r.Policy] = append(values[r.Policy], metric(r))
 	}
 	for i, policy := range policies {
 		bars, err := plotter.NewBarChart(values[policy], vg.Points(barWidth))
@@ -82,12 +83,13 @@
 	Points []Point
 }
 
-// PlotLine draws one line without a legend, to name.svg in dir.
+// PlotLine draws one line without a legend, to name.svg in dir. The axis labels are x and y.
 func PlotLine(dir, name, title, x, y string, points []Point) error {
 	return PlotLines(dir, name, title, x, y, []Line{{Points: points}})
 }
 
-// PlotLines draws lines over shared axes that begin at 0, to name.svg in dir.
+// PlotLines draws lines over shared axes that begin at 0, to name.svg in dir. The axis labels are
+// x and y.
 func PlotLines(dir, name, title, x, y string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
