--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -101,7 +101,7 @@
 		r.Violations = append(r.Violations, fmt.Sprintf("not all VMs were ready again within %v of the last fault", recoverTime))
 	}
 	if !await(settleTime, h.settled) {
-		r.Violations = append(r.Violations, fmt.Sprintf("not all engines had the newest weights within %v of the recovery of the VMs", settleTime))
+		r.Violations = append(r.Violations, fmt.Sprintf("not all engines had the newest weights within %v after the wait for the VMs", settleTime))
 	}
 	time.Sleep(faultFreeTime) // later calls count as free of faults
 }
