--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -21,7 +21,7 @@
 
 // write sends a part of the response to the caller. The stall timer is paused meanwhile: a target
 // may stop sending because the caller does not read.
-func (t *try) write(p []byte) error {
+func (t *attempt) write(p []byte) error {
 	return t.timeWrite(func() error {
 		for len(p) > 0 {
 			n := min(len(p), chunkBytes)
@@ -36,7 +36,7 @@
 }
 
 // flush sends buffered data to the caller.
-func (t *try) flush() error {
+func (t *attempt) flush() error {
 	return t.timeWrite(func() error {
 		t.r.extendWriteDeadline()
 		return http.NewResponseController(t.r.w).Flush()
@@ -44,7 +44,7 @@
 }
 
 // timeWrite calls f with the stall timer paused and adds its duration to t.unread.
-func (t *try) timeWrite(f func() error) error {
+func (t *attempt) timeWrite(f func() error) error {
 	t.stall.pause()
 	began := clock.Now()
 	err := f()
@@ -63,14 +63,14 @@
 	}
 }
 
-// maxUnreadBlamed is the longest time that a caller may leave a response unread for a broken
+// maxUnreadTime is the longest time that a caller may leave a response unread for a broken
 // stream still to count against the target. Targets abort responses that stay unread.
-const maxUnreadBlamed = 500 * time.Millisecond
+const maxUnreadTime = 500 * time.Millisecond
 
 // brokeOffUnread reports whether the response broke off after the caller had left it unread for too
 // long.
-func (t *try) brokeOffUnread(err *outcome.Error) bool {
-	return err.Code == outcome.CodeStreamBroken && t.unread > maxUnreadBlamed
+func (t *attempt) brokeOffUnread(err *outcome.Error) bool {
+	return err.Code == outcome.CodeStreamBroken && t.unread > maxUnreadTime
 }
 
 // responseMemory bounds the memory of buffered responses, in total and for each workspace. It keeps
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -155,7 +155,7 @@
 
 // recheckSend refuses a send that is no longer allowed. Since the decision, connecting may have
 // taken a second or the VM may have been suspended, and the replica may have asked for a rest.
-func (t *try) recheckSend() *outcome.Error {
+func (t *attempt) recheckSend() *outcome.Error {
 	if refusal := t.r.recheckAdmission(); refusal != nil {
 		return refusal
 	}
@@ -172,12 +172,12 @@
 // count against the chosen replica.
 var errNotAllowed = errors.New("a condition for sending the call has ceased to hold since it was admitted")
 
-// defaultWait is the maximum duration of a call; callers and routes may set a shorter one.
-const defaultWait = time.Minute
+// maxCallDuration is the maximum duration of a call; callers and routes may set a shorter one.
+const maxCallDuration = time.Minute
 
 // end returns the call's deadline.
 func (r *run) end() time.Time {
-	wait := defaultWait
+	wait := maxCallDuration
 	if r.call.Deadline > 0 {
 		wait = min(wait, r.call.Deadline)
 	}
--- a/internal/forward/headers.go
+++ b/internal/forward/headers.go
@@ -44,7 +44,7 @@
 }
 
 // request builds the request to the replica.
-func (t *try) request() *upstream.Request {
+func (t *attempt) request() *upstream.Request {
 	r := t.r
 	h := maps.Clone(r.req.Header)
 	removeHopHeaders(h)
--- a/internal/forward/histogram.go
+++ b/internal/forward/histogram.go
@@ -18,12 +18,12 @@
 
 // Observe counts one latency.
 func (h *Histogram) Observe(d time.Duration) {
-	step, limit := 0, time.Millisecond
-	for step < histogramBuckets-1 && d > limit {
-		step++
+	index, limit := 0, time.Millisecond
+	for index < histogramBuckets-1 && d > limit {
+		index++
 		limit *= 2
 	}
-	h.counts[step].Add(1)
+	h.counts[index].Add(1)
 }
 
 // bucket is one bucket of a histogram as operators see it.
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -55,11 +55,11 @@
 
 // progress holds the times at which the parts of a response arrived.
 type progress struct {
-	sent  time.Time     // of the attempt that answered
-	work  time.Duration // expected computing time at its target
-	first time.Time     // the first event, or the whole response
-	last  time.Time     // the last event so far
-	pause time.Duration // the longest time between two events
+	sent   time.Time     // of the attempt that answered
+	work   time.Duration // expected computing time at its target
+	first  time.Time     // the first event, or the whole response
+	last   time.Time     // the last event so far
+	maxGap time.Duration // the longest time between two events
 }
 
 // observe records that an event, or the whole response, was passed on.
@@ -67,7 +67,7 @@
 	if p.first.IsZero() {
 		p.first = now
 	} else {
-		p.pause = max(p.pause, now.Sub(p.last))
+		p.maxGap = max(p.maxGap, now.Sub(p.last))
 	}
 	p.last = now
 }
@@ -79,7 +79,7 @@
 	case objective <= 0 || p.first.IsZero():
 		return OnTime
 	case p.first.Sub(r.received) <= objective:
-		if r.route.Kind == streamKind && r.route.MaxEventGap > 0 && p.pause > r.route.MaxEventGap {
+		if r.route.Kind == streamKind && r.route.MaxEventGap > 0 && p.maxGap > r.route.MaxEventGap {
 			return LatePause
 		}
 		return OnTime
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -49,12 +49,12 @@
 
 // ratioBucketOf returns the index of the bucket for a ratio.
 func ratioBucketOf(ratio float64) int {
-	step, limit := 0, firstRatioLimit
-	for step < ratioBuckets-1 && ratio > limit {
-		step++
+	index, limit := 0, firstRatioLimit
+	for index < ratioBuckets-1 && ratio > limit {
+		index++
 		limit *= ratioFactor
 	}
-	return step
+	return index
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -95,12 +95,12 @@
 }
 
 func ageBucketOf(age time.Duration) int {
-	step, limit := 0, firstAgeLimit
-	for step < ageBuckets-1 && age > limit {
-		step++
+	index, limit := 0, firstAgeLimit
+	for index < ageBuckets-1 && age > limit {
+		index++
 		limit *= 2
 	}
-	return step
+	return index
 }
 
 // route returns the histogram of a route, or the shared one once maxErrorRoutes is reached.
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -34,9 +34,9 @@
 	return s
 }
 
-func total(steps []ratioBucket) (n int64) {
-	for _, s := range steps {
-		n += s.Count
+func total(buckets []ratioBucket) (n int64) {
+	for _, b := range buckets {
+		n += b.Count
 	}
 	return n
 }
@@ -101,13 +101,13 @@
 	if _, _, err := tf.ask(t); err != nil { // no prompt: nothing was predicted
 		t.Fatal(err)
 	}
-	steps := decodeErrors(t, &tf.f.Prediction).Routes[r.Name]
-	if total(steps) != 2 {
-		t.Fatalf("counted %v", steps)
+	buckets := decodeErrors(t, &tf.f.Prediction).Routes[r.Name]
+	if total(buckets) != 2 {
+		t.Fatalf("counted %v", buckets)
 	}
-	for _, step := range steps[:5] {
-		if step.Count != 0 {
-			t.Errorf("a late first event is counted as early: %v", steps)
+	for _, b := range buckets[:5] {
+		if b.Count != 0 {
+			t.Errorf("a late first event is counted as early: %v", buckets)
 		}
 	}
 }
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -22,7 +22,7 @@
 
 // checkForCrash starts a check whether the replica of a failed attempt crashed under it. A
 // replica that was leaving is skipped, since it ends anyway.
-func (r *run) checkForCrash(ctx context.Context, t *try, err *outcome.Error) {
+func (r *run) checkForCrash(ctx context.Context, t *attempt, err *outcome.Error) {
 	if err.Outcome != outcome.Unknown || !upstream.ClosedByReplica(err) || ctx.Err() != nil || endedLocally(err) {
 		return
 	}
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -118,9 +118,9 @@
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 	}
 	for _, c := range []struct {
-		name    string
-		respond func(s *fakeReplica) func(net.Conn, *http.Request) bool
-		blamed  int
+		name     string
+		respond  func(s *fakeReplica) func(net.Conn, *http.Request) bool
+		suspects int
 	}{
 		{"stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
@@ -173,8 +173,8 @@
 			if _, _, err := tf.ask(t); err != nil {
 				t.Fatal(err)
 			}
-			if n := waitForSuspects(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
-				t.Errorf("%d requests are suspected, want %d", n, c.blamed)
+			if n := waitForSuspects(ledger, c.suspects, 400*time.Millisecond); n != c.suspects {
+				t.Errorf("%d requests are suspected, want %d", n, c.suspects)
 			}
 		})
 	}
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -83,7 +83,7 @@
 	}
 	if p := &r.progress; !p.first.IsZero() {
 		line = line.Int64("first_ms", p.first.Sub(r.received).Milliseconds()).Int64("sent_ms", p.sent.Sub(r.received).Milliseconds()).
-			Int64("pause_ms", p.pause.Milliseconds()).Str("late", r.lateCause().String())
+			Int64("pause_ms", p.maxGap.Milliseconds()).Str("late", r.lateCause().String())
 	}
 	if e == nil {
 		line.Str("outcome", outcome.Ran.String()).Send()
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -147,7 +147,7 @@
 	if !r.route.Resumable || r.attempts >= r.route.Attempts {
 		work.MarkNotResumable()
 	}
-	t := r.try(ctx, &c, work)
+	t := r.newAttempt(ctx, &c, work)
 	err := t.run()
 	t.end()
 	r.recordOutcome(ctx, t, err)
@@ -155,8 +155,8 @@
 	return err
 }
 
-// try is one send to one replica.
-type try struct {
+// attempt is one send to one replica.
+type attempt struct {
 	r         *run
 	c         *choice
 	work      *loadview.Work
@@ -166,20 +166,20 @@
 	weights   weightsWatch
 	sent      time.Time
 	responded bool          // the replica's first event, or its response, has arrived
-	kvSent    bool          // the planner counts this send as computing shared parts
+	computing bool          // the planner counts this send as computing shared parts
 	framed    bool          // the response marks its own end
 	unread    time.Duration // total time that writes to the caller took
 }
 
-func (r *run) try(ctx context.Context, c *choice, work *loadview.Work) *try {
+func (r *run) newAttempt(ctx context.Context, c *choice, work *loadview.Work) *attempt {
 	tctx, cancel := context.WithCancelCause(ctx)
-	t := &try{r: r, c: c, work: work, ctx: tctx, cancel: cancel, sent: clock.Now()}
+	t := &attempt{r: r, c: c, work: work, ctx: tctx, cancel: cancel, sent: clock.Now()}
 	t.stall = newStallTimer(t.onStall)
 	t.watchWeights()
 	return t
 }
 
-func (t *try) end() {
+func (t *attempt) end() {
 	t.endComputing(false)
 	t.stall.stop()
 	t.stopWeightsWatch()
@@ -187,11 +187,11 @@
 }
 
 // run sends the call and passes the response on.
-func (t *try) run() *outcome.Error {
+func (t *attempt) run() *outcome.Error {
 	r := t.r
 	if r.call.Prompt != nil && r.route.Prompts {
 		r.f.KV.sendStarted(t.c, r.call.Prompt.Model, kvcache.Shared(r.call.Prompt.Parts))
-		t.kvSent = true
+		t.computing = true
 	}
 	t.countTransfers()
 	r.progress.sent, r.progress.work = t.sent, seconds(float32(t.c.work)/max(t.c.rate, 1))
@@ -222,7 +222,7 @@
 
 // firstOutput records the replica's first event, or its response. It shows that the replica is
 // live, and its delay is compared with the predicted one.
-func (t *try) firstOutput() {
+func (t *attempt) firstOutput() {
 	if t.responded {
 		return
 	}
@@ -242,14 +242,14 @@
 
 // endComputing records, once, that the replica no longer computes the prompt's shared parts.
 // held reports whether the replica holds them now.
-func (t *try) endComputing(held bool) {
-	if t.kvSent {
-		t.kvSent = false
+func (t *attempt) endComputing(held bool) {
+	if t.computing {
+		t.computing = false
 		t.r.f.KV.sendEnded(t.c, held)
 	}
 }
 
-func (t *try) countTransfers() {
+func (t *attempt) countTransfers() {
 	if t.c.fetch != "" {
 		t.r.f.Stats.Fetches.Add(1)
 	}
@@ -260,7 +260,7 @@
 
 // classify returns an attempt's error as an outcome.Error. If this VM cancelled the attempt, the
 // error names the cause.
-func (t *try) classify(err error) *outcome.Error {
+func (t *attempt) classify(err error) *outcome.Error {
 	e := outcome.Of(err)
 	switch {
 	case t.r.req.Context().Err() != nil:
@@ -274,7 +274,7 @@
 }
 
 // checkHead returns an error if the head of a response shows a refusal or a failure.
-func (t *try) checkHead(a *upstream.Response, reply Reply) *outcome.Error {
+func (t *attempt) checkHead(a *upstream.Response, reply Reply) *outcome.Error {
 	peer := string(t.c.target.ID)
 	switch {
 	case reply.Mismatch:
@@ -319,7 +319,7 @@
 }
 
 // recordOutcome updates the state of the call and of the replica after an attempt.
-func (r *run) recordOutcome(ctx context.Context, t *try, err *outcome.Error) {
+func (r *run) recordOutcome(ctx context.Context, t *attempt, err *outcome.Error) {
 	now, c := clock.Now(), t.c
 	members := r.f.Fleet.Members
 	if err == nil {
--- a/internal/forward/signals.go
+++ b/internal/forward/signals.go
@@ -1,7 +1,7 @@
 package forward
 
 // recordSignals applies what the replica announces in a response, whatever the response's status.
-func (t *try) recordSignals(reply *Reply) {
+func (t *attempt) recordSignals(reply *Reply) {
 	id, inc := t.c.target.ID, t.c.target.Incarnation
 	if t.r.superseded(t.c) || reply.Replica != "" && reply.Replica != id {
 		return // the response is from another incarnation or replica
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -61,7 +61,7 @@
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute)}
 		c := &choice{}
 		c.target.ID, c.target.Incarnation = "a", 1
-		before := (&try{r: &run{f: r.f, req: r.req, ends: r.ends, route: &tf.f.Catalog.Get().Routes[0]}, c: c}).request().BeforeWrite
+		before := (&attempt{r: &run{f: r.f, req: r.req, ends: r.ends, route: &tf.f.Catalog.Get().Routes[0]}, c: c}).request().BeforeWrite
 		if refusal := before(); refusal != nil {
 			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -14,9 +14,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// maxVersionRetries bounds the decisions for one send. A decision is repeated if the version of
+// maxDecisions bounds the decisions for one send. A decision is repeated if the version of
 // its target has been taken out of service in the meantime.
-const maxVersionRetries = 4
+const maxDecisions = 4
 
 // choose picks a target among those that run a software version which is in service. The caller
 // must end the admission if it is not nil.
@@ -28,7 +28,7 @@
 	}
 	var snap *fleet.Snapshot
 	d := routing.Decision{Index: -1}
-	for range maxVersionRetries {
+	for range maxDecisions {
 		snapshot := f.Fleet.Snapshot()
 		choices := f.Software.Choices(r.service, &snapshot.View, snapshot.State, canary.ChoiceParams{FirstAttempt: r.sends == 0, Seed: req.Seed})
 		for i := range choices {
@@ -73,19 +73,19 @@
 
 // checkVersion refuses a send to a software version that was taken out of service since the
 // target was chosen.
-func (t *try) checkVersion() *outcome.Error {
+func (t *attempt) checkVersion() *outcome.Error {
 	if !t.r.f.Software.Retiring(t.r.service, t.c.target.Software) {
 		return nil
 	}
 	return outcome.Wrap(errNotAllowed, outcome.NotRun, outcome.CodeUpstream, "send", string(t.c.target.ID), "the replica's software has been taken out of service since it was chosen")
 }
 
-// expectedFloor is added to the expected response time, so that short expected times do not give
+// expectedOffset is added to the expected response time, so that short expected times do not give
 // large ratios.
-const expectedFloor = 50 * time.Millisecond
+const expectedOffset = 50 * time.Millisecond
 
 // reportToGate reports the result of an attempt to the canary gate if the target answered it.
-func (t *try) reportToGate(err *outcome.Error) {
+func (t *attempt) reportToGate(err *outcome.Error) {
 	var refusal *Refusal
 	a := canary.CallResult{}
 	switch {
@@ -106,7 +106,7 @@
 
 // responseTime returns how long the target took. For a prompt, whose time depends on its length,
 // it scales the time until the first event by expectedFloor over the expected time.
-func (t *try) responseTime() time.Duration {
+func (t *attempt) responseTime() time.Duration {
 	took := clock.Since(t.sent)
 	if t.r.call.Prompt == nil || !t.r.route.Prompts {
 		return took
@@ -114,7 +114,7 @@
 	if first := t.r.progress.first.Sub(t.sent); first > 0 {
 		took = first
 	}
-	return time.Duration(float64(took) / float64(t.c.wait+expectedFloor) * float64(expectedFloor))
+	return time.Duration(float64(took) / float64(t.c.wait+expectedOffset) * float64(expectedOffset))
 }
 
 // isRepresentative reports whether the latency of a target's response shows the target's speed. It
--- a/internal/forward/software_test.go
+++ b/internal/forward/software_test.go
@@ -32,7 +32,7 @@
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute), service: "s", route: &tf.f.Catalog.Get().Routes[0]}
 		c := &choice{}
 		c.target.ID, c.target.Incarnation, c.target.Software = "a", 1, "v2"
-		before := (&try{r: r, c: c}).request().BeforeWrite
+		before := (&attempt{r: r, c: c}).request().BeforeWrite
 		if refusal := before(); refusal != nil {
 			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -17,21 +17,21 @@
 	// firstEventFactor times the objective is the wait for the first event: a response that
 	// takes longer is worth little more than one that another replica gives from the start.
 	firstEventFactor = 1.5
-	// pauseFactor times the route's longest allowed pause is the wait for the next event.
-	pauseFactor = 2
+	// eventGapFactor times the route's longest allowed pause is the wait for the next event.
+	eventGapFactor = 2
 	// minFirstEventTimeout is the shortest wait for the first event, for routes with short
 	// objectives.
 	minFirstEventTimeout = 150 * time.Millisecond
 	// defaultObjective is the objective of routes that set none.
 	defaultObjective = 2 * time.Second
-	// defaultPause is the longest pause of routes that set none.
-	defaultPause = 2 * time.Second
+	// defaultMaxEventGap is the longest pause of routes that set none.
+	defaultMaxEventGap = 2 * time.Second
 )
 
 // firstEventTimeout returns how long to wait for the replica's first event, or its response. It
 // includes the predicted wait: under load all replicas are late, and moving a call to another one
 // would only add work.
-func (t *try) firstEventTimeout() time.Duration {
+func (t *attempt) firstEventTimeout() time.Duration {
 	objective := t.r.route.Objective
 	if objective <= 0 {
 		objective = defaultObjective
@@ -39,18 +39,18 @@
 	return max(time.Duration(float64(objective+t.c.wait)*firstEventFactor), minFirstEventTimeout)
 }
 
-// pauseTimeout returns how long to wait for the replica's next event.
-func (t *try) pauseTimeout() time.Duration {
-	pause := t.r.route.MaxEventGap
-	if pause <= 0 {
-		pause = defaultPause
+// nextEventTimeout returns how long to wait for the replica's next event.
+func (t *attempt) nextEventTimeout() time.Duration {
+	gap := t.r.route.MaxEventGap
+	if gap <= 0 {
+		gap = defaultMaxEventGap
 	}
-	return pause * pauseFactor
+	return gap * eventGapFactor
 }
 
 // onStall runs when the replica has sent nothing within the time-out. Other calls then avoid the
 // replica, but this call is cancelled there only if it may be sent to another one.
-func (t *try) onStall() {
+func (t *attempt) onStall() {
 	if !t.r.superseded(t.c) {
 		t.r.f.Fleet.Members.TimedOut(t.c.target.ID, t.sent, clock.Now())
 		t.r.f.Fleet.MarkDirty()
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -31,7 +31,7 @@
 
 // relayStream passes the events of a stream on as they arrive. It flushes buffered events before it
 // waits for the next one and when the stream breaks, so none is delayed or lost.
-func (t *try) relayStream(a *upstream.Response) *outcome.Error {
+func (t *attempt) relayStream(a *upstream.Response) *outcome.Error {
 	r := t.r
 	in := relay.NewRawReader(a.Body)
 	unflushed := false // an event was written and not flushed
@@ -41,7 +41,7 @@
 				return t.callerGone(err)
 			}
 			unflushed = false
-			t.stall.start(t.pauseTimeout())
+			t.stall.start(t.nextEventTimeout())
 		}
 		ev, err := in.Next()
 		if errors.Is(err, io.EOF) {
@@ -72,7 +72,7 @@
 
 // writeEvent writes one event, preceded by the head if it is the first. Thus the caller gets the
 // headers of the replica that began the stream, even if another one resumes it.
-func (t *try) writeEvent(a *upstream.Response, ev *relay.RawEvent) error {
+func (t *attempt) writeEvent(a *upstream.Response, ev *relay.RawEvent) error {
 	r := t.r
 	if !r.begun {
 		r.writeHead(a, unknownLength)
@@ -86,7 +86,7 @@
 }
 
 // complete ends a stream that has arrived completely.
-func (t *try) complete(a *upstream.Response) *outcome.Error {
+func (t *attempt) complete(a *upstream.Response) *outcome.Error {
 	r := t.r
 	t.stall.stop()
 	if !r.begun {
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -75,7 +75,7 @@
 				sent := time.Now()
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{declared: sent.Add(c.declared), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -241,7 +241,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: c.prompt}, route: &c.route},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -261,7 +261,7 @@
 // TestBegunCallNotWithdrawn stops the watch of a send with its first event, and once more when its
 // timer has already fired: an event that was read is passed on and not cut off.
 func TestBegunCallNotWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun when the timer fires": func(send *try) {
+	for name, end := range map[string]func(*attempt){"begun": (*attempt).stopWeightsWatch, "begun when the timer fires": func(send *attempt) {
 		send.stopWeightsWatch()
 		send.recheckWeights() // the timer has fired already
 	}} {
@@ -269,7 +269,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -320,7 +320,7 @@
 	tf := newFleet(t, r, old)
 	call := &run{f: tf.f, route: &r}
 	for range 5 {
-		call.recordOutcome(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
+		call.recordOutcome(t.Context(), &attempt{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
 	}
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
 		t.Errorf("the replica counts as %+v", status)
@@ -336,7 +336,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
-		send := &try{
+		send := &attempt{
 			r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
--- a/internal/forward/whole.go
+++ b/internal/forward/whole.go
@@ -16,7 +16,7 @@
 const bufferBytes = 512 << 10
 
 // relayBuffered passes on a response that is not an event stream.
-func (t *try) relayBuffered(a *upstream.Response) *outcome.Error {
+func (t *attempt) relayBuffered(a *upstream.Response) *outcome.Error {
 	limit, release := t.r.bufferFor(a.Length())
 	defer release()
 	var buf bytes.Buffer
@@ -52,7 +52,7 @@
 }
 
 // relayRest passes on the part of a response beyond the buffer, as it arrives.
-func (t *try) relayRest(a *upstream.Response) *outcome.Error {
+func (t *attempt) relayRest(a *upstream.Response) *outcome.Error {
 	chunk := make([]byte, chunkBytes)
 	for {
 		n, err := a.Body.Read(chunk)
@@ -69,10 +69,10 @@
 }
 
 // brokenResponse returns the error of a response that ended before it was complete.
-func (t *try) brokenResponse(err error) *outcome.Error {
+func (t *attempt) brokenResponse(err error) *outcome.Error {
 	return t.classify(outcome.Wrap(err, outcome.Unknown, outcome.CodeStreamBroken, "relay", string(t.c.target.ID), "the replica's response broke off"))
 }
 
-func (t *try) callerGone(err error) *outcome.Error {
+func (t *attempt) callerGone(err error) *outcome.Error {
 	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the response could not be delivered to the caller")
 }
--- a/internal/forward/withdraw.go
+++ b/internal/forward/withdraw.go
@@ -31,7 +31,7 @@
 // watchWeights withdraws the call if it has not begun at the replica when the replica's weights
 // become too old, also due to versions that are declared while it waits. Only streams show when they
 // begin; for other calls the decision bounds the time of sending.
-func (t *try) watchWeights() {
+func (t *attempt) watchWeights() {
 	if t.r.call.Prompt == nil || !t.r.route.Prompts || t.r.route.Kind != streamKind {
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 // weightsLeft returns a time for which the replica's weights are certain to be usable.
-func (t *try) weightsLeft() time.Duration {
+func (t *attempt) weightsLeft() time.Duration {
 	left, behind := t.r.f.Weights.Left(t.r.call.Prompt.Model, t.c.target.Weights, clock.Now())
 	if !behind {
 		return weightsCheckInterval
@@ -50,7 +50,7 @@
 }
 
 // recheckWeights runs when the replica's weights may have become too old.
-func (t *try) recheckWeights() {
+func (t *attempt) recheckWeights() {
 	t.weights.mu.Lock()
 	defer t.weights.mu.Unlock()
 	if t.weights.done {
@@ -66,7 +66,7 @@
 }
 
 // stopWeightsWatch stops the watch, because the call has begun or ended.
-func (t *try) stopWeightsWatch() {
+func (t *attempt) stopWeightsWatch() {
 	t.weights.mu.Lock()
 	defer t.weights.mu.Unlock()
 	t.weights.done = true
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -25,7 +25,7 @@
 		w.Changed([]objectapi.Object{{}}, follow.At{Answered: time.Now()})
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
-		send := &try{
+		send := &attempt{
 			r:   &run{f: &Forwarder{Weights: w}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
