--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -35,9 +35,9 @@
 	levels         []prefix.Level // shared parts of the prompt
 	work           int32          // tokens that the replica is expected to compute
 	salt           string
-	rendezvous     string // address of the rendezvous target, which computes shared parts that no replica is known to hold; empty: the target itself
-	fetch          string
-	save           string
+	rendezvous     string            // address of the rendezvous target; see rendezvousAddr
+	fetch          string            // address to fetch KV cache from; empty: none
+	save           string            // address of the store to save KV cache to; empty: none
 	admission      *canary.Admission // to the target's version; nil: software versions are not distinguished
 	representative bool              // the response's latency shows the speed of the target
 }
@@ -47,8 +47,8 @@
 const noTargetRetryAfter = 200 * time.Millisecond
 
 // newWeightsGrace is the time after new weights are declared during which engines that have them
-// are not preferred. Operators allow that time, and without it the first engines with the new
-// weights would get the requests of all VMs at once.
+// are not preferred. Without it the first engines with the new weights would get the requests of all
+// VMs at once. Settings allow older weights for longer than that (weights_within is at least 2 s).
 const newWeightsGrace = time.Second
 
 // decide picks a replica of the call's service.
@@ -111,8 +111,9 @@
 
 func seconds(s float32) time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// rendezvousAddr returns the address of the rendezvous target at index in the view. It is empty if
-// that replica is the choice itself or has other weights.
+// rendezvousAddr returns the address of the rendezvous target at index in the view, which computes
+// shared parts that no replica is known to hold. The address is empty if that replica is the choice
+// itself or has other weights, or if there is none.
 func rendezvousAddr(c *choice, snap *fleet.Snapshot, index int) string {
 	if index < 0 || index >= len(snap.View.Targets) {
 		return ""
--- a/internal/forward/deliver.go
+++ b/internal/forward/deliver.go
@@ -19,8 +19,8 @@
 // errUnread is the cause when a caller does not read its response.
 var errUnread = errors.New("the caller did not read its response within the reader timeout")
 
-// write sends a part of the response to the caller. The stall timer is paused meanwhile: a target
-// may stop sending because the caller does not read.
+// write sends a part of the response to the caller. It pauses the stall timer, because a target may
+// stop sending if the caller does not read.
 func (t *attempt) write(p []byte) error {
 	return t.timeWrite(func() error {
 		for len(p) > 0 {
@@ -43,7 +43,8 @@
 	})
 }
 
-// timeWrite calls f with the stall timer paused and adds its duration to t.unread.
+// timeWrite pauses the stall timer until its next start, calls f, and adds the duration of f to
+// t.unread. The error wraps errUnread if the write deadline has passed.
 func (t *attempt) timeWrite(f func() error) error {
 	t.stall.pause()
 	began := clock.Now()
@@ -63,8 +64,8 @@
 	}
 }
 
-// maxUnreadTime is the longest time that a caller may leave a response unread for a broken
-// stream still to count against the target. Targets abort responses that stay unread.
+// maxUnreadTime is the time of writes to the caller beyond which a response that breaks off does not
+// count against the target. Targets abort responses that stay unread.
 const maxUnreadTime = 500 * time.Millisecond
 
 // brokeOffUnread reports whether the response broke off after the caller had left it unread for too
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -10,8 +10,8 @@
 //     stream that breaks ends with a cut connection, so it never looks complete.
 //   - Events of a stream are delivered in order, each complete and once, also when
 //     another replica resumes the stream after the last one.
-//   - A call with an API key is sent only while this VM can prove that its catalog was
-//     the newest one within KeyTTL. This holds across suspensions of the VM.
+//   - A call with an API key is sent only if this VM has proof, not older than KeyTTL, that
+//     its catalog was the newest one. This holds across suspensions of the VM.
 //   - Workspaces keep to their allowances summed over all VMs (package allowance).
 //   - A request that repeatedly crashes replicas is kept from further replicas,
 //     whichever VM receives it (package quarantine).
@@ -19,8 +19,9 @@
 // # Stages
 //
 // admit (handler.go) reads the call, the catalog and the key. decide.go picks a replica
-// and where it fetches KV cache from. run.go sends the call, classifies the outcome and
-// retries where that is allowed. whole.go and stream.go pass responses on.
+// and the address from which this replica fetches KV cache. run.go sends the call,
+// classifies the outcome and retries where that is allowed. whole.go and stream.go pass
+// responses on.
 //
 // A Dialect defines the header names that callers and replicas use.
 package forward
@@ -82,7 +83,7 @@
 	Mismatch bool               // the replica has other weights, or another identity, than requested
 	Replica  ids.Target         // the replica that answered; empty: not given
 	Weights  ids.WeightsVersion // the weights that the replica has; empty: not given
-	Signals  membership.Signals // rests, rate limits and leaving that the replica announces
+	Signals  membership.Signals // the rest (a time without calls), rate limit or leaving that the replica announces
 }
 
 // Dialect translates between headers and this package's types. It makes no decisions.
@@ -97,6 +98,11 @@
 }
 
 // Stats are counters of the request path.
+//
+// Refused counts calls answered as not run; Shed counts those of them that would have been late.
+// Failed counts calls that failed with another outcome before a part of a response was passed on,
+// and Broken those that failed later. Attempts counts sends, including those that did not run, and
+// BudgetEmpty calls that were not retried because the retry budget was used up.
 type Stats struct {
 	Requests, Refused, Shed, Failed, Broken, Attempts, Retries, BudgetEmpty atomic.Int64
 	// Withdrawn counts sends that were cancelled because the replica had not begun them when
@@ -133,8 +139,8 @@
 	// ObserveWeights records the weights that a replica reports in a response.
 	ObserveWeights func(id ids.Target, w ids.WeightsVersion)
 	Tuning         Tuning
-	// KeyTTL is the maximum age of the proof that the catalog is the newest when a call with
-	// an API key is sent, as a time.Duration. Zero: any age.
+	// KeyTTL is the maximum age, when a call with an API key is sent, of the proof that the
+	// catalog is the newest. It holds a time.Duration. Zero: any age.
 	KeyTTL  atomic.Int64
 	Stats   Stats
 	Latency Histogram
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -38,7 +38,7 @@
 	status     int  // of the response that was passed on
 	stream     streamState
 	progress   progress
-	proofAge   time.Duration // of the catalog, when it was applied to the call
+	proofAge   time.Duration // age of the catalog's proof when the call was authorized
 	guard      quarantine.Call
 	charge     charge
 }
@@ -115,8 +115,8 @@
 	return r.chargeAllowance()
 }
 
-// weightStride spreads consecutive calls over the services of a route in proportion to their
-// weights.
+// weightStride multiplies the seeds of calls, which grow in small steps, so that calls spread
+// over the services of a route in proportion to the services' weights.
 const weightStride = 0x9E3779B1
 
 // catalogProven reports whether the catalog was proven to be the newest within KeyTTL.
@@ -125,8 +125,8 @@
 	return ttl == 0 || r.f.Catalog.ProofAge(clock.Now()) < ttl
 }
 
-// ifProven returns a refusal that is based on the catalog. If the catalog may be outdated, it
-// returns a refusal that says so: a new key or route may not have reached this VM yet.
+// ifProven returns refusal, which is based on the catalog, if the catalog is proven to be the newest.
+// Otherwise it returns unprovenCatalog: a new key or route may not have reached this VM yet.
 func (r *run) ifProven(proven bool, refusal *outcome.Error) *outcome.Error {
 	if proven {
 		return refusal
@@ -139,9 +139,9 @@
 		"this VM can't prove that its configuration is the newest").After(vmRetryAfter)
 }
 
-// recheckAdmission refuses a send if the call's deadline has passed or the proof of its key has
-// expired. Both held when the call was admitted, but the call may have waited since, and the VM
-// may have been suspended.
+// recheckAdmission refuses a send if the call's deadline has passed or, for a call with an API key,
+// the catalog's proof has expired. Neither was so when the call was admitted, but the call may have
+// waited since, and the VM may have been suspended.
 func (r *run) recheckAdmission() *outcome.Error {
 	switch {
 	case clock.Until(r.ends) <= 0:
@@ -172,7 +172,8 @@
 // count against the chosen replica.
 var errNotAllowed = errors.New("a condition for sending the call has ceased to hold since it was admitted")
 
-// maxCallDuration is the maximum duration of a call; callers and routes may set a shorter one.
+// maxCallDuration is the longest time from a call's arrival to its deadline; callers and routes may
+// set a shorter one.
 const maxCallDuration = time.Minute
 
 // end returns the call's deadline.
@@ -209,7 +210,7 @@
 		limit = r.f.Tuning.MaxBodyMemory
 	}
 	ctl := http.NewResponseController(r.w)
-	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout)) // a connection that has no deadlines is read without one
+	_ = ctl.SetReadDeadline(time.Now().Add(bodyTimeout)) // a connection that does not support deadlines is read without one
 	body, err := readAll(http.MaxBytesReader(r.w, r.req.Body, limit), r.req.ContentLength)
 	_ = ctl.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
--- a/internal/forward/helpers_test.go
+++ b/internal/forward/helpers_test.go
@@ -162,7 +162,7 @@
 	return 0, false
 }
 
-// testFleet is a forwarder behind a test server, with its replicas.
+// testFleet is a forwarder and the URL of its test server.
 type testFleet struct {
 	f   *Forwarder
 	url string
@@ -201,7 +201,8 @@
 
 var callNumber atomic.Int64
 
-// ask makes one call and returns its response with the body. An error is one of the connection.
+// ask makes one call and returns its response with the body. The error is not nil only if the
+// connection fails.
 func (tf *testFleet) ask(t *testing.T, headers ...string) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := tf.begin(t, headers...)
--- a/internal/forward/late.go
+++ b/internal/forward/late.go
@@ -11,7 +11,7 @@
 	"github.com/threadwall/threadwall/internal/tally"
 )
 
-// LateCause is the cause of a response that missed its route's objectives.
+// LateCause tells why a response missed its route's objectives, or that it missed none.
 type LateCause uint8
 
 // A late response counts under the first of these causes that applies.
--- a/internal/forward/main_test.go
+++ b/internal/forward/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// TestMain lets tests in virtual time also control package clock.
+// TestMain makes package clock follow the virtual time of package testing/synctest.
 func TestMain(m *testing.M) {
 	clock.UseVirtualTime()
 	os.Exit(m.Run())
--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -26,7 +26,7 @@
 	maxErrorRoutes = 32
 	// otherRoutes is the name under which all further routes are counted.
 	otherRoutes = "(other)"
-	// ageBuckets is the number of buckets by the age of the load; the last one has no limit.
+	// ageBuckets is the number of buckets by the age of the load report; the last one has no limit.
 	ageBuckets = 6
 	// firstAgeLimit is the limit of the first age bucket; each further limit is twice the
 	// previous one. Engines and peers report loads a few times a second.
@@ -72,7 +72,7 @@
 }
 
 // PredictionErrors counts the ratios of measured to predicted times to the first event, by route
-// and by the age of the load. Safe for concurrent use.
+// and by the age of the load report. Safe for concurrent use.
 type PredictionErrors struct {
 	mu     sync.Mutex
 	routes map[string]*RatioHistogram
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -20,8 +20,8 @@
 	r.guard = r.f.Guard.Call(r.call.ID, request)
 }
 
-// checkForCrash starts a check whether the replica of a failed attempt crashed under it. A
-// replica that was leaving is skipped, since it ends anyway.
+// checkForCrash starts a check of whether a replica crashed while it ran an attempt that failed. It
+// skips replicas that were leaving, since they stop anyway.
 func (r *run) checkForCrash(ctx context.Context, t *attempt, err *outcome.Error) {
 	if err.Outcome != outcome.Unknown || !upstream.ClosedByReplica(err) || ctx.Err() != nil || endedLocally(err) {
 		return
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// watchCrashes makes the fleet record which requests replicas crashed under.
+// watchCrashes makes the fleet record the requests that replicas were running when they crashed.
 func (tf *testFleet) watchCrashes() *quarantine.Ledger {
 	ledger := quarantine.NewLedger(nil, nil)
 	tf.f.Guard = &quarantine.Guard{Detector: &quarantine.Detector{
@@ -35,7 +35,7 @@
 // maxCrashes bounds the crashes of quarantineHello, which are a second apart.
 const maxCrashes = 5
 
-// quarantineHello records crashes of replicas under the request that ask sends.
+// quarantineHello records crashes of replicas while they ran the request that ask sends.
 func quarantineHello(l *quarantine.Ledger, crashes int) {
 	for i := range crashes {
 		at := time.Now().Add(time.Duration(i-maxCrashes) * time.Second)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestNoRetryAfterQuarantine crashes the replica that runs a call which other replicas crashed
-// under before: the call is not retried, and fails as unknown, since it has run.
+// TestNoRetryAfterQuarantine crashes the replica that runs a call whose request crashed other
+// replicas before: the call is not retried, and its outcome is unknown, since it may have run.
 func TestNoRetryAfterQuarantine(t *testing.T) {
 	var tf *testFleet
 	var ledger *quarantine.Ledger
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestCrashDetection lets a replica fail a call in many ways, and checks that only the end of the
-// replica counts against the request.
+// TestCrashDetection lets a replica fail a call in many ways, and checks that the failure counts
+// against the request only if the replica stops or restarts without having been leaving.
 func TestCrashDetection(t *testing.T) {
 	var tf *testFleet
 	part := func(c net.Conn, r *http.Request) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestResponseClearsSuspicion answers a request under which replicas crashed: its crashes are
-// dropped, unless the response reports a failure of the replica or does not mark its own end.
+// TestResponseClearsSuspicion answers a request that crashed replicas before: the recorded crashes
+// are dropped, unless the response reports a failure of the replica or does not mark its own end.
 func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		respond func(net.Conn, *http.Request) bool
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -55,8 +55,8 @@
 	r.logEnd(status, e)
 }
 
-// minRetryAfter is the shortest Retry-After, so that a caller does not return while the fault
-// still lasts.
+// minRetryAfter is the shortest Retry-After, so that a caller does not retry while the fault still
+// lasts.
 const minRetryAfter = 20 * time.Millisecond
 
 // closeIfDraining asks the caller to use another connection next time.
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,7 +15,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// Causes with which this VM cancels an attempt itself.
+// Causes of attempts that this VM ended, as opposed to the replica.
 var (
 	errCallerGone = errors.New("the caller has disconnected or stopped reading")
 	errStalled    = errors.New("the replica has sent nothing within the time-out")
@@ -89,8 +89,8 @@
 	return e
 }
 
-// mayRetry reports whether the call may be sent again after a failed send. It takes the retry
-// out of the service's retry budget.
+// mayRetry reports whether the call may be sent again after a failed send. If so, it takes the retry
+// out of the service's retry budget, unless the failed send ended before any byte was sent.
 func (r *run) mayRetry(ctx context.Context, err *outcome.Error) bool {
 	switch {
 	case ctx.Err() != nil, clock.Until(r.ends) < minAttemptTime, r.sends >= maxSends:
@@ -124,7 +124,7 @@
 	return err.Step == stepDial || errors.Is(err, errNotAllowed)
 }
 
-// attempt picks a replica, sends the call there and passes the response on.
+// attempt makes one attempt: it picks a replica, sends the call there and passes the response on.
 func (r *run) attempt(ctx context.Context) *outcome.Error {
 	if refusal := r.guard.Refusal(r.sends == 0); refusal != nil {
 		return refusal
@@ -155,7 +155,7 @@
 	return err
 }
 
-// attempt is one send to one replica.
+// attempt is one send of a call to one replica.
 type attempt struct {
 	r         *run
 	c         *choice
@@ -303,11 +303,11 @@
 	return false
 }
 
-// Refusal is the cause of an attempt that the replica refused or failed.
+// Refusal is the cause of the error of an attempt that the replica refused or failed.
 type Refusal struct {
-	Status   int
-	Mismatch bool
-	Replica  ids.Target
+	Status   int        // HTTP status of the response; zero after a mismatch
+	Mismatch bool       // the replica has other weights, or another identity, than requested
+	Replica  ids.Target // the replica that answered; empty: not given
 }
 
 // Error implements error.
@@ -329,7 +329,7 @@
 		switch {
 		case r.superseded(c):
 		case r.status >= http.StatusInternalServerError:
-			// A target that fails calls without retries would otherwise look idle and healthy.
+			// A target whose failed calls are not retried would otherwise look idle and healthy.
 			members.FailedCall(c.target.ID, now)
 		default:
 			members.Succeeded(c.target.ID)
--- a/internal/forward/software.go
+++ b/internal/forward/software.go
@@ -19,7 +19,8 @@
 const maxDecisions = 4
 
 // choose picks a target among those that run a software version which is in service. The caller
-// must end the admission if it is not nil.
+// must release the admission; it is nil if software versions are not distinguished or no target
+// was found.
 func (r *run) choose(req *routing.Request, sc *fleet.Scratch) (*fleet.Snapshot, routing.Decision, *canary.Admission) {
 	f := r.f
 	if f.Software == nil {
@@ -51,8 +52,9 @@
 	return snap, d, nil
 }
 
-// maxHash returns the largest hash of a version's targets that may get calls, where only a
-// fraction of them may. VMs that see the same targets select the same ones. Zero: no bound.
+// maxHash returns the largest hash that a target of the version may have to get calls, if only a
+// fraction of the version's targets may get them. Zero: no bound. VMs that see the same targets
+// compute the same bound.
 func maxHash(service string, snap *fleet.Snapshot, c *routing.SoftwareChoice) uint64 {
 	if c.Fraction <= 0 || c.Fraction >= 1 {
 		return 0
@@ -105,7 +107,8 @@
 }
 
 // responseTime returns how long the target took. For a prompt, whose time depends on its length,
-// it scales the time until the first event by expectedFloor over the expected time.
+// it divides the time until the first event by the predicted time plus expectedOffset, and multiplies
+// the ratio by expectedOffset.
 func (t *attempt) responseTime() time.Duration {
 	took := clock.Since(t.sent)
 	if t.r.call.Prompt == nil || !t.r.route.Prompts {
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -17,14 +17,15 @@
 	// firstEventFactor times the objective is the wait for the first event: a response that
 	// takes longer is worth little more than one that another replica gives from the start.
 	firstEventFactor = 1.5
-	// eventGapFactor times the route's longest allowed pause is the wait for the next event.
+	// eventGapFactor times the route's longest allowed gap between events is the wait for the next
+	// event.
 	eventGapFactor = 2
 	// minFirstEventTimeout is the shortest wait for the first event, for routes with short
 	// objectives.
 	minFirstEventTimeout = 150 * time.Millisecond
 	// defaultObjective is the objective of routes that set none.
 	defaultObjective = 2 * time.Second
-	// defaultMaxEventGap is the longest pause of routes that set none.
+	// defaultMaxEventGap is the longest allowed gap between events on routes that set none.
 	defaultMaxEventGap = 2 * time.Second
 )
 
@@ -48,8 +49,8 @@
 	return gap * eventGapFactor
 }
 
-// onStall runs when the replica has sent nothing within the time-out. Other calls then avoid the
-// replica, but this call is cancelled there only if it may be sent to another one.
+// onStall runs when the replica has sent nothing within the time-out. The time-out counts against the
+// replica in later decisions, but this call is cancelled only if it may be sent to another replica.
 func (t *attempt) onStall() {
 	if !t.r.superseded(t.c) {
 		t.r.f.Fleet.Members.TimedOut(t.c.target.ID, t.sent, clock.Now())
@@ -104,6 +105,7 @@
 	}
 }
 
+// stop stops the timer for good; a later start does nothing.
 func (s *stallTimer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// eventIDs returns the ids of the events in a stream.
+// eventIDs returns the ids of the events in a stream, with "torn" for each incomplete event.
 func eventIDs(body string) string {
 	var out []string
 	for ev := range strings.SplitSeq(body, "\n\n") {
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -44,7 +44,7 @@
 	return tf
 }
 
-// TestSuspendedBeforeSend suspends a VM between the check of a key's proof and the send.
+// TestSuspendedBeforeSend suspends a VM between the check of the catalog's proof and the send.
 func TestSuspendedBeforeSend(t *testing.T) {
 	for _, c := range []struct {
 		suspended time.Duration
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestSuspendedBeyondDeadline suspends a VM for longer than a caller waits. Before the send,
-// nothing is sent any more, and the caller learns that the call did not run. While a replica works,
-// the call ends soon after the suspension, although its timer has not fired.
+// TestSuspendedBeyondDeadline suspends a VM for longer than a caller waits. After a suspension before
+// the send, nothing is sent, and the caller learns that the call did not run. After a suspension
+// while a replica works on the call, the call ends soon, although its timer has not fired.
 func TestSuspendedBeyondDeadline(t *testing.T) {
 	const suspended = 20 * time.Second
 	t.Run("before the send", func(t *testing.T) {
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -17,7 +17,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// twoVersions are weights whose version 2 was declared at a given time.
+// twoVersions are weights whose version 2 was declared at a given time. Version 1 may be used for
+// the time within after that.
 type twoVersions struct {
 	declared time.Time
 	within   time.Duration
@@ -65,7 +66,7 @@
 		want     time.Duration // zero: never
 	}{
 		{"old when sent", -2 * time.Second, 0, 7 * time.Second},
-		{"named while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
+		{"declared while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
 		{"too old when sent", -time.Minute, 0, time.Nanosecond},
 		{"begun before", -2 * time.Second, 6999 * time.Millisecond, 0},
 		{"newest throughout", time.Hour, 0, 0},
@@ -153,7 +154,7 @@
 	}
 }
 
-// holdUntilClosed holds a call until the VM withdraws it, and sends the time of that.
+// holdUntilClosed holds a call until the VM withdraws it, and sends the time of the withdrawal.
 func holdUntilClosed(left chan<- time.Time) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
--- a/internal/forward/withdraw_test.go
+++ b/internal/forward/withdraw_test.go
@@ -11,8 +11,9 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// TestPeerReportShortensWait lets a peer report, while a call waits, that the version is older than
-// this VM had recorded: the call is withdrawn by the reported age.
+// TestPeerReportShortensWait lets a peer report, while a call waits, that the newest version was
+// declared earlier than this VM had recorded: the time of the withdrawal follows from the reported
+// age.
 func TestPeerReportShortensWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
--- a/internal/retry/after.go
+++ b/internal/retry/after.go
@@ -9,7 +9,8 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// MaxAfter bounds what After returns. A target that asks for more counts as gone.
+// MaxAfter is the longest delay that After returns; it cuts longer ones to this. A target that asks
+// for more is gone in practice.
 const MaxAfter = time.Hour
 
 // After returns the delay that the Retry-After header of a response asks for (RFC 9110,
--- a/internal/verdict/moves.go
+++ b/internal/verdict/moves.go
@@ -29,7 +29,7 @@
 type Locations struct {
 	Held       int32  // tokens at the chosen target
 	Holder     Source // the other target that holds the most
-	Rendezvous string // address of the rendezvous target; empty: it is the chosen target
+	Rendezvous string // address of the rendezvous target; empty: the chosen target itself, or none with its weights
 	Store      Source
 }
 
