--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -16,14 +16,14 @@
 	tf := newFleet(t, route(catalog.Once, 1), s)
 	resp, body, err := tf.ask(t, "Salt", "forged", "Workspace", "forged", "X-Mine", "kept")
 	if err != nil || resp.StatusCode != http.StatusOK || body != "the answer" || resp.Header.Get("Signed") != "yes" {
-		t.Fatalf("got %v, %q, %v", resp, body, err)
+		t.Fatalf("got %v, %q, %v; want 200 and the signed body of the replica", resp, body, err)
 	}
 	got := s.requests()[0]
 	if got.Method != http.MethodPost || got.RequestURI != "/x?q=1" || got.Host != "h.example" {
-		t.Fatalf("the replica received %s %s with host %s", got.Method, got.RequestURI, got.Host)
+		t.Fatalf("the replica received %s %s with host %s, want POST /x?q=1 with host h.example", got.Method, got.RequestURI, got.Host)
 	}
 	if got.Header.Get("Salt") != "" || got.Header.Get("Workspace") != "" || got.Header.Get("X-Mine") != "kept" {
-		t.Fatalf("the replica received the headers %v", got.Header)
+		t.Fatalf("the replica received the headers %v, want X-Mine as sent and neither Salt nor Workspace", got.Header)
 	}
 }
 
@@ -93,10 +93,10 @@
 	began := time.Now()
 	resp, _, err := tf.ask(t)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 503 with a Retry-After", resp, err)
 	}
 	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Fatalf("the refusal took %v", took)
+		t.Fatalf("the refusal took %v, want at most 500 ms", took)
 	}
 }
 
@@ -125,7 +125,7 @@
 	tf := newFleet(t, route(catalog.Idempotent, 2), a, b)
 	for range 10 {
 		if resp, body, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusOK || body != "fine" {
-			t.Fatalf("got %v, %q, %v", resp, body, err)
+			t.Fatalf("got %v, %q, %v, want 200 and the body of the second replica", resp, body, err)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		began := time.Now()
 		resp, _, err := tf.ask(t)
 		if err != nil || resp.StatusCode != http.StatusOK || time.Since(began) > time.Second {
-			t.Fatalf("got %v, %v after %v", resp, err, time.Since(began))
+			t.Fatalf("got %v, %v after %v, want 200 within 1 s", resp, err, time.Since(began))
 		}
 	}
 }
@@ -154,10 +154,10 @@
 	began := time.Now()
 	resp, _, err := tf.ask(t, "Deadline", "5s")
 	if err != nil || resp.StatusCode != http.StatusGatewayTimeout {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 504", resp, err)
 	}
 	if took := time.Since(began); took < 250*time.Millisecond || took > 800*time.Millisecond {
-		t.Fatalf("the response took %v", took)
+		t.Fatalf("the response took %v, want 250 ms to 800 ms", took)
 	}
 }
 
@@ -219,7 +219,7 @@
 		}
 	}
 	if got := s.requests(); len(got) != 1 || got[0].Header.Get("Workspace") != "w1" || got[0].Header.Get("Key") != "" {
-		t.Fatalf("the replica received %d requests, the first with %v", len(got), got[0].Header)
+		t.Fatalf("the replica received %d requests, the first with %v, want one with workspace w1 and no key", len(got), got[0].Header)
 	}
 }
 
@@ -229,6 +229,6 @@
 	tf := newFleet(t, route(catalog.Once, 1), newFakeReplica(t, "a", ok("fine")))
 	tf.f.Catalog = &catalog.Current{}
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 503", resp, err)
 	}
 }
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -65,11 +65,11 @@
 		return n
 	}
 	if n := count(); n["s1"] < 60 || n["s2"] < 60 || n["s3"] < 60 {
-		t.Fatalf("the stores get %v of 300 prefixes", n)
+		t.Fatalf("the stores get %v of 300 prefixes, want at least 60 each", n)
 	}
 	p.StoreDown("s2", true, time.Now())
 	if n := count(); n["s2"] != 0 || n["s1"] < 100 {
-		t.Fatalf("while s2 is down the stores get %v", n)
+		t.Fatalf("while s2 is down the stores get %v, want none for s2 and at least 100 for s1", n)
 	}
 	r := &run{f: &Forwarder{KV: p}, catalog: c}
 	for id := range prefix.ID(300) {
@@ -79,7 +79,7 @@
 	}
 	p.StoreDown("s2", false, time.Now())
 	if n := count(); n["s2"] < 60 {
-		t.Fatalf("after s2 is back the stores get %v", n)
+		t.Fatalf("after s2 is back the stores get %v, want at least 60 for s2", n)
 	}
 	if catalog.New(catalog.Declaration{}).KVStoreOf(1, p.usable) != nil {
 		t.Fatal("a store is returned although none is declared")
@@ -91,7 +91,7 @@
 func TestRequestedSaveNotAssumedDone(t *testing.T) {
 	p := &Planner{Cache: cacheview.New(1024, nil)}
 	if c := newPlan(p, "a", 0); c.save != storeAddr {
-		t.Fatalf("the first call saves to %q", c.save)
+		t.Fatalf("the first call saves to %q, want to the store", c.save)
 	}
 	c := newPlan(p, "a", 0)
 	if c.save != "" {
@@ -103,6 +103,6 @@
 	store := StoreTarget(storeAddr)
 	p.Cache.Add(store, StoreGeneration(p.Cache, store), []prefix.Level{{ID: StoreLevel("1/shared", "m", "p1")}})
 	if c := newPlan(p, "a", 0); c.work != 200 || c.save != "" {
-		t.Fatalf("%d tokens are to be computed, saved to %q, after the store reported the part", c.work, c.save)
+		t.Fatalf("%d tokens are to be computed, saved to %q, after the store reported the part, want 200 and no save", c.work, c.save)
 	}
 }
--- a/internal/forward/prediction_test.go
+++ b/internal/forward/prediction_test.go
@@ -51,16 +51,16 @@
 	s := decodeErrors(t, &p)
 	a, b := s.Routes["a"], s.Routes["b"]
 	if total(a) != 2 || total(b) != 1 {
-		t.Fatalf("counted %d of a, %d of b", total(a), total(b))
+		t.Fatalf("counted %d of a, %d of b, want 2 and 1", total(a), total(b))
 	}
 	if last := a[len(a)-1]; last.Count != 1 || last.UpTo != 0 {
-		t.Errorf("a first event a hundred times later than predicted is counted in %v", a)
+		t.Errorf("a first event a hundred times later than predicted is counted in %v, want in the last bucket", a)
 	}
 	if exact := a[4]; exact.Count != 1 || exact.UpTo != 1 {
-		t.Errorf("a first event almost as predicted is counted in %v", a)
+		t.Errorf("a first event almost as predicted is counted in %v, want in the bucket up to 1", a)
 	}
 	if b[0].Count != 1 {
-		t.Errorf("a first event ten times earlier than predicted is counted in %v", b)
+		t.Errorf("a first event ten times earlier than predicted is counted in %v, want in the first bucket", b)
 	}
 	for i, want := range []int64{1, 1, 0, 0, 0, 1} {
 		if got := total(s.Ages[i].Ratios); got != want {
@@ -76,7 +76,7 @@
 	}
 	s := decodeErrors(t, &p)
 	if len(s.Routes) != maxErrorRoutes+1 || total(s.Routes[otherRoutes]) != 2*maxErrorRoutes {
-		t.Fatalf("%d routes, %d calls of the other routes", len(s.Routes), total(s.Routes[otherRoutes]))
+		t.Fatalf("%d routes, %d calls of the other routes, want maxErrorRoutes+1 and 2*maxErrorRoutes", len(s.Routes), total(s.Routes[otherRoutes]))
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	buckets := decodeErrors(t, &tf.f.Prediction).Routes[r.Name]
 	if total(buckets) != 2 {
-		t.Fatalf("counted %v", buckets)
+		t.Fatalf("counted %v, want 2 in all", buckets)
 	}
 	for _, b := range buckets[:5] {
 		if b.Count != 0 {
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -66,13 +66,13 @@
 			quarantineHello(tf.watchCrashes(), 3)
 			resp, body, err := tf.ask(t)
 			if err != nil || resp.StatusCode != http.StatusBadRequest || resp.Header.Get("Retry-After") != "" {
-				t.Fatalf("got %v, %v", resp, err)
+				t.Fatalf("got %v, %v, want 400 without a Retry-After", resp, err)
 			}
 			if !strings.Contains(body, "3 replicas crashed") || !strings.Contains(body, "(not-run)") {
-				t.Errorf("the caller gets %q", body)
+				t.Errorf("the caller gets %q, want the number of crashes and (not-run)", body)
 			}
 			if n := len(s.requests()); n != 0 {
-				t.Errorf("the call was sent %d times", n)
+				t.Errorf("the call was sent %d times, want 0", n)
 			}
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, tf.url+"/x?q=1", strings.NewReader("hellp"))
 			if err != nil {
@@ -82,7 +82,7 @@
 			req.Header.Set("Id", "other")
 			other, err := http.DefaultTransport.RoundTrip(req)
 			if err != nil || other.StatusCode != http.StatusOK {
-				t.Fatalf("a request that differs in a byte got %v, %v", other, err)
+				t.Fatalf("a request that differs in a byte got %v, %v, want 200", other, err)
 			}
 			_ = other.Body.Close()
 		})
@@ -103,10 +103,10 @@
 	ledger = tf.watchCrashes()
 	resp, body, err := tf.ask(t)
 	if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, "(unknown)") {
-		t.Fatalf("got %v, %q, %v", resp, body, err)
+		t.Fatalf("got %v, %q, %v, want 502 and (unknown)", resp, body, err)
 	}
 	if n := len(first.requests()) + len(second.requests()); n != 1 {
-		t.Errorf("the call was sent %d times", n)
+		t.Errorf("the call was sent %d times, want 1", n)
 	}
 }
 
@@ -224,14 +224,14 @@
 	tf.f.Fleet.Members.Busy("a", clock.Now().Add(time.Hour))
 	tf.f.Fleet.Refresh()
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("without a replica: got %v, %v", resp, err)
+		t.Fatalf("without a replica: got %v, %v, want 503", resp, err)
 	}
 	tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", s.addr, 1)}, clock.Now())
 	tf.f.Fleet.Members.Ready("a")
 	tf.f.Fleet.Refresh()
 	for i := range 3 {
 		if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("call %d with a replica: got %v, %v", i, resp, err)
+			t.Fatalf("call %d with a replica: got %v, %v, want 200", i, resp, err)
 		}
 	}
 }
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -27,7 +27,7 @@
 	tf = newFleet(t, route(catalog.Once, 2), s)
 	resp, _, err := tf.ask(t)
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 502", resp, err)
 	}
 	<-restarted
 	st := tf.f.Fleet.Refresh().Status(0)
@@ -35,7 +35,7 @@
 		t.Errorf("the failure counts against the new incarnation: %+v", st)
 	}
 	if n := len(s.requests()); n != 1 {
-		t.Errorf("the call was sent %d times", n)
+		t.Errorf("the call was sent %d times, want 1", n)
 	}
 }
 
@@ -53,7 +53,7 @@
 	})
 	tf = newFleet(t, route(catalog.Once, 1), s)
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 503", resp, err)
 	}
 	if got := tf.f.Fleet.Members.State("a", time.Now()); got == routing.Leaving {
 		t.Error("the new incarnation counts as leaving")
--- a/internal/forward/shed_test.go
+++ b/internal/forward/shed_test.go
@@ -60,7 +60,7 @@
 			}
 			refused := c.status != http.StatusOK
 			if refused && (resp.Header.Get("Retry-After") == "" || len(s.requests()) > 0) {
-				t.Fatalf("the refusal has the headers %v after %d sends", resp.Header, len(s.requests()))
+				t.Fatalf("the refusal has the headers %v after %d sends, want a Retry-After and no sends", resp.Header, len(s.requests()))
 			}
 		})
 	}
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%d calls were sent, want %d", n, want)
 			}
 			if resp, _, err := tf.ask(t); want == 1 && (err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "") {
-				t.Errorf("a call that no replica can take got %v, %v", resp, err)
+				t.Errorf("a call that no replica can take got %v, %v, want 503 with a Retry-After", resp, err)
 			}
 		})
 	}
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -55,7 +55,7 @@
 	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 0, false)))
 	resp, body, err := tf.ask(t)
 	if err != nil || resp.Header.Get("Signed") != "yes" || eventIDs(body) != "1 2 3 4 5" {
-		t.Fatalf("got %v, %q, %v", resp, body, err)
+		t.Fatalf("got %v, %q, %v, want the signed events 1 to 5", resp, body, err)
 	}
 }
 
@@ -70,10 +70,10 @@
 			for range 10 {
 				resp, body, err := tf.ask(t)
 				if err != nil || eventIDs(body) != "1 2 3 4 5" {
-					t.Fatalf("torn %v, break at %d: got %q, %v", torn, breakAt, eventIDs(body), err)
+					t.Fatalf("torn %v, break at %d: got %q, %v, want events 1 to 5", torn, breakAt, eventIDs(body), err)
 				}
 				if len(a.requests()) > 0 && breakAt > 1 && resp.Header.Get("By") != "a" {
-					t.Fatalf("the headers are those of %s", resp.Header.Get("By"))
+					t.Fatalf("the headers are those of %s, want those of a", resp.Header.Get("By"))
 				}
 				if len(a.requests()) > 0 {
 					break
@@ -90,7 +90,7 @@
 		tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 3, torn)))
 		_, body, err := tf.ask(t)
 		if err == nil || eventIDs(body) != "1 2" {
-			t.Fatalf("torn %v: got %q, %v", torn, eventIDs(body), err)
+			t.Fatalf("torn %v: got %q, %v, want events 1 and 2 and a cut connection", torn, eventIDs(body), err)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 		t.Run(name, func(t *testing.T) {
 			tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", sendChunks(nil, event1+event2+rest)))
 			if _, body, err := tf.ask(t); err == nil || eventIDs(body) != "1 2" {
-				t.Fatalf("got %q, %v", eventIDs(body), err)
+				t.Fatalf("got %q, %v, want events 1 and 2 and a cut connection", eventIDs(body), err)
 			}
 		})
 	}
@@ -146,11 +146,11 @@
 			defer func() { _ = resp.Body.Close() }()
 			first := make([]byte, len(event1))
 			if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != event1 {
-				t.Fatalf("got %q, %v before the rest was sent", first, err)
+				t.Fatalf("got %q, %v before the rest was sent, want event 1", first, err)
 			}
 			next <- struct{}{}
 			if body, err := io.ReadAll(resp.Body); err == nil || string(body) != event2 {
-				t.Fatalf("got %q, %v for the rest", body, err)
+				t.Fatalf("got %q, %v for the rest, want event 2 and a cut connection", body, err)
 			}
 		})
 	}
@@ -161,7 +161,7 @@
 func TestStreamBrokenBeforeFirstEvent(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 1), newFakeReplica(t, "a", events(5, 1, false)))
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusBadGateway {
-		t.Fatalf("got %v, %v", resp, err)
+		t.Fatalf("got %v, %v, want 502", resp, err)
 	}
 }
 
@@ -175,7 +175,7 @@
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 4, false)), newFakeReplica(t, "b", fromStart))
 	for range 10 {
 		if _, body, err := tf.ask(t); err != nil || eventIDs(body) != "1 2 3 4 5" {
-			t.Fatalf("got %q, %v", eventIDs(body), err)
+			t.Fatalf("got %q, %v, want events 1 to 5", eventIDs(body), err)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	for range 4 {
 		began := time.Now()
 		if _, body, err := tf.ask(t); err != nil || eventIDs(body) != "1 2 3 4 5" || time.Since(began) > 1500*time.Millisecond {
-			t.Fatalf("got %q, %v after %v", eventIDs(body), err, time.Since(began))
+			t.Fatalf("got %q, %v after %v, want events 1 to 5 within 1.5 s", eventIDs(body), err, time.Since(began))
 		}
 	}
 }
@@ -200,7 +200,7 @@
 func TestCallerResumes(t *testing.T) {
 	tf := newFleet(t, route(catalog.Stream, 2), newFakeReplica(t, "a", events(5, 0, false)))
 	if _, body, err := tf.ask(t, "After", "3"); err != nil || eventIDs(body) != "4 5" {
-		t.Fatalf("got %q, %v", eventIDs(body), err)
+		t.Fatalf("got %q, %v, want events 4 and 5", eventIDs(body), err)
 	}
 }
 
--- a/internal/forward/suspend_test.go
+++ b/internal/forward/suspend_test.go
@@ -66,7 +66,7 @@
 				t.Errorf("the refusal counts against the replica: %+v", st)
 			}
 			if c.sends == 0 && (resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "") {
-				t.Errorf("the caller got %d, %q", resp.StatusCode, body)
+				t.Errorf("the caller got %d, %q, want 503 with a Retry-After", resp.StatusCode, body)
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 		defer clock.Skip(-suspended)
 		resp, _, err := tf.ask(t)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(s.requests()) != 0 {
-			t.Errorf("got %v, %v, and %d sends", resp, err, len(s.requests()))
+			t.Errorf("got %v, %v, and %d sends, want 503 and no sends", resp, err, len(s.requests()))
 		}
 	})
 	t.Run("while a replica works", func(t *testing.T) {
@@ -108,10 +108,10 @@
 		began := time.Now()
 		resp, _, err := tf.ask(t)
 		if err != nil || resp.StatusCode != http.StatusGatewayTimeout {
-			t.Errorf("got %v, %v", resp, err)
+			t.Errorf("got %v, %v, want 504", resp, err)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("the call ended %v after it began", took)
+			t.Errorf("the call ended %v after it began, want at most 1 s", took)
 		}
 	})
 }
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -121,7 +121,7 @@
 	time.AfterFunc(within/2, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || body == "" {
-		t.Errorf("got %v, body %q, %v", resp, body, err)
+		t.Errorf("got %v, body %q, %v, want 200 with a body", resp, body, err)
 	}
 	select {
 	case at := <-left:
@@ -150,7 +150,7 @@
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "data: y") || tf.f.Stats.Withdrawn.Load() != 0 {
-		t.Errorf("got %v, body %q, %v, %d withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
+		t.Errorf("got %v, body %q, %v, %d withdrawn, want 200 with both events and 0 withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
 	}
 }
 
@@ -179,7 +179,7 @@
 	tf.f.Weights = unseenVersion{twoVersions{declared: declared, within: within}}
 	resp, _, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(fresh.requests()) != 0 || tf.f.Stats.Withdrawn.Load() != 1 {
-		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
+		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn, want 502, 0 calls and 1 withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
 	}
 	if late := (<-left).Sub(declared) - within; late < 0 || late > loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
@@ -217,7 +217,7 @@
 	tf.f.Weights = futureVersion{twoVersions{declared: declared, within: within}}
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	if resp, _, err := tf.ask(t, "Model", "m"); err != nil || resp.StatusCode == http.StatusOK {
-		t.Errorf("got %v, %v", resp, err)
+		t.Errorf("got %v, %v, want a status other than 200", resp, err)
 	}
 	if late := (<-left).Sub(declared) - within; late < 0 || late > weightsCheckInterval+loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
@@ -324,7 +324,7 @@
 		call.recordOutcome(t.Context(), &attempt{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
 	}
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
-		t.Errorf("the replica counts as %+v", status)
+		t.Errorf("the replica counts as %+v, want one live replica", status)
 	}
 	if !call.mayHaveRun {
 		t.Error("the calls are recorded as not run")
@@ -348,7 +348,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if n := send.r.f.Stats.Withdrawn.Load(); n != 0 {
-			t.Errorf("%d sends were counted as withdrawn", n)
+			t.Errorf("%d sends were counted as withdrawn, want 0", n)
 		}
 	})
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -24,10 +24,10 @@
 	} {
 		r, refused := Late(c.a, Best{Queue: c.queue, Rate: 50_000})
 		if refused != c.refused {
-			t.Errorf("%s: refused %v, predicted %v", c.name, refused, r.Predicted)
+			t.Errorf("%s: refused %v, want the opposite; predicted %v", c.name, refused, r.Predicted)
 		}
 		if refused && (r.RetryAfter < retryAfterMin || r.Predicted < c.queue) {
-			t.Errorf("%s: %+v", c.name, r)
+			t.Errorf("%s: got %+v, want a delay of at least retryAfterMin and a prediction of at least the queue", c.name, r)
 		}
 	}
 	early, _ := Late(Arrival{Objective: objective, Jitter: 0}, Best{Queue: time.Second})
