--- a/internal/forward/prediction.go
+++ b/internal/forward/prediction.go
@@ -26,7 +26,7 @@
 	maxErrorRoutes = 32
 	// otherRoutes is the name under which all further routes are counted.
 	otherRoutes = "(other)"
-	// ageBuckets is the number of buckets by the age of the load; the last one has no limit.
+	// ageBuckets is the number of buckets by the age of the load report; the last one has no limit.
 	ageBuckets = 6
 	// firstAgeLimit is the limit of the first age bucket; each further limit is twice the
 	// previous one. Engines and peers report loads a few times a second.
@@ -49,12 +49,12 @@
 
 // ratioBucketOf returns the index of the bucket for a ratio.
 func ratioBucketOf(ratio float64) int {
-	step, limit := 0, firstRatioLimit
-	for step < ratioBuckets-1 && ratio > limit {
-		step++
+	index, limit := 0, firstRatioLimit
+	for index < ratioBuckets-1 && ratio > limit {
+		index++
 		limit *= ratioFactor
 	}
-	return step
+	return index
 }
 
 // MarshalJSON implements json.Marshaler.
@@ -72,7 +72,7 @@
 }
 
 // PredictionErrors counts the ratios of measured to predicted times to the first event, by route
-// and by the age of the load. Safe for concurrent use.
+// and by the age of the load report. Safe for concurrent use.
 type PredictionErrors struct {
 	mu     sync.Mutex
 	routes map[string]*RatioHistogram
@@ -95,12 +95,12 @@
 }
 
 func ageBucketOf(age time.Duration) int {
-	step, limit := 0, firstAgeLimit
-	for step < ageBuckets-1 && age > limit {
-		step++
+	index, limit := 0, firstAgeLimit
+	for index < ageBuckets-1 && age > limit {
+		index++
 		limit *= 2
 	}
-	return step
+	return index
 }
 
 // route returns the histogram of a route, or the shared one once maxErrorRoutes is reached.
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/upstream"
 )
 
-// watchCrashes makes the fleet record which requests replicas crashed under.
+// watchCrashes makes the fleet record the requests that replicas were running when they crashed.
 func (tf *testFleet) watchCrashes() *quarantine.Ledger {
 	ledger := quarantine.NewLedger(nil, nil)
 	tf.f.Guard = &quarantine.Guard{Detector: &quarantine.Detector{
@@ -35,7 +35,7 @@
 // maxCrashes bounds the crashes of quarantineHello, which are a second apart.
 const maxCrashes = 5
 
-// quarantineHello records crashes of replicas under the request that ask sends.
+// quarantineHello records crashes of replicas while they ran the request that ask sends.
 func quarantineHello(l *quarantine.Ledger, crashes int) {
 	for i := range crashes {
 		at := time.Now().Add(time.Duration(i-maxCrashes) * time.Second)
@@ -66,13 +66,13 @@
 			quarantineHello(tf.watchCrashes(), 3)
 			resp, body, err := tf.ask(t)
 			if err != nil || resp.StatusCode != http.StatusBadRequest || resp.Header.Get("Retry-After") != "" {
-				t.Fatalf("got %v, %v", resp, err)
+				t.Fatalf("got %v, %v, want 400 without a Retry-After", resp, err)
 			}
 			if !strings.Contains(body, "3 replicas crashed") || !strings.Contains(body, "(not-run)") {
-				t.Errorf("the caller gets %q", body)
+				t.Errorf("the caller gets %q, want the number of crashes and (not-run)", body)
 			}
 			if n := len(s.requests()); n != 0 {
-				t.Errorf("the call was sent %d times", n)
+				t.Errorf("the call was sent %d times, want 0", n)
 			}
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, tf.url+"/x?q=1", strings.NewReader("hellp"))
 			if err != nil {
@@ -82,15 +82,15 @@
 			req.Header.Set("Id", "other")
 			other, err := http.DefaultTransport.RoundTrip(req)
 			if err != nil || other.StatusCode != http.StatusOK {
-				t.Fatalf("a request that differs in a byte got %v, %v", other, err)
+				t.Fatalf("a request that differs in a byte got %v, %v, want 200", other, err)
 			}
 			_ = other.Body.Close()
 		})
 	}
 }
 
-// TestNoRetryAfterQuarantine crashes the replica that runs a call which other replicas crashed
-// under before: the call is not retried, and fails as unknown, since it has run.
+// TestNoRetryAfterQuarantine crashes the replica that runs a call whose request crashed other
+// replicas before: the call is not retried, and its outcome is unknown, since it may have run.
 func TestNoRetryAfterQuarantine(t *testing.T) {
 	var tf *testFleet
 	var ledger *quarantine.Ledger
@@ -103,24 +103,24 @@
 	ledger = tf.watchCrashes()
 	resp, body, err := tf.ask(t)
 	if err != nil || resp.StatusCode != http.StatusBadGateway || !strings.Contains(body, "(unknown)") {
-		t.Fatalf("got %v, %q, %v", resp, body, err)
+		t.Fatalf("got %v, %q, %v, want 502 and (unknown)", resp, body, err)
 	}
 	if n := len(first.requests()) + len(second.requests()); n != 1 {
-		t.Errorf("the call was sent %d times", n)
+		t.Errorf("the call was sent %d times, want 1", n)
 	}
 }
 
-// TestCrashDetection lets a replica fail a call in many ways, and checks that only the end of the
-// replica counts against the request.
+// TestCrashDetection lets a replica fail a call in many ways, and checks that the failure counts
+// against the request only if the replica stops or restarts without having been leaving.
 func TestCrashDetection(t *testing.T) {
 	var tf *testFleet
 	part := func(c net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: yes\r\nContent-Length: 20\r\n\r\nhalf", r.Header.Get("Id"))
 	}
 	for _, c := range []struct {
-		name    string
-		respond func(s *fakeReplica) func(net.Conn, *http.Request) bool
-		blamed  int
+		name     string
+		respond  func(s *fakeReplica) func(net.Conn, *http.Request) bool
+		suspects int
 	}{
 		{"stops", func(s *fakeReplica) func(net.Conn, *http.Request) bool {
 			return func(net.Conn, *http.Request) bool { s.stop(); return false }
@@ -173,15 +173,15 @@
 			if _, _, err := tf.ask(t); err != nil {
 				t.Fatal(err)
 			}
-			if n := waitForSuspects(ledger, c.blamed, 400*time.Millisecond); n != c.blamed {
-				t.Errorf("%d requests are suspected, want %d", n, c.blamed)
+			if n := waitForSuspects(ledger, c.suspects, 400*time.Millisecond); n != c.suspects {
+				t.Errorf("%d requests are suspected, want %d", n, c.suspects)
 			}
 		})
 	}
 }
 
-// TestResponseClearsSuspicion answers a request under which replicas crashed: its crashes are
-// dropped, unless the response reports a failure of the replica or does not mark its own end.
+// TestResponseClearsSuspicion answers a request that crashed replicas before: the recorded crashes
+// are dropped, unless the response reports a failure of the replica or does not mark its own end.
 func TestResponseClearsSuspicion(t *testing.T) {
 	for name, c := range map[string]struct {
 		respond func(net.Conn, *http.Request) bool
@@ -224,14 +224,14 @@
 	tf.f.Fleet.Members.Busy("a", clock.Now().Add(time.Hour))
 	tf.f.Fleet.Refresh()
 	if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Fatalf("without a replica: got %v, %v", resp, err)
+		t.Fatalf("without a replica: got %v, %v, want 503", resp, err)
 	}
 	tf.f.Fleet.Members.ApplyPlatform([]platform.Record{recordOf("a", s.addr, 1)}, clock.Now())
 	tf.f.Fleet.Members.Ready("a")
 	tf.f.Fleet.Refresh()
 	for i := range 3 {
 		if resp, _, err := tf.ask(t); err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("call %d with a replica: got %v, %v", i, resp, err)
+			t.Fatalf("call %d with a replica: got %v, %v, want 200", i, resp, err)
 		}
 	}
 }
--- a/internal/forward/refuse.go
+++ b/internal/forward/refuse.go
@@ -55,8 +55,8 @@
 	r.logEnd(status, e)
 }
 
-// minRetryAfter is the shortest Retry-After, so that a caller does not return while the fault
-// still lasts.
+// minRetryAfter is the shortest Retry-After, so that a caller does not retry while the fault still
+// lasts.
 const minRetryAfter = 20 * time.Millisecond
 
 // closeIfDraining asks the caller to use another connection next time.
@@ -83,7 +83,7 @@
 	}
 	if p := &r.progress; !p.first.IsZero() {
 		line = line.Int64("first_ms", p.first.Sub(r.received).Milliseconds()).Int64("sent_ms", p.sent.Sub(r.received).Milliseconds()).
-			Int64("pause_ms", p.pause.Milliseconds()).Str("late", r.lateCause().String())
+			Int64("pause_ms", p.maxGap.Milliseconds()).Str("late", r.lateCause().String())
 	}
 	if e == nil {
 		line.Str("outcome", outcome.Ran.String()).Send()
--- a/internal/forward/signals_test.go
+++ b/internal/forward/signals_test.go
@@ -42,7 +42,7 @@
 				t.Errorf("%d calls were sent, want %d", n, want)
 			}
 			if resp, _, err := tf.ask(t); want == 1 && (err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "") {
-				t.Errorf("a call that nobody can take got %v, %v", resp, err)
+				t.Errorf("a call that no replica can take got %v, %v, want 503 with a Retry-After", resp, err)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 		r := &run{f: tf.f, req: httptest.NewRequest(http.MethodPost, "/", nil), ends: time.Now().Add(time.Minute)}
 		c := &choice{}
 		c.target.ID, c.target.Incarnation = "a", 1
-		before := (&try{r: &run{f: r.f, req: r.req, ends: r.ends, route: &tf.f.Catalog.Get().Routes[0]}, c: c}).request().BeforeWrite
+		before := (&attempt{r: &run{f: r.f, req: r.req, ends: r.ends, route: &tf.f.Catalog.Get().Routes[0]}, c: c}).request().BeforeWrite
 		if refusal := before(); refusal != nil {
 			t.Fatalf("%s: a call is refused without a reason: %v", name, refusal)
 		}
--- a/internal/forward/weights_test.go
+++ b/internal/forward/weights_test.go
@@ -17,7 +17,8 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// twoVersions are weights whose version 2 was declared at a given time.
+// twoVersions are weights whose version 2 was declared at a given time. Version 1 may be used for
+// the time within after that.
 type twoVersions struct {
 	declared time.Time
 	within   time.Duration
@@ -65,7 +66,7 @@
 		want     time.Duration // zero: never
 	}{
 		{"old when sent", -2 * time.Second, 0, 7 * time.Second},
-		{"named while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
+		{"declared while it waits", 1500 * time.Millisecond, 0, 10500 * time.Millisecond},
 		{"too old when sent", -time.Minute, 0, time.Nanosecond},
 		{"begun before", -2 * time.Second, 6999 * time.Millisecond, 0},
 		{"newest throughout", time.Hour, 0, 0},
@@ -75,7 +76,7 @@
 				sent := time.Now()
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: futureVersion{twoVersions{declared: sent.Add(c.declared), within: within}}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -120,7 +121,7 @@
 	time.AfterFunc(within/2, func() { tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1", fresh: "2"}) })
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || body == "" {
-		t.Errorf("got %v, body %q, %v", resp, body, err)
+		t.Errorf("got %v, body %q, %v, want 200 with a body", resp, body, err)
 	}
 	select {
 	case at := <-left:
@@ -149,11 +150,11 @@
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	resp, body, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusOK || !strings.Contains(body, "data: y") || tf.f.Stats.Withdrawn.Load() != 0 {
-		t.Errorf("got %v, body %q, %v, %d withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
+		t.Errorf("got %v, body %q, %v, %d withdrawn, want 200 with both events and 0 withdrawn", resp, body, err, tf.f.Stats.Withdrawn.Load())
 	}
 }
 
-// holdUntilClosed holds a call until the VM withdraws it, and sends the time of that.
+// holdUntilClosed holds a call until the VM withdraws it, and sends the time of the withdrawal.
 func holdUntilClosed(left chan<- time.Time) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
@@ -178,7 +179,7 @@
 	tf.f.Weights = unseenVersion{twoVersions{declared: declared, within: within}}
 	resp, _, err := tf.ask(t, "Model", "m")
 	if err != nil || resp.StatusCode != http.StatusBadGateway || len(fresh.requests()) != 0 || tf.f.Stats.Withdrawn.Load() != 1 {
-		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
+		t.Errorf("got %v, %v, %d calls at the other replica, %d withdrawn, want 502, 0 calls and 1 withdrawn", resp, err, len(fresh.requests()), tf.f.Stats.Withdrawn.Load())
 	}
 	if late := (<-left).Sub(declared) - within; late < 0 || late > loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
@@ -216,7 +217,7 @@
 	tf.f.Weights = futureVersion{twoVersions{declared: declared, within: within}}
 	tf.setWeights(map[*fakeReplica]ids.WeightsVersion{old: "1"})
 	if resp, _, err := tf.ask(t, "Model", "m"); err != nil || resp.StatusCode == http.StatusOK {
-		t.Errorf("got %v, %v", resp, err)
+		t.Errorf("got %v, %v, want a status other than 200", resp, err)
 	}
 	if late := (<-left).Sub(declared) - within; late < 0 || late > weightsCheckInterval+loadSlack {
 		t.Errorf("the call left the replica with old weights %v after these had become too old", late)
@@ -241,7 +242,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: c.prompt}, route: &c.route},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -261,7 +262,7 @@
 // TestBegunCallNotWithdrawn stops the watch of a send with its first event, and once more when its
 // timer has already fired: an event that was read is passed on and not cut off.
 func TestBegunCallNotWithdrawn(t *testing.T) {
-	for name, end := range map[string]func(*try){"begun": (*try).stopWeightsWatch, "begun when the timer fires": func(send *try) {
+	for name, end := range map[string]func(*attempt){"begun": (*attempt).stopWeightsWatch, "begun when the timer fires": func(send *attempt) {
 		send.stopWeightsWatch()
 		send.recheckWeights() // the timer has fired already
 	}} {
@@ -269,7 +270,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancelCause(t.Context())
 				r := promptRoute()
-				send := &try{
+				send := &attempt{
 					r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 					c:   &choice{target: routing.Target{Weights: "1"}},
 					ctx: ctx, cancel: cancel,
@@ -320,10 +321,10 @@
 	tf := newFleet(t, r, old)
 	call := &run{f: tf.f, route: &r}
 	for range 5 {
-		call.recordOutcome(t.Context(), &try{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
+		call.recordOutcome(t.Context(), &attempt{c: &choice{target: routing.Target{ID: "old"}}}, outcome.Wrap(errOldWeights, outcome.Unknown, outcome.CodeUpstream, "send", "old", "withdrawn"))
 	}
 	if status := tf.f.Fleet.Members.Targets(time.Now()); len(status) != 1 || status[0].State != routing.Live {
-		t.Errorf("the replica counts as %+v", status)
+		t.Errorf("the replica counts as %+v, want one live replica", status)
 	}
 	if !call.mayHaveRun {
 		t.Error("the calls are recorded as not run")
@@ -336,7 +337,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancelCause(t.Context())
 		r := promptRoute()
-		send := &try{
+		send := &attempt{
 			r:   &run{f: &Forwarder{Weights: twoVersions{declared: time.Now(), within: time.Second}}, call: Call{Prompt: &Prompt{Model: "m"}}, route: &r},
 			c:   &choice{target: routing.Target{Weights: "1"}},
 			ctx: ctx, cancel: cancel,
@@ -347,7 +348,7 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if n := send.r.f.Stats.Withdrawn.Load(); n != 0 {
-			t.Errorf("%d sends were counted as withdrawn", n)
+			t.Errorf("%d sends were counted as withdrawn, want 0", n)
 		}
 	})
 }
