--- a/internal/cacheview/feed.go
+++ b/internal/cacheview/feed.go
@@ -12,11 +12,11 @@
 	Stored bool      `json:"stored"` // false: removed
 }
 
-// Feed applies a batch of a target's events in order. It uses only events for prefixes that
+// ApplyEvents applies a batch of a target's events in order. It uses only events for prefixes that
 // the index already has entries for, which are the few blocks at level boundaries. It
 // returns true if events are missing; it then invalidates the target's earlier entries, and
 // responses and later events add new ones.
-func (x *Index) Feed(t ids.Target, gen Generation, events []Event) (gap bool) {
+func (x *Index) ApplyEvents(t ids.Target, gen Generation, events []Event) (gap bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n := x.number(t)
--- a/internal/cacheview/fuzz_test.go
+++ b/internal/cacheview/fuzz_test.go
@@ -73,7 +73,7 @@
 	case 3:
 		x.ApplyResponse(t, stale, level, nil, 16)
 		x.Add(t, stale, level)
-		x.Feed(t, stale, []Event{{Seq: 1, Block: id, Stored: true}})
+		x.ApplyEvents(t, stale, []Event{{Seq: 1, Block: id, Stored: true}})
 	case 4:
 		x.Remove(t, o.generation(t), id)
 		if o.known(t) {
@@ -99,7 +99,7 @@
 func (o *oracle) feed(rt *rapid.T, x *Index, t ids.Target, id prefix.ID) {
 	seq := o.seq[t] + uint64(rapid.IntRange(0, 2).Draw(rt, "seq"))
 	stored := rapid.Bool().Draw(rt, "stored")
-	x.Feed(t, o.generation(t), []Event{{Seq: seq, Block: id, Stored: stored}})
+	x.ApplyEvents(t, o.generation(t), []Event{{Seq: seq, Block: id, Stored: stored}})
 	if !o.known(t) || seq <= o.seq[t] {
 		return
 	}
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -142,7 +142,7 @@
 		}
 		c.incarnation = f.Incarnation
 	}
-	if d.Fleet.Cache.Feed(t.ID, cacheview.GenerationOf(f.Incarnation, f.Weights), f.Events) {
+	if d.Fleet.Cache.ApplyEvents(t.ID, cacheview.GenerationOf(f.Incarnation, f.Weights), f.Events) {
 		d.Events.Record(timeline.Event{Kind: timeline.KindCache, Peer: string(t.ID), Text: "gap in cache events; invalidated the target's cache entries"}, nil)
 	}
 	for _, e := range f.Events {
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -209,7 +209,7 @@
 		batch = append(batch[:1:1], batch[2:]...) // drop one event
 	}
 	generation := cacheview.GenerationOf(e.incarnation, "w")
-	x.clk.after(feedLag, func() { reader.f.Cache.Feed(e.id, generation, batch) })
+	x.clk.after(feedLag, func() { reader.f.Cache.ApplyEvents(e.id, generation, batch) })
 }
 
 // sendToPeers sends the new cache entries of each VM to the other VMs.
