--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -66,7 +66,7 @@
 		req.Pending = f.KV.computingTarget(req.Levels)
 		r.addRendezvousTargets(req.Levels)
 		newest, since, old := f.Weights.Wanted(p.Model, clock.Now())
-		req.OldWeights, req.Once = old, !r.route.Repeatable() || r.route.Kind != streamKind
+		req.OldWeights, req.LostIfWithdrawn = old, !r.route.Repeatable() || r.route.Kind != streamKind
 		if since >= newWeightsGrace {
 			req.Weights = newest
 		}
--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		left := b.StartWithin
-		if r.Once {
+		if r.LostIfWithdrawn {
 			left -= onceMarginSeconds
 		}
 		if queueWait(in)*waitSafetyFactor > left {
--- a/internal/routing/filters_test.go
+++ b/internal/routing/filters_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("weights %d with a wait of %v s: got %v, want %v", c.weights, c.wait, got, c.want)
 		}
 	}
-	r.Once = true
+	r.LostIfWithdrawn = true
 	for wait, want := range map[float32]Reason{0.9: Passed, 1.1: OldWeights} {
 		if got := (WeightsFilter{}).Check(r, &Target{WeightsNumber: 2}, &Input{SlotWait: wait}); got != want {
 			t.Errorf("a request that must not be withdrawn, with a wait of %v s: got %v, want %v", wait, got, want)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -94,8 +94,8 @@
 	// OldWeights limits the use of older weights, if versions are numeric. Older versions
 	// come first, and their bounds are no later than those of newer ones.
 	OldWeights []WeightsBound
-	// Once is set if the request is lost when it has to be withdrawn from a target.
-	Once bool
+	// LostIfWithdrawn is set if the request is lost when it has to be withdrawn from a target.
+	LostIfWithdrawn bool
 	// FetchRate is how fast a target fetches KV cache from another target, in tokens/s. Zero
 	// means that it can't and computes what it lacks.
 	FetchRate float32
