--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -196,7 +196,7 @@
 
 // WorkOf returns the work at a target, as far as this VM knows, and how long a new
 // request would wait until the target starts it.
-func (f *Fleet) WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration) {
+func (f *Fleet) WorkOf(id ids.Target) (l loadview.TargetWork, wait time.Duration) {
 	l = f.Load.Total(id)
 	return l, time.Duration(l.Pending / f.rate * float64(time.Second))
 }
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -25,9 +25,9 @@
 type targetLoad struct {
 	pending      float64 // prefill tokens of requests that wait for their first token
 	inFlight     int
-	notResumable int      // requests in flight that can't be resumed at another target
-	sent         []sent   // newest last
-	peers        PeerLoad // sum over all peers
+	notResumable int        // requests in flight that can't be resumed at another target
+	sent         []sent     // newest last
+	peers        TargetWork // sum over all peers
 	slowdown     slowdown
 }
 
--- a/internal/loadview/peers.go
+++ b/internal/loadview/peers.go
@@ -6,8 +6,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// PeerLoad is the work of one or several VMs at one target.
-type PeerLoad struct {
+// TargetWork is the work of one or several VMs at one target.
+type TargetWork struct {
 	InFlight     int
 	Pending      float64 // prompt tokens of requests that wait for their first token
 	NotResumable int     // requests in flight that can't be resumed at another target
@@ -22,12 +22,12 @@
 	incarnation int64
 	seq         uint64
 	at          time.Time
-	loads       map[ids.Target]PeerLoad
+	loads       map[ids.Target]TargetWork
 }
 
 // SetPeerLoads replaces a peer's loads by those of a new report. It ignores a report that is
 // not newer than the last, by incarnation and sequence number.
-func (t *Tracker) SetPeerLoads(vm ids.VM, incarnation int64, seq uint64, loads map[ids.Target]PeerLoad, now time.Time) {
+func (t *Tracker) SetPeerLoads(vm ids.VM, incarnation int64, seq uint64, loads map[ids.Target]TargetWork, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.peers[vm]
@@ -102,26 +102,26 @@
 
 // Total returns the work of this VM and, as far as they have reported, of all peers at a
 // target.
-func (t *Tracker) Total(id ids.Target) PeerLoad {
+func (t *Tracker) Total(id ids.Target) TargetWork {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.targets[id]
 	if o == nil {
-		return PeerLoad{}
+		return TargetWork{}
 	}
-	return PeerLoad{
+	return TargetWork{
 		InFlight: o.inFlight + o.peers.InFlight, Pending: o.pending + o.peers.Pending, NotResumable: o.notResumable + o.peers.NotResumable,
 	}
 }
 
 // Own calls f for each target at which this VM has requests in flight. f must not call the
 // Tracker.
-func (t *Tracker) Own(f func(id ids.Target, l PeerLoad)) {
+func (t *Tracker) Own(f func(id ids.Target, l TargetWork)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, o := range t.targets {
 		if o.inFlight > 0 {
-			f(id, PeerLoad{InFlight: o.inFlight, Pending: o.pending, NotResumable: o.notResumable})
+			f(id, TargetWork{InFlight: o.inFlight, Pending: o.pending, NotResumable: o.notResumable})
 		}
 	}
 }
--- a/internal/loadview/peers_test.go
+++ b/internal/loadview/peers_test.go
@@ -14,9 +14,9 @@
 	if age := tr.EstimateAge(time.Hour, now); age != 0 {
 		t.Errorf("got %v without a report and peers, want 0", age)
 	}
-	tr.SetPeerLoads("vm1", 1, 1, map[ids.Target]PeerLoad{"e1": {Pending: 1}}, now.Add(-300*time.Millisecond))
-	tr.SetPeerLoads("vm2", 1, 1, map[ids.Target]PeerLoad{}, now.Add(-100*time.Millisecond))
-	tr.SetPeerLoads("vm3", 1, 1, map[ids.Target]PeerLoad{}, now.Add(-2*peerLoadTTL))
+	tr.SetPeerLoads("vm1", 1, 1, map[ids.Target]TargetWork{"e1": {Pending: 1}}, now.Add(-300*time.Millisecond))
+	tr.SetPeerLoads("vm2", 1, 1, map[ids.Target]TargetWork{}, now.Add(-100*time.Millisecond))
+	tr.SetPeerLoads("vm3", 1, 1, map[ids.Target]TargetWork{}, now.Add(-2*peerLoadTTL))
 	tr.ExpirePeers(now)
 	if age := tr.EstimateAge(time.Hour, now); age != 200*time.Millisecond {
 		t.Errorf("got %v with peers' reports 100 and 300 ms old and an expired one, want 200ms", age)
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -337,9 +337,9 @@
 	if m.Seq == 0 {
 		return
 	}
-	loads := make(map[ids.Target]loadview.PeerLoad, len(m.Loads))
+	loads := make(map[ids.Target]loadview.TargetWork, len(m.Loads))
 	for _, l := range m.Loads {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
+		loads[l.Target] = loadview.TargetWork{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
 	}
 	x.Load.SetPeerLoads(m.VM, m.Incarnation, m.Seq, loads, clock.Now())
 	if !x.usesTree() { // otherwise the tree's totals include them
@@ -401,7 +401,7 @@
 // skips up to maxSkippedRounds rounds that have nothing to send.
 func (x *Exchange) sendOwnLoads() {
 	var loads []Load
-	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
+	x.Load.Own(func(t ids.Target, l loadview.TargetWork) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.NotResumable})
 	})
 	m := Message{Loads: loads, Unresponsive: x.Unresponsive(), RecentWeights: x.RecentWeights(), LeaseLapse: x.LeaseLapse(), Crashes: x.Crashes.DueReports(len(x.peerList())), Uses: x.Allowances.OwnUse(), Limits: x.Limits()}
--- a/internal/news/tree_exchange.go
+++ b/internal/news/tree_exchange.go
@@ -66,7 +66,7 @@
 func (x *Exchange) ownDigest() (digest, []Load) {
 	var d digest
 	var loads []Load
-	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
+	x.Load.Own(func(t ids.Target, l loadview.TargetWork) {
 		loads = append(loads, Load{Target: t, InFlight: l.InFlight, Pending: int(l.Pending), NotResumable: l.NotResumable})
 	})
 	for _, l := range loads {
@@ -174,11 +174,11 @@
 			total = append(total, Load{Target: t, InFlight: l.InFlight, Pending: l.Pending, NotResumable: l.NotResumable})
 		}
 	}
-	loads := map[ids.Target]loadview.PeerLoad{}
+	loads := map[ids.Target]loadview.TargetWork{}
 	total, uses := x.tree.subtractOwn(x.VM, total, d.Uses, members)
 	x.Allowances.RecordFleetUse(uses)
 	for _, l := range total {
-		loads[l.Target] = loadview.PeerLoad{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
+		loads[l.Target] = loadview.TargetWork{InFlight: l.InFlight, Pending: float64(l.Pending), NotResumable: l.NotResumable}
 	}
 	x.Load.SetPeerLoads(fleetVM, x.incarnation, x.seq.Add(1), loads, now)
 	x.applyUnresponsive(d.Unresponsive)
--- a/internal/news/tree_exchange_test.go
+++ b/internal/news/tree_exchange_test.go
@@ -63,7 +63,7 @@
 	}
 	t.Cleanup(func() { _ = x.conn.Close() })
 	x.sendTreeRound(time.Now())
-	if got := x.Load.Total("e1"); got != (loadview.PeerLoad{InFlight: 6, Pending: 720}) {
+	if got := x.Load.Total("e1"); got != (loadview.TargetWork{InFlight: 6, Pending: 720}) {
 		t.Errorf("the load is %+v, want 1 own request and 5 of other VMs", got)
 	}
 	if len(orders) != 1 || orders[0].Target != "e1" || len(changes) != 1 {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -112,7 +112,7 @@
 	// Declines reports whether a replica has asked not to be sent requests for now.
 	Declines(id ids.Target) bool
 	// WorkOf returns a replica's load, and how long a new request would wait there.
-	WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration)
+	WorkOf(id ids.Target) (l loadview.TargetWork, wait time.Duration)
 }
 
 // DesiredWeights returns the weights that operators want.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,13 +15,13 @@
 )
 
 // fakeStatus returns the next of its loads with every call.
-type fakeStatus struct{ loads []loadview.PeerLoad }
+type fakeStatus struct{ loads []loadview.TargetWork }
 
 func (f *fakeStatus) StateOf(ids.Target) routing.State { return routing.Live }
 
 func (f *fakeStatus) Unresponsive(ids.Target) bool { return false }
 
-func (f *fakeStatus) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
+func (f *fakeStatus) WorkOf(ids.Target) (loadview.TargetWork, time.Duration) {
 	l := f.loads[0]
 	if len(f.loads) > 1 {
 		f.loads = f.loads[1:]
@@ -36,7 +36,7 @@
 	var announced []string
 	r := &Rollout{
 		Weights: ampleTime{},
-		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 5, NotResumable: 2}, {InFlight: 5, NotResumable: 1}, {InFlight: 3}}},
+		Targets: &fakeStatus{loads: []loadview.TargetWork{{InFlight: 5, NotResumable: 2}, {InFlight: 5, NotResumable: 1}, {InFlight: 3}}},
 		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { announced = append(announced, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
@@ -52,7 +52,7 @@
 func TestDrainTimeoutDoesNotCutOff(t *testing.T) {
 	r := &Rollout{
 		Weights: ampleTime{},
-		Targets: &fakeStatus{loads: []loadview.PeerLoad{{InFlight: 2, NotResumable: 1}}},
+		Targets: &fakeStatus{loads: []loadview.TargetWork{{InFlight: 2, NotResumable: 1}}},
 		OnOrder: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
@@ -98,7 +98,7 @@
 	var gone []ids.Target
 	calls := &endedEngines{}
 	r := &Rollout{
-		Client: calls, Replicas: oneReplica{}, Targets: &fakeStatus{loads: []loadview.PeerLoad{{}}},
+		Client: calls, Replicas: oneReplica{}, Targets: &fakeStatus{loads: []loadview.TargetWork{{}}},
 		OnGone: func(id ids.Target, _ ids.Incarnation) { gone = append(gone, id) },
 	}
 	err := r.Send(t.Context(), orders.Order{Target: "e1", Desired: orders.DesiredState{Weights: "2"}}, lease.Token{})
--- a/internal/rollout/send_test.go
+++ b/internal/rollout/send_test.go
@@ -18,7 +18,7 @@
 func TestNoLeaseDoesNotAffectMean(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, r := newScripted(t)
-		s.work = loadview.PeerLoad{InFlight: 3, NotResumable: 1} // the drain takes 1.5 s
+		s.work = loadview.TargetWork{InFlight: 3, NotResumable: 1} // the drain takes 1.5 s
 		for range 4 {
 			r.Lease = lease.New(objectapi.NewMemory(), "orders", "vm", lease.Tuning{Duration: time.Second}, nil)
 			_ = r.Lease.Try(t.Context())
@@ -74,7 +74,7 @@
 		r.Lease = lease.New(objectapi.NewMemory(), "orders", "vm", lease.Tuning{Duration: 900 * time.Millisecond}, nil)
 		_ = r.Lease.Try(t.Context())
 		time.AfterFunc(850*time.Millisecond, func() { _ = r.Lease.Try(t.Context()) })
-		time.AfterFunc(600*time.Millisecond, func() { s.laterLoad.Store(&loadview.PeerLoad{InFlight: 3, NotResumable: 1}) })
+		time.AfterFunc(600*time.Millisecond, func() { s.laterLoad.Store(&loadview.TargetWork{InFlight: 3, NotResumable: 1}) })
 		_ = s.send(t, r)
 		if len(s.sent) == 0 || s.sent[0].Method == CutOff {
 			t.Errorf("the order cuts off non-resumable requests: %+v", s.sent)
@@ -140,7 +140,7 @@
 		s, r := newScripted(t)
 		r.LoadGrace = 4 * time.Second
 		s.within = time.Second
-		s.work = loadview.PeerLoad{InFlight: 3}
+		s.work = loadview.TargetWork{InFlight: 3}
 		if m := r.drain(t.Context(), &Command{Target: "e1", Model: "m"}, "1"); m != KeepOn {
 			t.Errorf("got %v, want keep-on", m)
 		}
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -224,11 +224,11 @@
 
 // WorkOf implements TargetStatus. Where requests wait, every engine always has non-resumable
 // ones.
-func (sim *simulation) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
+func (sim *simulation) WorkOf(ids.Target) (loadview.TargetWork, time.Duration) {
 	if sim.wait == 0 {
-		return loadview.PeerLoad{InFlight: 5}, 0
+		return loadview.TargetWork{InFlight: 5}, 0
 	}
-	return loadview.PeerLoad{InFlight: 30, NotResumable: 3}, sim.wait
+	return loadview.TargetWork{InFlight: 30, NotResumable: 3}, sim.wait
 }
 
 // Newest implements DesiredWeights: version 2 was set when the simulation began.
--- a/internal/rollout/update_test.go
+++ b/internal/rollout/update_test.go
@@ -21,8 +21,8 @@
 type scriptedEngine struct {
 	read         func() (State, error)
 	order        func(c Command) error
-	work         loadview.PeerLoad
-	laterLoad    atomic.Pointer[loadview.PeerLoad] // if set, replaces work
+	work         loadview.TargetWork
+	laterLoad    atomic.Pointer[loadview.TargetWork] // if set, replaces work
 	state        routing.State
 	unresponsive bool // according to this VM's other calls
 
@@ -64,7 +64,7 @@
 
 func (s *scriptedEngine) Unresponsive(ids.Target) bool { return s.unresponsive }
 
-func (s *scriptedEngine) WorkOf(ids.Target) (loadview.PeerLoad, time.Duration) {
+func (s *scriptedEngine) WorkOf(ids.Target) (loadview.TargetWork, time.Duration) {
 	if later := s.laterLoad.Load(); later != nil {
 		return *later, 0
 	}
@@ -324,15 +324,15 @@
 func TestDrainTimeIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		within time.Duration
-		work   loadview.PeerLoad
+		work   loadview.TargetWork
 		took   time.Duration
 		want   Method
 	}{
-		{time.Minute, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, drainMax, Finish},
-		{2 * time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 500 * time.Millisecond, Finish},
-		{-time.Second, loadview.PeerLoad{InFlight: 3, NotResumable: 1}, 0, Finish},
-		{time.Minute, loadview.PeerLoad{InFlight: maxCutOff}, drainMin, CutOff},
-		{time.Minute, loadview.PeerLoad{InFlight: maxCutOff + 1}, drainMax, Finish},
+		{time.Minute, loadview.TargetWork{InFlight: 3, NotResumable: 1}, drainMax, Finish},
+		{2 * time.Second, loadview.TargetWork{InFlight: 3, NotResumable: 1}, 500 * time.Millisecond, Finish},
+		{-time.Second, loadview.TargetWork{InFlight: 3, NotResumable: 1}, 0, Finish},
+		{time.Minute, loadview.TargetWork{InFlight: maxCutOff}, drainMin, CutOff},
+		{time.Minute, loadview.TargetWork{InFlight: maxCutOff + 1}, drainMax, Finish},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s, r := newScripted(t)
