--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,7 @@
-// Package fleet gathers the inputs of routing decisions. It joins membership, the
-// cache view and load estimates into an immutable snapshot and per-request inputs.
+// Package fleet gathers the inputs of routing decisions and makes the decisions. It joins
+// membership, the cache view and load estimates into an immutable snapshot and per-request
+// inputs. It also applies the signals in targets' responses, and computes when refused callers
+// should retry.
 package fleet
 
 import (
@@ -21,7 +23,7 @@
 	View     routing.View
 	statuses []membership.TargetStatus
 	nums     []cacheview.TargetNum
-	base     []routing.Input // the inputs that don't change until the next snapshot
+	base     []routing.Input // what all decisions on the snapshot have in common; gather adds the rest
 	batches  []batch
 	handles  []loadview.Handle
 	reports  []loadview.Report
@@ -63,18 +65,19 @@
 	Cache   *cacheview.Index
 	Load    *loadview.Tracker
 
-	policy     *routing.Router
-	counter    atomic.Uint64
-	snap       atomic.Pointer[Snapshot]
-	changes    atomic.Uint64 // counts MarkDirty calls
-	refreshing sync.Mutex
-	scratch    sync.Pool
-	now        func() time.Time
-	transit    transit
-	rate       float64 // default prefill rate, in tokens/s
+	policy      *routing.Router
+	counter     atomic.Uint64
+	snap        atomic.Pointer[Snapshot]
+	changes     atomic.Uint64 // counts MarkDirty calls
+	refreshing  sync.Mutex
+	scratch     sync.Pool
+	now         func() time.Time
+	transit     transit
+	defaultRate float64 // prefill rate assumed while no target reports one, in tokens/s
 
 	// KnownFraction returns the fraction of a service's targets that this VM knows, 0 to 1.
-	// Nil means that it knows all.
+	// Nil means that it knows all. Decisions call it concurrently. It must be set before the
+	// first decision, like MaxSnapshotAge.
 	KnownFraction func(service string) float64
 	// MaxSnapshotAge bounds the age of the snapshot used for a decision. Zero means that
 	// decisions use the last snapshot, however old.
@@ -83,22 +86,23 @@
 
 // SetDefaultPrefillRate sets the prefill rate, in tokens/s, assumed while no target reports
 // one. It must be called before the first decision.
-func (f *Fleet) SetDefaultPrefillRate(tokens float64) { f.rate = tokens }
+func (f *Fleet) SetDefaultPrefillRate(tokensPerSecond float64) { f.defaultRate = tokensPerSecond }
 
-// New returns a fleet over the given components. If now is nil, it uses clock.Now.
+// New returns a fleet over the given components. It sets m.Limits.RecentRate and takes the
+// first snapshot. If now is nil, it uses clock.Now.
 func New(m *membership.Table, c *cacheview.Index, l *loadview.Tracker, policy *routing.Router, now func() time.Time) *Fleet {
 	if now == nil {
 		now = clock.Now
 	}
-	f := &Fleet{Members: m, Cache: c, Load: l, policy: policy, now: now, rate: defaultPrefillRate}
+	f := &Fleet{Members: m, Cache: c, Load: l, policy: policy, now: now, defaultRate: defaultPrefillRate}
 	f.scratch.New = func() any { return &Scratch{} }
 	m.Limits.RecentRate = f.expectedRate
 	f.Refresh()
 	return f
 }
 
-// Refresh takes a new snapshot. A background task calls it every few tens of
-// milliseconds.
+// Refresh takes a new snapshot. If MaxSnapshotAge is zero, a background task should call
+// it every few tens of milliseconds.
 //
 // Refreshes are serialized: otherwise one that began earlier could replace a newer
 // snapshot with an older one.
@@ -180,7 +184,7 @@
 		}
 	}
 	if n == 0 {
-		return f.rate
+		return f.defaultRate
 	}
 	return sum / float64(n)
 }
@@ -194,11 +198,11 @@
 // Declines reports whether a target has asked this VM not to send it requests now.
 func (f *Fleet) Declines(id ids.Target) bool { return f.Members.Declines(id, f.now()) }
 
-// WorkOf returns the work at a target, as far as this VM knows, and how long a new
-// request would wait until the target starts it.
+// WorkOf returns the work at a target, as far as this VM knows, and how long a new request
+// would wait until the target starts it, at the default prefill rate.
 func (f *Fleet) WorkOf(id ids.Target) (l loadview.TargetWork, wait time.Duration) {
 	l = f.Load.Total(id)
-	return l, time.Duration(l.Pending / f.rate * float64(time.Second))
+	return l, time.Duration(l.Pending / f.defaultRate * float64(time.Second))
 }
 
 // LoadAge returns the age of the data behind a target's load estimate, by the target's
@@ -240,7 +244,7 @@
 // Seed returns a number that is different for each decision.
 func (f *Fleet) Seed() uint64 { return f.counter.Add(1) }
 
-// Scratch holds the reusable buffers of one decision.
+// Scratch holds the reusable buffers of one decision. Not safe for concurrent use.
 type Scratch struct {
 	Routing  routing.Scratch
 	Inputs   []routing.Input
@@ -255,7 +259,8 @@
 func (f *Fleet) Release(s *Scratch) { f.scratch.Put(s) }
 
 // Decide gathers the inputs and picks a target that is not in tried. It counts the request
-// against the target's rate limit; GiveBack undoes that.
+// against the target's rate limit; GiveBack undoes that. The decision's Index refers to the
+// View of the returned snapshot. Decide sets r.InTransit, and leaves the inputs in sc.
 func (f *Fleet) Decide(r *routing.Request, tried []ids.Target, sc *Scratch) (*Snapshot, routing.Decision) {
 	snap := f.Snapshot()
 	r.InTransit = f.transit.countSent(r.Service, f.Load, f.now()) * float32(f.knownFraction(r.Service))
@@ -273,6 +278,7 @@
 // but nothing was sent to it.
 func (f *Fleet) GiveBack(id ids.Target) { f.Members.Limits.Return(id) }
 
+// gather fills sc.Inputs for one request.
 func (f *Fleet) gather(snap *Snapshot, r *routing.Request, tried []ids.Target, sc *Scratch) {
 	n := len(snap.statuses)
 	if cap(sc.Inputs) < n {
@@ -314,11 +320,11 @@
 // slotSeconds is the expected wait, in seconds, per request beyond the batch's slots.
 const slotSeconds = 0.25
 
-// wait returns the expected wait for a slot in the batch, in seconds. own is the estimated
-// number of requests in flight.
-func (p batch) wait(own int) float32 {
-	over := max(p.running, own) + 1 - p.slots
-	if p.slots == 0 || over <= 0 {
+// wait returns the expected wait for a slot in the batch, in seconds. inFlight is the
+// estimated number of requests in flight at the target.
+func (b batch) wait(inFlight int) float32 {
+	over := max(b.running, inFlight) + 1 - b.slots
+	if b.slots == 0 || over <= 0 {
 		return 0
 	}
 	return slotSeconds * float32(over)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 // TestSnapshotShowsMarkedChanges blocks a refresh that was started for a new target and
 // checks that a concurrent decision sees the target. Such a decision used to get the previous
-// snapshot, so calls were refused for lack of replicas right after a VM became ready (soak
+// snapshot, so requests were refused for lack of replicas right after a VM became ready (soak
 // seeds 1, 3 and 110).
 func TestSnapshotShowsMarkedChanges(t *testing.T) {
 	var hold atomic.Bool
--- a/internal/fleet/signals.go
+++ b/internal/fleet/signals.go
@@ -24,9 +24,9 @@
 }
 
 // ApplyPeerLimit applies a peer's report of a target's rate limit, and returns whether the
-// limit changed. It does not apply a report for another incarnation until this VM knows that
-// incarnation, too: a corrupted one, if too high, would make the limiter ignore all of the
-// target's own signals.
+// limit changed. It ignores a report for an incarnation other than the known one: if the
+// incarnation were corrupted and too high, the limiter would then ignore all of the target's
+// own signals.
 func (f *Fleet) ApplyPeerLimit(w ratelimit.Report) (changed bool) {
 	return w.Incarnation == f.Members.Incarnation(w.Target) && f.Members.Limits.ApplyReport(w)
 }
@@ -50,11 +50,12 @@
 // sooner.
 const maxRetryAfter = 3 * time.Second
 
-// RetryAfter returns when a caller should retry a request for which Decide found no target.
-// If targets were passed over because of their rate limit or requested pause, that is when
-// the first of them takes a request again, plus a random part of the interval at which that
-// target takes requests, since it takes only one per interval. If no target was passed over
-// for that reason, the result is least, which is also the lower bound.
+// RetryAfter returns after what delay a caller should retry a request for which Decide found
+// no target; snap and sc are those of Decide. If each target that serves the request was passed
+// over because of its rate limit or requested pause, the delay ends when the first of them takes
+// a request from this VM again. A random part of the interval at which that target takes
+// requests is added, since it takes only one per interval; least and maxRetryAfter bound the
+// sum. In all other cases the result is least.
 func (f *Fleet) RetryAfter(r *routing.Request, snap *Snapshot, sc *Scratch, least time.Duration) time.Duration {
 	wait, interval, known := f.limitWait(r, snap, sc)
 	if !known {
@@ -66,11 +67,11 @@
 	return max(min(wait, maxRetryAfter), least)
 }
 
-// limitWait returns how long this VM must wait until a target that Decide passed over because
-// of its rate limit or requested pause takes a request. interval is the time between two such
-// requests; zero means that many may be sent then. known is false if there is no such target,
-// or if a target was passed over for a reason that ends sooner: an open breaker, or an earlier
-// attempt of this request.
+// limitWait returns how long this VM must wait until the first target that Decide passed over
+// because of its rate limit or requested pause takes a request. interval is the time between
+// two requests that the target's rate limit allows this VM; zero means that there is no limit.
+// known is false if this VM may send to no such target, or if a target was passed over for a
+// reason that may end sooner, such as an open breaker or an earlier attempt of this request.
 func (f *Fleet) limitWait(r *routing.Request, snap *Snapshot, sc *Scratch) (wait, interval time.Duration, known bool) {
 	for i := range sc.Inputs {
 		in := &sc.Inputs[i]
--- a/internal/fleet/transit.go
+++ b/internal/fleet/transit.go
@@ -8,21 +8,22 @@
 	"github.com/threadwall/threadwall/internal/loadview"
 )
 
-// rateTimeConstant is the time in which a call's weight in the call rate decays to 1/e. It
-// covers several calls of a VM that gets a ninetieth of 740 calls/s.
+// rateTimeConstant is the time in which a request's weight in the request rate decays to 1/e.
+// It covers several requests of a VM that gets a ninetieth of 740 requests/s.
 const rateTimeConstant = 2 * time.Second
 
-// transit estimates how many calls other VMs have sent but not yet reported. It extrapolates
-// from this VM's own call rate, since the load balancer spreads callers evenly over the VMs.
+// transit estimates how many requests other VMs have sent but not yet reported. It extrapolates
+// from this VM's own request rate, since the load balancer spreads callers evenly over the VMs.
 // Safe for concurrent use.
 type transit struct {
 	mu    sync.Mutex
-	peers int // other VMs
-	calls map[string]*callRate
+	peers int                       // other VMs
+	sent  map[string]*decayingCount // requests of this VM by service
 }
 
-// callRate is an exponentially decaying count of calls.
-type callRate struct {
+// decayingCount is an exponentially decaying count of requests. The rate of requests is the
+// count divided by rateTimeConstant.
+type decayingCount struct {
 	sum float64
 	at  time.Time
 }
@@ -34,12 +35,12 @@
 	f.transit.peers = max(n, 0)
 }
 
-// ratePerTarget estimates how many calls per second each of a service's targets gets from
+// ratePerTarget estimates how many requests per second each of a service's targets gets from
 // all VMs.
 func (t *transit) ratePerTarget(service string, targets int, now time.Time) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.calls[service]
+	r := t.sent[service]
 	if r == nil || targets == 0 {
 		return 0
 	}
@@ -47,23 +48,23 @@
 }
 
 // valueAt returns the count decayed to the time t.
-func (r *callRate) valueAt(t time.Time) float64 {
+func (r *decayingCount) valueAt(t time.Time) float64 {
 	return r.sum * math.Exp(-t.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
 
-// countSent counts a call of this VM to the service. It returns the estimated number of calls
-// that the other VMs have sent to the service since they last reported their loads.
+// countSent counts a request of this VM to the service. It returns the estimated number of
+// requests that the other VMs have sent to the service since they last reported their loads.
 func (t *transit) countSent(service string, loads *loadview.Tracker, now time.Time) float32 {
 	age := loads.MeanPeerAge(now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.calls == nil {
-		t.calls = map[string]*callRate{}
+	if t.sent == nil {
+		t.sent = map[string]*decayingCount{}
 	}
-	r := t.calls[service]
+	r := t.sent[service]
 	if r == nil {
-		r = &callRate{}
-		t.calls[service] = r
+		r = &decayingCount{}
+		t.sent[service] = r
 	}
 	r.sum = r.valueAt(now) + 1
 	r.at = now
--- a/internal/loadview/loadview.go
+++ b/internal/loadview/loadview.go
@@ -14,11 +14,11 @@
 	mu      sync.Mutex
 	targets map[ids.Target]*targetLoad
 
-	meanMiss  float64
-	responses int
+	meanMiss  float64  // smoothed miss ratio; see ObserveResponse
+	responses int      // responses observed
 	overall   slowdown // over all targets
 
-	peers map[ids.VM]*peer
+	peers map[ids.VM]*peerReport
 }
 
 // targetLoad is the work of this VM and its peers at one target.
@@ -63,7 +63,8 @@
 	}
 }
 
-// AddPeerWork counts work, in tokens of prefill, that a peer sent to a target.
+// AddPeerWork counts work, in tokens of prefill, that a peer sent to a target at the given
+// time.
 func (t *Tracker) AddPeerWork(target ids.Target, tokens int32, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,11 +181,12 @@
 	return Handle{o: t.loadOf(target)}
 }
 
-// Estimate combines reports with the work sent since, for all targets at once, and stores
-// the result in out. It reduces the reported work by the target's prefill rate times the
-// report's age, and adds the work that this VM and, as far as they have reported, its peers
-// have sent since. The result is at least the work that still waits for its first token. The ages of
-// reports are relative to their snapshot, which was taken the duration since before now.
+// Estimate combines reports with the work sent since, for all targets at once, and stores the
+// results in out. handles, reports and out must have the same length. Estimate reduces the
+// reported work by the target's prefill rate times the report's age, and adds the work that
+// this VM and, as far as they have reported, its peers have sent since. The result is at least
+// the work that still waits for its first token. since is the time that has passed since the
+// ages in reports were determined.
 func (t *Tracker) Estimate(handles []Handle, reports []Report, since time.Duration, now time.Time, out []Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -200,7 +202,7 @@
 func (o *targetLoad) estimate(r Report, miss float64, now time.Time) Load {
 	tokens := float64(r.Queued) * miss
 	if r.Age > sendWindow {
-		tokens = 0 // too old to use; only the work sent since is known
+		tokens = 0 // too old to use; only the work sent within sendWindow is known
 		r.Age = sendWindow
 	}
 	for i := len(o.sent) - 1; i >= 0 && now.Sub(o.sent[i].at) < r.Age; i-- {
--- a/internal/loadview/peers.go
+++ b/internal/loadview/peers.go
@@ -17,8 +17,8 @@
 // between two reports in a large fleet.
 const peerLoadTTL = 2500 * time.Millisecond
 
-// peer is the last report of one VM.
-type peer struct {
+// peerReport is the last report of one VM.
+type peerReport struct {
 	incarnation int64
 	seq         uint64
 	at          time.Time
@@ -26,7 +26,8 @@
 }
 
 // SetPeerLoads replaces a peer's loads by those of a new report. It ignores a report that is
-// not newer than the last, by incarnation and sequence number.
+// not newer than the last, by incarnation and sequence number. The caller must not use loads
+// afterwards.
 func (t *Tracker) SetPeerLoads(vm ids.VM, incarnation int64, seq uint64, loads map[ids.Target]TargetWork, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,9 +37,9 @@
 	}
 	t.subtract(old)
 	if t.peers == nil {
-		t.peers = map[ids.VM]*peer{}
+		t.peers = map[ids.VM]*peerReport{}
 	}
-	t.peers[vm] = &peer{incarnation: incarnation, seq: seq, at: now, loads: loads}
+	t.peers[vm] = &peerReport{incarnation: incarnation, seq: seq, at: now, loads: loads}
 	for id, l := range loads {
 		o := t.loadOf(id)
 		o.peers.InFlight += l.InFlight
@@ -88,7 +89,7 @@
 }
 
 // subtract removes a peer's last report from the totals. The caller holds t.mu.
-func (t *Tracker) subtract(p *peer) {
+func (t *Tracker) subtract(p *peerReport) {
 	if p == nil {
 		return
 	}
--- a/internal/loadview/slowdown.go
+++ b/internal/loadview/slowdown.go
@@ -30,11 +30,12 @@
 	maxSlowdown = 8
 )
 
-// ObserveTTFT records the measured and the predicted time to first token of a request.
-func (t *Tracker) ObserveTTFT(target ids.Target, predicted, actual time.Duration, now time.Time) {
+// ObserveTTFT records the predicted and the measured time to first token of a request. It adds
+// MinTTFT to the prediction.
+func (t *Tracker) ObserveTTFT(target ids.Target, predicted, measured time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sample := min(max(float64(actual)/float64(max(predicted, 0)+MinTTFT), 1), maxSlowdown)
+	sample := min(max(float64(measured)/float64(max(predicted, 0)+MinTTFT), 1), maxSlowdown)
 	t.loadOf(target).slowdown.add(sample, now)
 	t.overall.add(sample, now)
 }
--- a/internal/loadview/slowdown_test.go
+++ b/internal/loadview/slowdown_test.go
@@ -21,15 +21,15 @@
 	for range 20 {
 		tr.ObserveTTFT("e1", 100*time.Millisecond, 640*time.Millisecond, now) // 4 times 160 ms, the prediction plus MinTTFT
 	}
-	if p := slowdown(); p < 3.8 || p > 4.1 {
-		t.Fatalf("got %v, want about 4", p)
+	if got := slowdown(); got < 3.8 || got > 4.1 {
+		t.Fatalf("got %v, want about 4", got)
 	}
 	now = now.Add(slowdownHalfLife)
-	if p := slowdown(); p < 2.3 || p > 2.7 {
-		t.Fatalf("got %v after a half-life, want about 2.5", p)
+	if got := slowdown(); got < 2.3 || got > 2.7 {
+		t.Fatalf("got %v after a half-life, want about 2.5", got)
 	}
 	tr.ObserveTTFT("e1", 0, time.Hour, now)
-	if p := slowdown(); p > maxSlowdown {
-		t.Fatalf("got %v, want at most %d", p, maxSlowdown)
+	if got := slowdown(); got > maxSlowdown {
+		t.Fatalf("got %v, want at most %d", got, maxSlowdown)
 	}
 }
--- a/internal/routing/filters.go
+++ b/internal/routing/filters.go
@@ -6,7 +6,8 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// ServesFilter rejects targets that don't serve the request's model or service.
+// ServesFilter rejects targets of another service than the request's and, if the request names
+// no service, targets of another model.
 type ServesFilter struct{}
 
 // StateFilter rejects leaving and dead targets.
@@ -100,7 +101,7 @@
 		}
 		left := b.StartWithin
 		if r.LostIfWithdrawn {
-			left -= onceMarginSeconds
+			left -= withdrawalMarginSeconds
 		}
 		if queueWait(in)*waitSafetyFactor > left {
 			return OldWeights
@@ -115,9 +116,9 @@
 // sent a second time.
 const waitSafetyFactor = 2
 
-// onceMarginSeconds is how much earlier old weights are avoided for requests that would be
+// withdrawalMarginSeconds is how much earlier old weights are avoided for requests that would be
 // lost if withdrawn. At targets that looked idle, requests waited 1.1 to 1.7 s to start.
-const onceMarginSeconds = 2
+const withdrawalMarginSeconds = 2
 
 // HashTarget returns the value for Target.Hash.
 func HashTarget(id ids.Target) uint64 { return xxh3.HashString(string(id)) }
--- a/internal/routing/fuzz_test.go
+++ b/internal/routing/fuzz_test.go
@@ -62,7 +62,7 @@
 			any, healthy = any || ok, healthy || ok && in[i].State != Suspect
 		}
 		if any != (d.Index >= 0) {
-			rt.Fatalf("picked target %d, but an allowed target exists: %v", d.Index, any)
+			rt.Fatalf("picked target %d (-1: none), while an allowed target exists: %v", d.Index, any)
 		}
 		if d.Index < 0 {
 			return
--- a/internal/routing/pickers.go
+++ b/internal/routing/pickers.go
@@ -8,7 +8,7 @@
 	Seconds float32 // added to the width
 }
 
-// RandomBandPicker picks like BandPicker, but by the request's seed within the band.
+// RandomBandPicker picks a random target within the band of BandPicker, by the request's seed.
 type RandomBandPicker struct{ Ratio, Seconds float32 }
 
 // RoundRobinPicker distributes requests by their seed and ignores costs. It serves as a
@@ -79,13 +79,14 @@
 	return -1
 }
 
-// Defaults of the cost policy; docs/design/routing.md has the measurement.
+// Defaults of the cost policy, which the fetch policy shares in part; docs/design/routing.md has
+// the measurement.
 const (
 	defaultBandRatio       = 0.05
 	defaultBandSeconds     = 0.002
 	defaultDistanceSeconds = 0.004
 	// defaultFetchDistanceSeconds replaces defaultDistanceSeconds in the fetch policy, under
-	// which the KV cache is transferred instead of the request: bytes between failure domains
+	// which the KV cache is transferred instead of the request: transfers between failure domains
 	// are expensive, and a holder in another domain is as good as one nearby.
 	defaultFetchDistanceSeconds = 0.04
 	defaultSlowStart            = 0.25
@@ -98,7 +99,7 @@
 // Defaults of the fetch policy.
 const (
 	// defaultInFlightSeconds is about the time for which one request occupies a slot: plain
-	// services take 15 to 60 ms per request, and several VMs send to each replica.
+	// services take 15 to 60 ms per request, and several VMs send to each target.
 	defaultInFlightSeconds = 0.12
 	// defaultFailureSeconds is the cost of a failed attempt. It equals the latency objective
 	// of most routes.
@@ -106,11 +107,11 @@
 	// defaultOldWeightsSeconds is large enough that a busy target with new weights is
 	// preferred to an idle one with old weights.
 	defaultOldWeightsSeconds = 0.3
-	// defaultMaxHerd is how many calls in transit may choose the same target: engines run
+	// defaultMaxHerd is how many requests in transit may choose the same target: engines run
 	// that many in one batch.
 	defaultMaxHerd = 10
-	// defaultMinTargets is the least number of targets considered, however many calls are in
-	// transit: two targets might both be slow.
+	// defaultMinTargets is the least number of targets considered, however many requests are
+	// in transit: two targets might both be slow.
 	defaultMinTargets = 3
 	// defaultOffRendezvousPerToken is the cost of a token that is computed twice, in seconds:
 	// 3,800 tokens, the size of a typical level, cost as much as half a second of latency.
@@ -139,7 +140,7 @@
 	}
 }
 
-// NewCost returns the default policy.
+// NewCost returns the policy for fleets whose engines can't fetch KV cache from each other.
 func NewCost() *Router {
 	return &Router{
 		Name:    "cost",
--- a/internal/routing/record.go
+++ b/internal/routing/record.go
@@ -46,9 +46,9 @@
 	return out
 }
 
-// AffinityKey returns the rendezvous key of a request: the first level that no eligible
-// target is estimated to have cached, since the picked target will compute it; the deepest
-// level if all are cached; the seed if the request has no levels. best is the longest
+// AffinityKey returns the key by which BandPicker compares targets: the first level that no
+// eligible target is estimated to have cached, since the picked target will compute it; the
+// deepest level if all are cached; the seed if the request has no levels. best is the longest
 // estimated cached prefix of any eligible target, in tokens.
 func AffinityKey(r *Request, best int32) uint64 {
 	for _, l := range r.Levels {
@@ -62,8 +62,8 @@
 	return r.Seed
 }
 
-// Record is a decision with its inputs, sufficient to explain and to replay it. It holds
-// only the cheapest candidates.
+// Record is a decision with its inputs, sufficient to explain it and, for the cost policy, to
+// replay it. It holds only the cheapest candidates.
 type Record struct {
 	Policy     string            `json:"policy"`
 	Seed       uint64            `json:"seed,string"`
@@ -90,8 +90,8 @@
 	return rec
 }
 
-// Replay repeats a recorded decision with the given policy among the recorded candidates.
-// It returns the picked target, or the empty string if there is none.
+// Replay repeats a recorded decision with the scorers and the picker of the given policy among
+// the recorded candidates. It returns the picked target, or the empty string if there is none.
 func Replay(p *Router, rec *Record) ids.Target {
 	r := Request{FailureDomain: rec.Domain, Levels: rec.Levels, Tokens: rec.Tokens, RecomputeWeight: rec.Weight, Seed: rec.Seed}
 	v := View{Targets: make([]Target, len(rec.Candidates))}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,9 @@
-// Package routing picks a target for a request in three steps: Filter, Scorer, Picker.
+// Package routing picks a target for a request in three steps: Filter, Scorer, Picker. In a
+// large fleet, Sampling limits the last two steps to a part of the targets.
 //
-// A decision is a pure function of a Request, an immutable View, the Inputs gathered
-// for it and a seed. It does no I/O, reads no clock and allocates nothing. The same
-// inputs lead to the same choice on any VM and in a replay.
+// A decision is a pure function of a Request with its seed, an immutable View and the Inputs
+// gathered for it. It does no I/O, reads no clock and allocates nothing but the buffers in
+// Scratch. The same inputs lead to the same choice on any VM and in a replay.
 //
 // All costs are in seconds, so that different signals need no arbitrary relative weights:
 // a scorer returns how many seconds of the caller's or of the engines' time a choice is
@@ -86,10 +87,11 @@
 	Service         string
 	FailureDomain   ids.FailureDomain // of this VM
 	Levels          []prefix.Level
-	Tokens          int32
-	RecomputeWeight float32
-	Seed            uint64
-	// Weights is the weights version that operators want. Empty means any.
+	Tokens          int32   // length of the prompt
+	RecomputeWeight float32 // see RecomputeScorer
+	Seed            uint64  // different for each decision
+	// Weights is the weights version that operators want. Targets with another one may be picked,
+	// at the cost of OldWeightsScorer. Empty means any.
 	Weights ids.WeightsVersion
 	// OldWeights limits the use of older weights, if versions are numeric. Older versions
 	// come first, and their bounds are no later than those of newer ones.
@@ -104,7 +106,7 @@
 	Pending ids.Target
 	// Software limits the choice to a version of the targets' software. Nil means any.
 	Software *SoftwareChoice
-	// InTransit is the estimated number of calls to the service that other VMs have sent but
+	// InTransit is the estimated number of requests to the service that other VMs have sent but
 	// this VM has not received a report of.
 	InTransit float32
 }
@@ -147,21 +149,21 @@
 type Scratch struct {
 	costs    []float32
 	eligible Eligible
-	Filtered [reasonCount]int
+	Filtered [reasonCount]int // targets in the last decision by Reason, Passed included
 }
 
 // Decision is the result of Router.Decide.
 type Decision struct {
-	Index         int // into View.Targets; -1 if no target is eligible
-	Cost          float32
-	PredictedTTFT float32 // seconds
-	QueueWait     float32 // part of PredictedTTFT until the target starts the request
+	Index         int     // into View.Targets; -1 if no target is eligible
+	Cost          float32 // seconds
+	PredictedTTFT float32 // predicted time to first token, in seconds
+	QueueWait     float32 // part of PredictedTTFT until the target starts the request, in seconds
 	Rate          float32 // assumed prefill rate of the target, in tokens/s
 	Cached        int32   // estimated cached prefix on the picked target, in tokens
 	BestCached    int32   // longest estimated cached prefix of any eligible target, in tokens
 }
 
-// Filter rejects targets that must not be picked.
+// Filter rejects targets that must not be picked. Check returns the reason, or Passed.
 type Filter interface {
 	Check(r *Request, t *Target, in *Input) Reason
 }
@@ -187,15 +189,16 @@
 	Pick(r *Request, v *View, e *Eligible, costs []float32) int
 }
 
-// Router is a routing policy: a fixed pipeline that keeps no state between decisions.
+// Router is a routing policy: a fixed pipeline that keeps no state between decisions. Safe for
+// concurrent use, with a Scratch for each goroutine.
 type Router struct {
 	Name    string
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
-	// OffRendezvousPerToken is the cost, in seconds, of computing a shared token that no
-	// target has cached on a target other than the rendezvous target, where other VMs may
-	// have it computed, too.
+	// OffRendezvousPerToken is the cost, in seconds, of picking another target than the
+	// rendezvous target, per shared token that no target has cached: other VMs may send the
+	// same prefix to the rendezvous target, and it would be computed twice.
 	OffRendezvousPerToken float32
 	Sampling              Sampling
 }
@@ -291,7 +294,8 @@
 func RendezvousKey(levels []prefix.Level) uint64 { return uint64(levels[len(levels)-1].ID) }
 
 // rendezvous returns the index of the eligible target that should compute levels that no
-// target has cached, or -1 if there is none.
+// target has cached, or -1 if there is none. It is r.Pending, if eligible, or else the target
+// with the highest rendezvous weight.
 func rendezvous(r *Request, v *View, costs []float32) int {
 	best, bestWeight := -1, uint64(0)
 	if len(r.Levels) == 0 {
@@ -327,7 +331,7 @@
 
 // AffinityOf is Affinity for a target with the given Target.Hash.
 func AffinityOf(key, hash uint64) uint64 {
-	// The finalizer of splitmix64: a bijection that mixes the sum of the two hashes well.
+	// Combines the hashes and mixes the result with the finalizer of splitmix64, a bijection.
 	h := hash + key*0x9E3779B97F4A7C15
 	h = (h ^ h>>30) * 0xBF58476D1CE4E5B9
 	h = (h ^ h>>27) * 0x94D049BB133111EB
--- a/internal/routing/sampling.go
+++ b/internal/routing/sampling.go
@@ -6,17 +6,17 @@
 // many VMs that see the same slightly outdated loads would all send to the same few targets
 // that look idle.
 //
-// The size of the sample depends on the number of calls in transit, those that other VMs have
-// sent but this VM has not received a report of. Every such call whose sample contains the
+// The size of the sample depends on the number of requests in transit, those that other VMs have
+// sent but this VM has not received a report of. Every such request whose sample contains the
 // target that looks best goes there; the sample is sized so that this is the case for MaxHerd
-// of them. If reports are recent, calls are few or the VM has no peers, a decision considers all
-// targets.
+// of them. If reports are recent, requests are few or the VM has no peers, a decision considers
+// all targets.
 type Sampling struct {
 	MinTargets int     // least size of a sample; zero disables sampling
-	MaxHerd    float32 // calls in transit that may choose the same target
+	MaxHerd    float32 // requests in transit that may choose the same target
 }
 
-// minInTransit is the lower bound assumed for the calls in transit.
+// minInTransit is the lower bound assumed for the requests in transit.
 const minInTransit = 1
 
 // sampleScale is the resolution of the sampling probability.
--- a/internal/routing/sampling_test.go
+++ b/internal/routing/sampling_test.go
@@ -20,9 +20,9 @@
 }
 
 // TestStaleLoadsDoNotCauseHerd makes many decisions in a large fleet in which one target looks
-// idle and all others slightly busy, with 300 calls in transit. Without sampling every decision
-// picked the idle target: one of 80 engines got 113 of 800 requests/s. With no calls in transit
-// the idle target is the right choice.
+// idle and all others slightly busy, with 300 requests in transit. Without sampling every
+// decision picked the idle target: one of 80 engines got 113 of 800 requests/s. With no requests
+// in transit the idle target is the right choice.
 func TestStaleLoadsDoNotCauseHerd(t *testing.T) {
 	v, in := manyTargets(90)
 	for i := range in {
@@ -41,7 +41,7 @@
 		t.Fatalf("%d of %d decisions picked the target that looked idle, want at most %d", herd, decisions, most)
 	}
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
-		t.Fatalf("with no calls in transit target %d was picked, want 7", d.Index)
+		t.Fatalf("with no requests in transit target %d was picked, want 7", d.Index)
 	}
 	p.Sampling = Sampling{}
 	if d := p.Decide(&Request{Service: "s", Tokens: 800, Seed: 1}, v, in, s); d.Index != 7 {
--- a/internal/routing/scorers.go
+++ b/internal/routing/scorers.go
@@ -1,14 +1,13 @@
 package routing
 
-// QueueScorer returns the expected time until the target starts the request, from reported
-// and own load.
+// QueueScorer returns the expected time until the target starts the request.
 type QueueScorer struct{}
 
 // PrefillScorer returns the expected time to compute the tokens that are not cached.
 type PrefillScorer struct{}
 
 // RecomputeScorer returns the engine time spent on tokens that another eligible target has
-// cached, multiplied by the template's weight. It prevents a burst of requests from filling
+// cached, multiplied by the request's RecomputeWeight. It prevents a burst of requests from filling
 // every engine's cache with copies of one prefix.
 //
 // The weight grows by PerSecondWait for each second of mean wait over all eligible targets:
