--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,11 +2,11 @@
 // sends anything for it. A refused request has therefore certainly not run, and
 // each refusal says when to retry.
 //
-// It applies three checks in order: the VM's capacity; the workspace's rate limit
-// (package allowance) and this VM's share of the workspace's concurrency limit; and
-// overload. As the predicted wait grows, the overload check first refuses workspaces
-// above their fair share, and beyond a bound that depends on priority it refuses
-// every request.
+// Admit checks the VM's capacity, this VM's share of the workspace's concurrency limit
+// and the workspace's rate limit (package allowance), in this order. Check refuses
+// requests under overload: as the predicted time to first token grows, it first refuses
+// workspaces above their fair share, and beyond a bound that depends on priority it
+// refuses every request.
 package admission
 
 import (
@@ -24,12 +24,13 @@
 // Tuning holds the limits of a Limiter.
 type Tuning struct {
 	// SoftWait is the predicted time to first token above which requests of
-	// workspaces beyond their fair share are refused. Default 1.5s.
+	// workspaces at twice their fair share or more are refused. The bound falls linearly from
+	// HardWait at the fair share to SoftWait at twice that. Default 1.5s.
 	SoftWait time.Duration
 	// HardWait is the predicted time to first token above which every request of
 	// priority 0 is refused. Default 6s.
 	HardWait time.Duration
-	// PriorityStep is the factor applied to HardWait per priority level.
+	// PriorityStep is the factor applied to HardWait for each step of priority.
 	// Default 1.25.
 	PriorityStep float64
 	// UsageHalfLife is the half-life of recorded token usage. Default 5s.
@@ -56,7 +57,7 @@
 	usage      *usage
 }
 
-// workspaceLoad counts one workspace's requests on this VM.
+// workspaceLoad counts one workspace's requests in flight on this VM.
 type workspaceLoad struct{ inFlight int }
 
 // New returns a limiter that enforces the workspaces' allowances. If now is nil, it uses
@@ -80,7 +81,8 @@
 const retryCapacity = 500 * time.Millisecond
 
 // Admit counts a request as in flight, or refuses it if the VM or the workspace is at
-// a limit. The caller must call release exactly once, when the request ends.
+// a limit. The caller must call release exactly once, when the request ends. If the request
+// is refused, release is nil.
 func (l *Limiter) Admit(ws ids.Workspace, limits config.Limits) (release func(), refusal *outcome.Error) {
 	l.allowed.SetLimit(ws, AllowanceOf(limits))
 	l.mu.Lock()
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -39,7 +39,7 @@
 		release = append(release, r)
 	}
 	if _, refusal := l.Admit(ws, limits); refusal == nil || refusal.Code != outcome.CodeRateLimited || refusal.Outcome != outcome.NotRun {
-		t.Fatalf("beyond the concurrency limit: got refusal %v", refusal)
+		t.Fatalf("beyond the concurrency limit: got refusal %v, want %v with outcome %v", refusal, outcome.CodeRateLimited, outcome.NotRun)
 	}
 	for _, r := range release {
 		r()
@@ -70,7 +70,7 @@
 		t.Fatalf("got retry delays of %v to %v, want a spread of at least 200ms within %v", first, last, longest)
 	}
 	if l.InFlight() != 0 {
-		t.Fatalf("%d requests in flight after all have ended", l.InFlight())
+		t.Fatalf("%d requests in flight after all have ended, want 0", l.InFlight())
 	}
 }
 
--- a/internal/admission/sharing_test.go
+++ b/internal/admission/sharing_test.go
@@ -46,13 +46,13 @@
 // second.
 func (s *sharing) run(seconds int, rate func(vm int) float64, side func(vm int) int) []int {
 	var admitted []int
-	debt := make([]float64, sharingVMs)
+	due := make([]float64, sharingVMs) // requests to send by VM
 	for range seconds {
 		n := 0
 		for range time.Second / step {
 			s.now = s.now.Add(step)
 			for i, l := range s.vms {
-				for debt[i] += rate(i) * step.Seconds(); debt[i] >= 1; debt[i]-- {
+				for due[i] += rate(i) * step.Seconds(); due[i] >= 1; due[i]-- {
 					if release, refusal := l.Admit(ws, s.limits); refusal == nil {
 						release()
 						n++
@@ -120,7 +120,7 @@
 		used := float64(total(settled)) / float64(len(settled)) / sharingLimit
 		t.Logf("%s: %.2f of the limit over 20 s, %.2f after convergence, by second %v", phase.name, overall, used, phase.admitted)
 		if overall > phase.high || used < phase.used || used > 1.1 {
-			t.Errorf("%s: %.2f of the limit over 20 s, %.2f after convergence", phase.name, overall, used)
+			t.Errorf("%s: %.2f of the limit over 20 s, want at most %.2f; %.2f after convergence, want %.2f to 1.10", phase.name, overall, phase.high, used, phase.used)
 		}
 	}
 }
--- a/internal/cacheview/changes.go
+++ b/internal/cacheview/changes.go
@@ -5,7 +5,8 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Change reports to peers that one target has stored or removed a prefix.
+// Change reports to peers that one target has stored or removed a prefix, or has lost its whole
+// cache.
 type Change struct {
 	Target     ids.Target
 	Generation uint16 // low 16 bits of the target's Generation
--- a/internal/cacheview/changes_test.go
+++ b/internal/cacheview/changes_test.go
@@ -17,7 +17,7 @@
 	for _, x := range []*Index{a, b} {
 		x.SetGeneration("e1", 1, "w1")
 	}
-	pass := func() int {
+	deliver := func() int {
 		changes := a.TakeChanges()
 		for _, c := range changes {
 			b.ApplyPeerChange(c)
@@ -28,29 +28,29 @@
 
 	a.AddAndReport("e1", gen, levels)
 	a.AddAndReport("e1", gen, levels)
-	if n := pass(); n != 2 || !has(11) || !has(12) {
-		t.Fatalf("%d changes were reported for two new prefixes; the peer has them: %v, %v", n, has(11), has(12))
+	if n := deliver(); n != 2 || !has(11) || !has(12) {
+		t.Fatalf("%d changes were reported for two new prefixes, want 2; the peer has them: %v, %v, want true, true", n, has(11), has(12))
 	}
 	a.RemoveAndReport("e1", gen, 11)
 	a.RemoveAndReport("e1", gen, 99)
-	if n := pass(); n != 1 || has(11) || !has(12) {
-		t.Errorf("%d changes were reported for one removed prefix; the peer has: %v, %v", n, has(11), has(12))
+	if n := deliver(); n != 1 || has(11) || !has(12) {
+		t.Errorf("%d changes were reported for one removed prefix, want 1; the peer has the removed and the other: %v, %v, want false, true", n, has(11), has(12))
 	}
 	a.ReportAgain(func(id ids.Target) bool { return id == "other" })
-	if n := pass(); n != 0 {
-		t.Errorf("%d changes were reported again for a target that was not asked for", n)
+	if n := deliver(); n != 0 {
+		t.Errorf("%d changes were reported again although wanted returned false for the target, want 0", n)
 	}
 	a.ReportAgain(func(ids.Target) bool { return true })
-	if n := pass(); n != 1 {
+	if n := deliver(); n != 1 {
 		t.Errorf("%d changes were reported again, want 1", n)
 	}
 	a.ClearAndReport("e1")
-	if pass(); has(12) {
+	if deliver(); has(12) {
 		t.Error("the peer has an entry for a target whose cache was cleared")
 	}
 	a.AddAndReport("e1", gen, levels)
 	b.SetGeneration("e1", 1, "w2")
-	if pass(); has(11) {
+	if deliver(); has(11) {
 		t.Error("the peer applied a change for older weights to a target with newer ones")
 	}
 }
@@ -64,7 +64,7 @@
 		x.AddAndReport("e1", GenerationOf(1, "w"), []prefix.Level{{ID: prefix.ID(i + 1)}})
 	}
 	if n := len(x.TakeChanges()); n != maxChanges || x.Stats().Untold != 10 {
-		t.Errorf("%d changes are queued and %d were dropped", n, x.Stats().Untold)
+		t.Errorf("%d changes are queued and %d were dropped, want %d and 10", n, x.Stats().Untold, maxChanges)
 	}
 }
 
@@ -74,6 +74,6 @@
 	x := New(256, nil)
 	x.ReportAgain(func(ids.Target) bool { return true })
 	if n := len(x.TakeChanges()); n != 0 {
-		t.Errorf("%d changes were queued for an empty index", n)
+		t.Errorf("%d changes were queued for an empty index, want 0", n)
 	}
 }
--- a/internal/cacheview/feed.go
+++ b/internal/cacheview/feed.go
@@ -5,17 +5,18 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Event is one entry of an engine's cache feed.
+// Event is one event of an engine's cache feed.
 type Event struct {
 	Seq    uint64    `json:"seq"` // consecutive from 1 within an incarnation
 	Block  prefix.ID `json:"block"`
 	Stored bool      `json:"stored"` // false: removed
 }
 
-// ApplyEvents applies a batch of a target's events in order. It uses only events for prefixes that
-// the index already has entries for, which are the few blocks at level boundaries. It
+// ApplyEvents applies a batch of a target's events in order. It uses only events for prefixes
+// that the index already has entries for, which are the few blocks at level boundaries. It
 // returns true if events are missing; it then invalidates the target's earlier entries, and
-// responses and later events add new ones.
+// responses and later events add new ones. It ignores events of any generation but the current
+// one.
 func (x *Index) ApplyEvents(t ids.Target, gen Generation, events []Event) (gap bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/cacheview/index.go
+++ b/internal/cacheview/index.go
@@ -10,7 +10,8 @@
 //   - Prefix IDs are hashes over the model and the workspace (package prefix) or isolation
 //     key (package kvcache), so a lookup never finds entries of a workspace that may not share
 //     KV cache with the request's.
-//   - A response's count of cached tokens overrides the estimate.
+//   - A response shows that its target now has the whole prompt cached, whatever the estimate
+//     was.
 //
 // The index is a fixed table of 16-byte entries, so its memory is bounded by a setting and
 // not by traffic. The entries of a prefix are in one window of slots. If a window is full,
@@ -204,7 +205,7 @@
 // invalid slot; the window's oldest.
 func (x *Index) put(id prefix.ID, n TargetNum) {
 	w := x.window(id)
-	free, oldest, ownOldest, holders := -1, 0, -1, 0
+	free, oldest, oldestHolder, holders := -1, 0, -1, 0
 	for i := range w {
 		e := &w[i]
 		switch {
@@ -216,8 +217,8 @@
 			continue
 		case e.id == id:
 			holders++
-			if ownOldest < 0 || e.tick < w[ownOldest].tick {
-				ownOldest = i
+			if oldestHolder < 0 || e.tick < w[oldestHolder].tick {
+				oldestHolder = i
 			}
 		}
 		if e.tick < w[oldest].tick {
@@ -226,7 +227,7 @@
 	}
 	at := free
 	if holders >= maxHolders {
-		at = ownOldest
+		at = oldestHolder
 	} else if free < 0 {
 		at = oldest
 	}
@@ -262,8 +263,9 @@
 const noEntry = -1
 
 // Expect records that this VM sends a prompt to a target: later requests will find its
-// prefixes cached there. The caller passes the result to ApplyResponse, which confirms or
-// corrects the estimate. work is the expected prefill in tokens, which is reported to peers.
+// prefixes cached there. The caller passes the result to ApplyResponse, which counts whether
+// the earlier estimate was right. work is the expected prefill in tokens, which is reported to
+// peers.
 func (x *Index) Expect(t ids.Target, levels []prefix.Level, work int32) Prior {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -295,9 +297,9 @@
 	}
 }
 
-// queueEntry queues an entry for peers if it is new. It is not reported again: entries don't
-// expire, and a peer that missed the report gets the entry from responses to its own
-// requests.
+// queueEntry queues an entry for peers if it is new and the queue is not full. The entry is not
+// reported again: entries don't expire, and a peer that missed the report gets the entry from
+// responses to its own requests.
 func (x *Index) queueEntry(id prefix.ID, n TargetNum, age int32) {
 	s := &x.targets[n]
 	if len(x.newEntries) < maxNewEntries && age == noEntry {
@@ -305,9 +307,10 @@
 	}
 }
 
-// ApplyResponse updates the entries after a response from a target: it reused the first
-// cached tokens of the prompt and now has the whole prompt cached. prior is the result of
-// Expect. Responses of any generation but the current one are ignored.
+// ApplyResponse updates the entries after a response from a target: the target reused the
+// first cached tokens of the prompt and now has the whole prompt cached. prior is the result
+// of Expect; if it is nil, Stats does not count whether the estimate was right. Responses of
+// any generation but the current one are ignored.
 func (x *Index) ApplyResponse(t ids.Target, gen Generation, levels []prefix.Level, prior Prior, cached int32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -359,15 +362,15 @@
 	ID         prefix.ID
 	Target     ids.Target
 	Generation Generation
-	// Work is the expected prefill, in tokens, of the dispatch that created the entry. Only
-	// one of a dispatch's entries has it.
+	// Work is the expected prefill, in tokens, of the request that created the entry. Only
+	// one of a request's entries has it.
 	Work int32
 }
 
 // maxNewEntries bounds the entries queued for peers between two reports.
 const maxNewEntries = 1024
 
-// TakeNewEntries returns and clears the queue of entries that this VM's own dispatches have
+// TakeNewEntries returns and clears the queue of entries that this VM's own requests have
 // created since the last call.
 func (x *Index) TakeNewEntries() []EntryInfo {
 	x.mu.Lock()
--- a/internal/kvcache/kvcache.go
+++ b/internal/kvcache/kvcache.go
@@ -2,10 +2,10 @@
 // hold, and which parts of a prompt may be shared.
 //
 // An engine finds cached parts only under the salt of the request that computed them.
-// The salt consists of the weights version and the isolation key (the workspaces that
-// may share KV cache). A request therefore can't use parts computed with other weights
-// or under another isolation key, as long as the engine runs the weights that the salt
-// names. To ensure that, each request is pinned to its weights version.
+// The salt consists of the weights version and the isolation key, which identifies the
+// workspaces that may share KV cache. A request therefore can't use parts computed with
+// other weights or under another isolation key, as long as the engine runs the weights
+// that the salt names. To ensure that, each request is pinned to its weights version.
 package kvcache
 
 import (
@@ -20,12 +20,12 @@
 // Part is one level of a prompt, as declared by the caller.
 type Part struct {
 	ID     string
-	Tokens int32
+	Tokens int32 // length of this part alone
 }
 
 // Event reports that an engine or a KV store has stored or removed one part.
 type Event struct {
-	Stored bool
+	Stored bool // false: removed
 	Salt   string
 	Part   string
 	Tokens int32
--- a/internal/kvfeed/kvfeed.go
+++ b/internal/kvfeed/kvfeed.go
@@ -49,7 +49,8 @@
 	Incarnation ids.Incarnation
 }
 
-// Feeds reads the feeds that Sources returns. Its exported fields must be set before Run.
+// Feeds reads the feeds that Sources returns. Its exported fields must be set before Run. Except
+// for Sources, its functions are called concurrently for different feeds.
 type Feeds struct {
 	Reader  Reader
 	Cache   *cacheview.Index
@@ -81,8 +82,8 @@
 
 // Intervals and timeouts.
 const (
-	// reviewInterval is the interval at which readers are started and stopped.
-	reviewInterval = 500 * time.Millisecond
+	// reconcileInterval is the interval at which readers are started and stopped.
+	reconcileInterval = 500 * time.Millisecond
 	// feedWait is how long one read waits for events.
 	feedWait = time.Second
 	// feedPause is the pause between two reads. Events accumulate meanwhile, so that a busy
@@ -98,14 +99,14 @@
 // Run reads the feeds until ctx is done.
 func (f *Feeds) Run(ctx context.Context) {
 	f.running = map[string]context.CancelFunc{}
-	for timing.Sleep(ctx, reviewInterval) {
-		f.review(ctx)
+	for timing.Sleep(ctx, reconcileInterval) {
+		f.reconcile(ctx)
 	}
 	f.wg.Wait()
 }
 
-// review starts readers for new feeds and stops those of feeds no longer in Sources.
-func (f *Feeds) review(ctx context.Context) {
+// reconcile starts readers for new feeds and stops those of feeds no longer in Sources.
+func (f *Feeds) reconcile(ctx context.Context) {
 	want := map[string]Source{}
 	for _, s := range f.Sources() {
 		want[s.key()] = s
@@ -162,7 +163,7 @@
 		}
 		switch {
 		case !s.Store && b.Incarnation != 0 && b.Incarnation < s.Incarnation:
-			// The batch is of an incarnation that has ended.
+			// Ignore the batch of an incarnation that has ended.
 		case epoch != 0 && b.Epoch != epoch:
 			// The batch lacks the new epoch's events before since: read from the start.
 			f.clear(s)
--- a/internal/kvfeed/kvfeed_test.go
+++ b/internal/kvfeed/kvfeed_test.go
@@ -140,7 +140,7 @@
 		Sources:        func() []Source { return []Source{{ID: "e1", Addr: "a", Incarnation: 200}} },
 		ReportsToPeers: func(ids.Target) bool { return false },
 		Contact:        func(Source, bool) {},
-		Restarted:      func(_ ids.Target, inc ids.Incarnation) { t.Errorf("the engine counts as restarted into %d", inc) },
+		Restarted:      func(_ ids.Target, inc ids.Incarnation) { t.Errorf("Restarted called with %d, want no call", inc) },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
--- a/internal/prefix/prefix.go
+++ b/internal/prefix/prefix.go
@@ -3,7 +3,7 @@
 // A prompt is a list of levels (common terms, tenant layer, contract). Chain cuts the
 // text into blocks of BlockBytes and chains each block's hash onto that of its
 // predecessor, as prefix-caching engines do. The hash at the last whole block of a
-// level is the ID of the prefix up to that level. The chain's seed contains workspace
+// level is the ID of the prefix up to that level. The chain's seed is a hash of workspace
 // and model, so an ID never matches a cache entry of another workspace. Package
 // cacheview binds the ID to a target's weights version.
 package prefix
