--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -17,16 +17,16 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// State is a target's membership state.
+// State is the membership state of a target or a VM. Package membership derives it.
 type State uint8
 
 // The states. Only Live, Joining and Suspect targets can be picked, and Suspect ones only
 // if there is no other.
 const (
-	Dead State = iota
-	Leaving
-	Suspect
-	Joining
+	Dead    State = iota // considered gone
+	Leaving              // takes no new work
+	Suspect              // there is some evidence that it does not work
+	Joining              // started recently
 	Live
 )
 
