--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -21,10 +21,11 @@
 //   - A version that no order names gets no call while the version in service has a target,
 //     and a version that was rolled back gets none until an operator orders it again.
 //   - An order has one end. The record says rolled back before the status does, so that no
-//     call follows; the status says completed before the record does, on condition that the
-//     order is unchanged. If record and status differ, the status counts.
-//   - The status says completed only when each live VM has reported that it has no call left
-//     at other versions and sends none, or when the order's time runs out.
+//     call goes to the version once the status says so; the status says completed before the
+//     record does, on condition that the order is unchanged. If record and status differ, the
+//     status takes precedence.
+//   - The status of a rollout says completed only when each live VM has reported that it has
+//     no call left at other versions and sends none, or at promotingDeadline.
 //
 // # Known limits
 //
@@ -43,7 +44,7 @@
 // Prefix is the key prefix of the records in the store.
 const Prefix = "canaries/"
 
-// Stage is the phase of a rollout.
+// Stage is a stage of a rollout; the package comment describes each.
 type Stage string
 
 const (
@@ -74,7 +75,7 @@
 	Service string
 	Key     string             // of the operator's object
 	Within  time.Duration      // time limit of the rollout
-	Version objectapi.Revision // of the object, for conditional writes of its status
+	Version objectapi.Revision // revision of the object, for conditional writes of its status
 	// Reported is the end that the object's status gives for Target; Running if the status
 	// gives none.
 	Reported End
--- a/internal/canary/canary_test.go
+++ b/internal/canary/canary_test.go
@@ -46,12 +46,12 @@
 		targets map[ids.SoftwareVersion]int
 		want    string
 	}{
-		"no record":                   {Record{}, both, "[v1]"},
-		"no order":                    {Record{Stable: "v2"}, both, "[v2]"},
-		"no target of it left":        {Record{Stable: "v0"}, both, "[v0 v1]"},
-		"none left, one rolled back":  {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v1"}}, both, "[v0 v2]"},
-		"only a rolled back one left": {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v2"}}, map[ids.SoftwareVersion]int{"v2": 3}, "[v0]"},
-		"promoting":                   {Record{Stable: "v1", Canary: "v2", Stage: Promoting, Share: 1}, both, "[v2]"},
+		"no record":                           {Record{}, both, "[v1]"},
+		"no order":                            {Record{Stable: "v2"}, both, "[v2]"},
+		"no target of the version in service": {Record{Stable: "v0"}, both, "[v0 v1]"},
+		"no target of the version in service, another rolled back": {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v1"}}, both, "[v0 v2]"},
+		"targets of a rolled back version only":                    {Record{Stable: "v0", Barred: []ids.SoftwareVersion{"v2"}}, map[ids.SoftwareVersion]int{"v2": 3}, "[v0]"},
+		"promoting":                                                {Record{Stable: "v1", Canary: "v2", Stage: Promoting, Share: 1}, both, "[v2]"},
 	} {
 		g := newGate()
 		if c.record.Stable != "" {
@@ -64,7 +64,7 @@
 			got = append(got, choice.Version)
 		}
 		if fmt.Sprint(got) != c.want {
-			t.Errorf("%s: %v, want %s", name, got, c.want)
+			t.Errorf("%s: the call may go to %v, want %s", name, got, c.want)
 		}
 	}
 }
@@ -80,11 +80,11 @@
 			n++
 		}
 		if c := g.Choices("s", v, state, ChoiceParams{Seed: seed}); len(c) != 1 || c[0].Version != "v1" {
-			t.Fatalf("a call that has failed goes to %v", c)
+			t.Fatalf("a retry may go to %v, want v1 only", c)
 		}
 	}
 	if n < 90 || n > 110 {
-		t.Errorf("%d of 1000 calls went to the canary, want 100", n)
+		t.Errorf("%d of 1000 calls went to the canary, want 90 to 110", n)
 	}
 }
 
@@ -133,14 +133,14 @@
 		sent, before := uint32(0), uint32(0)
 		var c counts
 		incarnation := int64(1)
-		var held []Report
+		var delayed []Report
 		report := func(all bool) {
 			r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.export(all)}
-			switch rapid.IntRange(0, 3).Draw(rt, "way") {
+			switch rapid.IntRange(0, 3).Draw(rt, "delivery") {
 			case 0: // lost
 			case 1:
-				held = append(held, r)
-			case 2:
+				delayed = append(delayed, r)
+			case 2: // arrives twice
 				l.Merge("a", incarnation, &r, time.Time{})
 				fallthrough
 			default:
@@ -154,14 +154,14 @@
 			case 1:
 				report(true)
 			case 2:
-				if len(held) > 0 {
-					l.Merge("a", incarnation, &held[0], time.Time{})
-					held = held[1:]
+				if len(delayed) > 0 {
+					l.Merge("a", incarnation, &delayed[0], time.Time{})
+					delayed = delayed[1:]
 				}
 			case 3:
 				r := Report{Service: "s", Order: OrderID{1, "v2"}, Cells: c.export(true)}
 				l.Merge("a", incarnation, &r, time.Time{}) // the last report arrives before the VM restarts
-				before, incarnation, held, c = before+sent, incarnation+1, nil, counts{}
+				before, incarnation, delayed, c = before+sent, incarnation+1, nil, counts{}
 				sent = 0
 			default:
 				c.add("r", "t", true, CallResult{Took: time.Millisecond})
@@ -212,13 +212,13 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			i := rapid.IntRange(0, 1).Draw(rt, "vm")
-			if rapid.Bool().Draw(rt, "looks") {
+			if rapid.Bool().Draw(rt, "reads") {
 				seen[i] = s
 			}
 			step(i, Facts{
-				Elapsed: time.Duration(rapid.IntRange(0, 10_000).Draw(rt, "elapsed")) * time.Millisecond, Warm: 2, Drained: rapid.Bool().Draw(rt, "cleared"),
+				Elapsed: time.Duration(rapid.IntRange(0, 10_000).Draw(rt, "elapsed")) * time.Millisecond, Warm: 2, Drained: rapid.Bool().Draw(rt, "drained"),
 				Finding: Finding{
-					Verdict: Verdict(rapid.IntRange(0, 2).Draw(rt, "verdict")), Tentative: Verdict(rapid.IntRange(1, 2).Draw(rt, "leans")), Calls: 10,
+					Verdict: Verdict(rapid.IntRange(0, 2).Draw(rt, "verdict")), Tentative: Verdict(rapid.IntRange(1, 2).Draw(rt, "tentative")), Calls: 10,
 				},
 			})
 		}
@@ -245,21 +245,21 @@
 	order := func(target ids.SoftwareVersion) *Order {
 		return &Order{OrderID: OrderID{1, target}, Service: "s", Within: 10 * time.Second}
 	}
-	moving := Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Proving, Share: 0.05, Part: 1, Order: OrderID{1, "v2"}}
+	inProgress := Record{Service: "s", Stable: "v1", Canary: "v2", Stage: Proving, Share: 0.05, Part: 1, Order: OrderID{1, "v2"}}
 	versions := map[ids.SoftwareVersion]int{"v1": 2, "v2": 2, "v3": 2}
 	for name, c := range map[string]struct {
 		record Record
 		facts  Facts
 		want   func(Step) bool
 	}{
-		"another order during a rollout": {moving, Facts{Order: order("v3")}, func(s Step) bool {
+		"another order during a rollout": {inProgress, Facts{Order: order("v3")}, func(s Step) bool {
 			return s.Record.Canary == "v3" && s.Record.Stable == "v1" && s.Record.Stage == Proving
 		}},
-		"an order for the version in service": {moving, Facts{Order: order("v1")}, func(s Step) bool {
+		"an order for the version in service": {inProgress, Facts{Order: order("v1")}, func(s Step) bool {
 			return s.Report == Completed && s.Record.Canary == "" && s.Record.Stable == "v1"
 		}},
-		"the order was deleted": {moving, Facts{}, func(s Step) bool { return s.Record.Canary == "" && s.Record.Stable == "v1" && s.Report == Running }},
-		"no target of the version": {moving, Facts{Order: order("v2"), Elapsed: 9500 * time.Millisecond}, func(s Step) bool {
+		"the order was deleted": {inProgress, Facts{}, func(s Step) bool { return s.Record.Canary == "" && s.Record.Stable == "v1" && s.Report == Running }},
+		"no target of the version": {inProgress, Facts{Order: order("v2"), Elapsed: 9500 * time.Millisecond}, func(s Step) bool {
 			return s.Record.End == RolledBack && s.Record.Canary == ""
 		}},
 		"a new order after the version was rolled back": {
--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -35,7 +35,8 @@
 }
 
 // Controller rolls services out to the versions that operators order, while its VM holds the
-// lease. It keeps one order and one ledger per service. Set the exported fields before Run.
+// lease. It keeps the orders, and one ledger per service. Set the exported fields before Run.
+// Receive may be called while Run is in progress.
 type Controller struct {
 	VM     ids.VM
 	Store  Store
@@ -68,7 +69,7 @@
 
 // serviceState is what the controller keeps of a service between two steps.
 type serviceState struct {
-	stableGoneSince time.Time // when the last target of the version in service went; zero if there is one
+	stableGoneSince time.Time // since when the version in service has no target; zero: it has one
 	elapsed         time.Duration
 	at              time.Time // when elapsed was read
 	order           OrderID
@@ -80,8 +81,9 @@
 	stepInterval = 200 * time.Millisecond
 	// leasePollInterval is the pause between two checks whether this VM holds the lease.
 	leasePollInterval = 500 * time.Millisecond
-	// callTimeout bounds one write to the store.
-	callTimeout = time.Second
+	// storeTimeout bounds one write to the store, with the read that follows if the write of a
+	// status fails.
+	storeTimeout = time.Second
 	// stableGoneTimeout is how long the version in service may have no target before another
 	// version takes its place. Entries of targets that lapsed during an outage of the store
 	// return sooner than that.
@@ -135,7 +137,7 @@
 	defer r.mu.Unlock()
 	for _, e := range events {
 		if known, ok := r.orders[e.Key]; ok && e.Version < known.Version {
-			continue // this VM's own write has returned a later version
+			continue // a write of this VM has already returned a later version
 		}
 		delete(r.orders, e.Key)
 		if e.Deleted {
@@ -205,19 +207,19 @@
 // step computes the next state of one service's record, writes it, and updates the status of
 // the order.
 func (c *Controller) step(ctx context.Context, service string, order *Order, targets []Target) error {
-	record, version, since, _ := c.Gate.State(service)
+	record, revision, since, _ := c.Gate.State(service)
 	record.Service = service
-	f := c.facts(&record, version, since, order, targets)
+	f := c.facts(&record, revision, since, order, targets)
 	next := c.Bounds.Next(record, f)
 	if next.Record.Stable == "" && next.Record.Canary == "" {
 		return nil // neither a record nor a target of the service is known yet
 	}
 	c.logVerdict(service, &record, &f)
 	if !next.Record.same(&record) {
-		if record.Order == (OrderID{}) && order == nil && version > 0 && record.Stable == next.Record.Stable {
+		if record.Order == (OrderID{}) && order == nil && revision > 0 && record.Stable == next.Record.Stable {
 			return nil // only By would change
 		}
-		if err := c.write(ctx, next.Record, version); err != nil {
+		if err := c.write(ctx, next.Record, revision); err != nil {
 			return err
 		}
 		record = next.Record
@@ -232,7 +234,7 @@
 }
 
 // facts collects the inputs of a step.
-func (c *Controller) facts(r *Record, version objectapi.Revision, since time.Duration, order *Order, targets []Target) Facts {
+func (c *Controller) facts(r *Record, revision objectapi.Revision, since time.Duration, order *Order, targets []Target) Facts {
 	now := clock.Now()
 	f := Facts{Self: c.VM, Order: order, Versions: map[ids.SoftwareVersion]int{}}
 	for _, t := range targets {
@@ -251,7 +253,7 @@
 		s = &serviceState{}
 		c.services[r.Service] = s
 	}
-	f.StableGone = s.goneFor(r.Stable != "" && f.Versions[r.Stable] == 0, now)
+	f.StableGone = s.stableGone(r.Stable != "" && f.Versions[r.Stable] == 0, now)
 	if order == nil || r.Order != order.OrderID {
 		s.order = OrderID{}
 		return f
@@ -269,7 +271,7 @@
 	if f.Elapsed > 0 {
 		f.Rate = l.Calls() / f.Elapsed.Seconds()
 	}
-	f.Drained = r.Stage == Promoting && c.drained(l, version)
+	f.Drained = r.Stage == Promoting && c.drained(l, revision)
 	return f
 }
 
@@ -282,18 +284,18 @@
 
 // drained reports whether no live VM has calls left at other versions and this VM has no
 // order for weights in transit. The caller holds c.mu.
-func (c *Controller) drained(l *Ledger, version objectapi.Revision) bool {
+func (c *Controller) drained(l *Ledger, revision objectapi.Revision) bool {
 	for _, vm := range c.LiveVMs() {
-		if !l.Drained(vm, version) {
+		if !l.Drained(vm, revision) {
 			return false
 		}
 	}
 	return c.WeightsSettled == nil || c.WeightsSettled()
 }
 
-// goneFor reports whether the targets of the version in service have been missing for
-// stableGoneTimeout.
-func (s *serviceState) goneFor(missing bool, now time.Time) bool {
+// stableGone reports whether the version in service has had no target for stableGoneTimeout.
+// missing says whether it has none now.
+func (s *serviceState) stableGone(missing bool, now time.Time) bool {
 	switch {
 	case !missing:
 		s.stableGoneSince = time.Time{}
@@ -327,10 +329,10 @@
 		Uint32("answers", f.Finding.Calls).Int64("elapsed_ms", f.Elapsed.Milliseconds()).Str("stage", string(r.Stage)).Send()
 }
 
-// write writes a record on condition that the store still holds the given version of it;
-// version 0 creates the record.
-func (c *Controller) write(ctx context.Context, r Record, version objectapi.Revision) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// write writes a record on condition that the store still holds the given revision of it;
+// revision 0 creates the record. It writes nothing if this VM has lost the lease.
+func (c *Controller) write(ctx context.Context, r Record, revision objectapi.Revision) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	c.writes++
 	r.Write = c.writes
@@ -343,43 +345,44 @@
 		return nil
 	}
 	var o objectapi.Object
-	if version == 0 {
+	if revision == 0 {
 		o, err = objectapi.ResolveCreate(ctx, c.Store, Prefix+r.Service, value, isOwnWrite)
 	} else {
-		o, err = objectapi.ResolveUpdate(ctx, c.Store, Prefix+r.Service, value, version, isOwnWrite)
+		o, err = objectapi.ResolveUpdate(ctx, c.Store, Prefix+r.Service, value, revision, isOwnWrite)
 	}
 	if err == nil {
 		c.Gate.Apply(r, o.Version)
 		return nil
 	}
-	if o.Version > version { // a record of another VM that this VM has not seen yet
+	if o.Version > revision { // a record of another VM that this VM has not seen yet
 		c.Gate.applyObjects([]objectapi.Object{o})
 	}
 	return eris.Wrapf(err, "write canary record of %s", r.Service)
 }
 
-// report writes the status of an order, on condition that the order is unchanged.
+// report writes the status of an order, on condition that the order is unchanged. It writes
+// nothing if this VM has lost the lease.
 func (c *Controller) report(ctx context.Context, o *Order, end End) error {
 	if !c.Held() || o.HasStatus && o.Reported == end {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	status, err := c.EncodeStatus(o.Target, end)
 	if err != nil {
 		return err
 	}
-	version, err := c.Store.UpdateStatus(ctx, o.Key, status, o.Version)
+	revision, err := c.Store.UpdateStatus(ctx, o.Key, status, o.Version)
 	if err != nil {
 		c.reread(ctx, o.Key) // the order has changed, or the store's response was lost
 		return eris.Wrapf(err, "write status of order %s", o.Key)
 	}
 	c.Log.State("canary-status").Str("service", o.Service).Str("target", string(o.Target)).Str("end", cmp.Or(string(end), "running")).
-		Uint64("revision", uint64(version)).Send()
+		Uint64("revision", uint64(revision)).Send()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known := c.orders[o.Key]; known.Version == o.Version {
-		known.Version, known.Reported, known.HasStatus = version, end, true
+		known.Version, known.Reported, known.HasStatus = revision, end, true
 		c.orders[o.Key] = known
 	}
 	return nil
--- a/internal/canary/evidence.go
+++ b/internal/canary/evidence.go
@@ -18,8 +18,8 @@
 	// Failed is set if the target failed the call.
 	Failed bool
 	// Took is how long the target took, normalized by the predicted time where a prediction
-	// exists. Zero means that the time is not representative, since the call waited for other
-	// work or the target had just started.
+	// exists. Zero means that the call failed or that the time is not representative, since the
+	// call waited for other work or the target had just started.
 	Took time.Duration
 }
 
@@ -129,18 +129,19 @@
 	Order OrderID
 	Judge Judge
 	vms   map[ids.VM]*vmCounts
-	calls float64 // calls that ended, at all versions
+	calls float64 // answered calls, at all versions
 }
 
-// Calls returns the number of calls to the service that have ended since the order.
+// Calls returns the number of calls to the service that targets of all versions have answered
+// since the start of the order.
 func (l *Ledger) Calls() float64 { return l.calls }
 
 // vmCounts is the state that one VM has reported.
 type vmCounts struct {
-	incarnation int64
-	seen        objectapi.Revision
-	others      int
-	cells       map[cellKey]Cell
+	incarnation    int64
+	recordRevision objectapi.Revision
+	otherCalls     int
+	cells          map[cellKey]Cell
 }
 
 // NewLedger returns an empty ledger for an order, which passes new counts to j.
@@ -149,7 +150,9 @@
 }
 
 // Merge adds a report of a VM. A higher incarnation means that the VM has restarted and counts
-// from zero again. Merge ignores reports on other orders and reports that arrive after a later one.
+// from zero again. Merge ignores a report that is on another order, of an earlier incarnation, or made
+// under an earlier record than the last report of the VM. It takes a cell only if its number of
+// calls has grown.
 func (l *Ledger) Merge(vm ids.VM, incarnation int64, r *Report, now time.Time) {
 	if r.Order != l.Order {
 		return
@@ -159,10 +162,10 @@
 		v = &vmCounts{incarnation: incarnation, cells: map[cellKey]Cell{}}
 		l.vms[vm] = v
 	}
-	if incarnation < v.incarnation || r.RecordRevision < v.seen {
+	if incarnation < v.incarnation || r.RecordRevision < v.recordRevision {
 		return // a later report has overtaken this one
 	}
-	v.seen, v.others = r.RecordRevision, r.OtherCalls
+	v.recordRevision, v.otherCalls = r.RecordRevision, r.OtherCalls
 	for i := range r.Cells {
 		c := &r.Cells[i]
 		before := v.cells[c.key()]
@@ -193,5 +196,5 @@
 // has no call left at versions other than the canary.
 func (l *Ledger) Drained(vm ids.VM, revision objectapi.Revision) bool {
 	v := l.vms[vm]
-	return v != nil && v.seen >= revision && v.others == 0
+	return v != nil && v.recordRevision >= revision && v.otherCalls == 0
 }
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -17,8 +17,9 @@
 
 // Gate decides on one VM which version of a service's software a call goes to, and counts the
 // results of calls. It keeps a record for each service and, during a rollout, a cell for each
-// route and canary target that this VM has sent calls to. Safe for concurrent use. A nil Gate
-// admits every call and counts nothing.
+// route and canary target that this VM has sent calls to. Safe for concurrent use. On a nil Gate,
+// Admit admits every call, Retiring returns false, and Records and Reports return nil; do not call
+// the other methods on it.
 type Gate struct {
 	Log *eventlog.Log
 
@@ -28,11 +29,11 @@
 
 // serviceGate is the state of one service.
 type serviceGate struct {
-	record  Record
-	version objectapi.Revision
-	at      time.Time // when this VM applied the record
-	calls   map[ids.SoftwareVersion]int
-	counts  counts
+	record   Record
+	revision objectapi.Revision
+	at       time.Time // when this VM applied the record
+	calls    map[ids.SoftwareVersion]int // calls in progress, by version
+	counts   counts
 }
 
 var _ follow.Handler = (*Gate)(nil)
@@ -60,17 +61,17 @@
 	}
 }
 
-// Apply puts a record of the store in force, unless a record of the same or a later version
-// already is. A record with another order or canary resets the counts.
-func (g *Gate) Apply(r Record, version objectapi.Revision) {
+// Apply makes the gate route by a record of the store, unless it already has the same or a later
+// revision of the record. A record with another order or canary resets the counts.
+func (g *Gate) Apply(r Record, revision objectapi.Revision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(r.Service)
-	if version <= s.version {
+	if revision <= s.revision {
 		return
 	}
 	before := s.record
-	s.record, s.version, s.at = r, version, clock.Now()
+	s.record, s.revision, s.at = r, revision, clock.Now()
 	if before.Order != r.Order || before.Canary != r.Canary {
 		s.counts = counts{}
 	}
@@ -79,7 +80,7 @@
 	}
 	g.Log.State("canary").Str("service", r.Service).Str("stable", string(r.Stable)).Str("canary", string(r.Canary)).Str("stage", string(r.Stage)).
 		Float64("share", r.Share).Float64("part", r.Part).Str("end", string(r.End)).Str("reason", r.Reason).
-		Str("by", string(r.By)).Uint64("revision", uint64(version)).Send()
+		Str("by", string(r.By)).Uint64("revision", uint64(revision)).Send()
 }
 
 // service returns the state of a service and creates it if there is none. The caller holds
@@ -96,16 +97,16 @@
 	return s
 }
 
-// State returns a service's record, its version in the store and the time since this VM
+// State returns a service's record, its revision in the store and the time since this VM
 // applied it. known is false if there is no record.
-func (g *Gate) State(service string) (r Record, version objectapi.Revision, since time.Duration, known bool) {
+func (g *Gate) State(service string) (r Record, revision objectapi.Revision, since time.Duration, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[service]
-	if s == nil || s.version == 0 {
+	if s == nil || s.revision == 0 {
 		return Record{}, 0, 0, false
 	}
-	return s.record, s.version, clock.Since(s.at), true
+	return s.record, s.revision, clock.Since(s.at), true
 }
 
 // Records returns the records of all services, sorted by service.
@@ -117,7 +118,7 @@
 	defer g.mu.Unlock()
 	var out []Record
 	for _, s := range g.services {
-		if s.version > 0 {
+		if s.revision > 0 {
 			out = append(out, s.record)
 		}
 	}
@@ -134,7 +135,7 @@
 }
 
 // Choices returns the versions that a call to a service may go to, in order of preference.
-// stateOf returns the state of the target at an index of v.
+// stateOf returns the state of v.Targets[i].
 func (g *Gate) Choices(service string, v *routing.View, stateOf func(i int) routing.State, p ChoiceParams) []routing.SoftwareChoice {
 	g.mu.Lock()
 	s := g.services[service]
@@ -229,14 +230,14 @@
 	defer g.mu.Unlock()
 	s := g.service(service)
 	r := &s.record
-	if s.version > 0 && (r.barred(version) || r.Stage == Promoting && version != r.Canary) {
+	if s.revision > 0 && (r.barred(version) || r.Stage == Promoting && version != r.Canary) {
 		return nil, false
 	}
 	s.calls[version]++
 	return &Admission{gate: g, service: service, version: version, order: r.Order, canary: r.Canary != "" && version == r.Canary}, true
 }
 
-// Release records that the call has left its target. Further calls have no effect.
+// Release records that the call has left its target. Only the first Release has an effect.
 func (a *Admission) Release() {
 	if a == nil || a.released {
 		return
@@ -265,8 +266,8 @@
 	s.counts.add(route, target, a.canary, result)
 }
 
-// Retiring reports whether a version is about to be stopped, so that no new work may start at
-// its targets.
+// Retiring reports whether a version gets no further calls, since it was rolled back or another
+// version is being promoted. No new work may start at its targets then.
 func (g *Gate) Retiring(service string, version ids.SoftwareVersion) bool {
 	if g == nil {
 		return false
@@ -274,7 +275,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[service]
-	if s == nil || s.version == 0 {
+	if s == nil || s.revision == 0 {
 		return false
 	}
 	return s.record.barred(version) || s.record.Stage == Promoting && version != s.record.Canary
@@ -293,7 +294,7 @@
 		if s.record.Canary == "" {
 			continue
 		}
-		r := Report{Service: s.record.Service, Order: s.record.Order, RecordRevision: s.version, Cells: s.counts.export(all)}
+		r := Report{Service: s.record.Service, Order: s.record.Order, RecordRevision: s.revision, Cells: s.counts.export(all)}
 		for v, n := range s.calls {
 			if v != s.record.Canary {
 				r.OtherCalls += n
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -20,7 +20,8 @@
 
 // Judge compares a canary with the version in service. It does no I/O and reads no clock.
 type Judge interface {
-	// Observe adds the calls counted in a cell since the last time it was observed.
+	// Observe adds the calls in c, which are those that the cell has counted since it was last
+	// observed.
 	Observe(c Cell, now time.Time)
 	// SetLoaded marks that from now on canary targets get as much work as in service.
 	SetLoaded()
@@ -48,11 +49,12 @@
 	// priorCalls and priorFailed are the prior of a route's failure rate: 0.5 of 10 calls.
 	priorCalls, priorFailed = 10, 0.5
 
-	// A version is bad on a route if its failure rate exceeds that of the version in service
-	// by badFailExcess. An excess of up to goodFailExcess counts as chance.
+	// A failure rate on a route is good up to goodFailExcess above that of the version in
+	// service, and bad from badFailExcess above the good rate. The tests compare these two rates.
 	badFailExcess, goodFailExcess = 0.18, 0.03
-	// The same limits for the fraction of slow answers. An answer is slow if it takes half an
-	// octave more than the slowest tenth (slowTail) of the answers of the version in service.
+	// The same limits for the fraction of slow answers. An answer is slow if its time is more
+	// than half an octave above the histogram bucket that holds the 90th percentile (1 - slowTail)
+	// of the version in service.
 	badSlowExcess, goodSlowExcess = 0.30, 0.05
 	slowTail                      = 0.1
 
@@ -62,7 +64,7 @@
 	// goodThreshold is the log likelihood ratio at which a canary is good on a route.
 	goodThreshold = -3
 	// tentativeBadThreshold is the log likelihood ratio from which the tentative verdict is
-	// bad, since no more evidence is to come.
+	// bad. It is lower than badThreshold, since no more evidence is to come.
 	tentativeBadThreshold = 2.3
 	// suspectThreshold is the log likelihood ratio from which a single target counts as
 	// suspect. Lower values are chance.
@@ -96,7 +98,7 @@
 type routeEvidence struct {
 	reference reference
 	targets   map[uint32]*targetEvidence
-	timed     uint32
+	timed     uint32 // answers of the canary with a time
 	// failed and slow are joint CUSUMs over the targets that were not suspect before they
 	// were loaded.
 	failed, slow float64
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -21,8 +21,8 @@
 	// the stage proving.
 	maxProvingPart = 0.50
 	// loadingPart is the length of the stage loading, as a fraction of the order's time, if
-	// loadingShare of the calls goes to the canary. In this stage a part of the targets gets the
-	// load it would have in service.
+	// loadingShare of the calls goes to the canary and loadingBudget allows that length. In this
+	// stage a part of the targets gets the load it would have in service.
 	loadingPart = 0.12
 	// loadingShare is the fraction of the calls that load the canary's targets.
 	loadingShare = 0.25
@@ -51,13 +51,13 @@
 	minShareRaise = 1.5
 )
 
-// Facts are the inputs of a step beside the record.
+// Facts are the inputs of a step besides the record.
 type Facts struct {
 	Self    ids.VM
-	Order   *Order // nil if there is no order
-	Elapsed time.Duration
+	Order   *Order        // nil if there is no order
+	Elapsed time.Duration // since the start of the order
 	Finding Finding
-	// Rate is the service's load in calls per second.
+	// Rate is the number of answered calls to the service per second, since the start of the order.
 	Rate float64
 	// Versions is the number of the service's targets that may take calls, by version.
 	Versions map[ids.SoftwareVersion]int
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -20,8 +20,8 @@
 	old, new  int // number of targets of each version
 	routes    []route
 	bad       bool // the new version is bad, so the order must end rolled back
-	// failed returns the probability that the canary fails a call, beside its route's rate, and
-	// slower the factor by which its calls take longer.
+	// failed returns the probability that the canary fails a call, in addition to the failure
+	// rate of the call's route. slower returns the factor by which calls take longer at the canary.
 	failed func(c moment) float64
 	slower func(c moment) float64
 	// slowdownOfBoth returns the factor by which calls take longer at both versions.
@@ -37,8 +37,8 @@
 
 // route is one route of the service.
 type route struct {
-	part   float64
-	failed float64
+	part   float64       // fraction of the service's calls
+	failed float64       // failure rate
 	took   time.Duration // median
 	spread float64       // standard deviation of the logarithm
 }
@@ -284,7 +284,7 @@
 	for name, l := range scenarios() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			wrong, most, longest := 0, 0.0, time.Duration(0)
+			wrong, mostExposed, longest := 0, 0.0, time.Duration(0)
 			for seed := range uint64(simSeeds) {
 				r := simulate(l, production, seed)
 				if (r.end == RolledBack) != l.bad || r.end == Running {
@@ -292,19 +292,19 @@
 				}
 				longest = max(longest, r.took)
 				if l.bad {
-					most = max(most, r.exposed)
+					mostExposed = max(mostExposed, r.exposed)
 				}
 				if l.bad && r.limitReachedAt > 0 && r.took-r.limitReachedAt > rollbackWithin {
 					t.Errorf("seed %d: the order ended %v after failed answer %d, allowed are %v", seed, r.took-r.limitReachedAt, maxBadAnswers, rollbackWithin)
 				}
 			}
-			t.Logf("%d of %d runs ended wrong, exposed at most %.2f of the allowed calls, ended after at most %.2f of the time", wrong, simSeeds, most, float64(longest)/float64(l.within))
+			t.Logf("%d of %d runs had the wrong end, exposed at most %.2f of the allowed calls, ended after at most %.2f of the time", wrong, simSeeds, mostExposed, float64(longest)/float64(l.within))
 			allowed := 0
 			if l.faulty > 0 {
 				allowed = 1
 			}
-			if wrong > allowed || most > 1 || !l.bad && longest > l.within*8/10 {
-				t.Errorf("%d of %d runs ended wrong, exposed %.2f of the allowed calls, ended after %.2f of the time", wrong, simSeeds, most, float64(longest)/float64(l.within))
+			if wrong > allowed || mostExposed > 1 || !l.bad && longest > l.within*8/10 {
+				t.Errorf("%d of %d runs had the wrong end, exposed at most %.2f of the allowed calls, ended after at most %.2f of the time", wrong, simSeeds, mostExposed, float64(longest)/float64(l.within))
 			}
 		})
 	}
@@ -316,7 +316,7 @@
 	if testing.Short() {
 		t.Skip("compares strategies and checks nothing")
 	}
-	ways := []strategy{
+	strategies := []strategy{
 		production,
 		{"fixed window, in steps", func() Judge { return &fixedWindow{} }, Bounds.Next},
 		{"sequential, at once", func() Judge { return &Sequential{} }, atOnce},
@@ -327,8 +327,8 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for _, w := range ways {
-		wrongGood, wrongBad, good, bad, exposed, took, badRun := 0, 0, 0, 0, 0.0, 0.0, 0
+	for _, w := range strategies {
+		wrongGood, wrongBad, good, bad, exposed, took, mostBadAnswers := 0, 0, 0, 0, 0.0, 0.0, 0
 		for _, name := range names {
 			l := scenarios()[name]
 			wrong := 0
@@ -337,7 +337,7 @@
 				if l.bad {
 					bad++
 					exposed = max(exposed, r.exposed)
-					badRun = max(badRun, r.badAnswers)
+					mostBadAnswers = max(mostBadAnswers, r.badAnswers)
 				} else {
 					good++
 					took += float64(r.took) / float64(l.within)
@@ -356,7 +356,7 @@
 			}
 		}
 		t.Logf("%-24s good versions not completed %d of %d, bad versions not rolled back %d of %d, exposed at most %.2f of the allowed calls and %d failed answers, good versions completed after %.2f of the time",
-			w.name, wrongGood, good, wrongBad, bad, exposed, badRun, took/float64(good))
+			w.name, wrongGood, good, wrongBad, bad, exposed, mostBadAnswers, took/float64(good))
 	}
 }
 
@@ -409,11 +409,11 @@
 
 // Verdict implements Judge.
 func (w *fixedWindow) Verdict() Finding {
-	const least, strong = 20, 3.3
+	const minCalls, badZ = 20, 3.3
 	f := Finding{Calls: w.calls, Tentative: Good, Verdict: Good}
 	for id, pair := range w.cells {
 		o, n := &pair[0], &pair[1]
-		if n.Calls < least {
+		if n.Calls < minCalls {
 			f.Verdict = Undecided
 			continue
 		}
@@ -423,14 +423,14 @@
 		om, ov, on := o.moments()
 		nm, nv, nn := n.moments()
 		slow := 0.0
-		if on > least && nn > least {
-			slow = (nm - om - 1) / math.Sqrt(ov/on+nv/nn) // slow is an octave more: twice the time
+		if on > minCalls && nn > minCalls {
+			slow = (nm - om - 1) / math.Sqrt(ov/on+nv/nn) // z-score for a mean time longer by more than an octave
 		}
 		if max(z, slow) >= max(f.Failed, f.Slow) {
 			f.Route, f.Failed, f.Slow = id, z, slow
 		}
 	}
-	if max(f.Failed, f.Slow) > strong {
+	if max(f.Failed, f.Slow) > badZ {
 		f.Verdict, f.Tentative = Bad, Bad
 	}
 	return f
