--- a/internal/quarantine/attack_test.go
+++ b/internal/quarantine/attack_test.go
@@ -27,6 +27,6 @@
 	t.Logf("%d replicas ended in a minute; wrongly refused: %d of %d unique calls, %d of %d popular ones, %d of %d of a caller that asks once a second",
 		sum.ended/seeds, sum.othersRefused, sum.others, sum.popularRefused, sum.popular, sum.regularRefused, sum.regular)
 	if sum.othersRefused > sum.others/500 || sum.popularRefused > sum.popular/500 || sum.regularRefused > sum.regular/20 {
-		t.Error("too many calls were wrongly refused")
+		t.Error("wrongly refused more than 1 in 500 unique calls, 1 in 500 popular ones or 1 in 20 of the regular caller")
 	}
 }
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -22,7 +22,8 @@
 // String returns the state's name in logs.
 func (s Liveness) String() string { return [...]string{"unknown", "listens", "ended"}[s] }
 
-// Send is a send whose connection broke before its answer was complete.
+// Send describes one send of a call to a replica, whose connection broke before the answer was
+// complete.
 type Send struct {
 	Target      ids.Target
 	Addr        string // ip:port
@@ -41,7 +42,8 @@
 // the ledger. Safe for concurrent use.
 type Detector struct {
 	Ledger *Ledger
-	// Check reports whether a replica still listens.
+	// Check returns whether a replica still listens, has ended, or neither is known. ctx ends
+	// after checkTimeout. Checks of several replicas run concurrently.
 	Check func(ctx context.Context, t ids.Target, addr string) Liveness
 
 	mu   sync.Mutex
@@ -54,27 +56,27 @@
 // checkReplica starts a check of a run's replica, unless one is in progress. It does not wait
 // for the result.
 func (d *Detector) checkReplica(r run) {
-	name := ReplicaOf(r.Target, r.Incarnation)
+	replica := ReplicaOf(r.Target, r.Incarnation)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.runs == nil {
 		d.runs = map[Replica][]run{}
 	}
-	_, checking := d.runs[name]
-	d.runs[name] = append(d.runs[name], r)
+	_, checking := d.runs[replica]
+	d.runs[replica] = append(d.runs[replica], r)
 	if !checking {
-		go d.check(name, r)
+		go d.check(replica, r)
 	}
 }
 
 // check checks a replica once for all runs that break there before the check ends.
-func (d *Detector) check(name Replica, r run) {
+func (d *Detector) check(replica Replica, r run) {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	state := d.Check(ctx, r.Target, r.Addr)
 	d.mu.Lock()
-	runs := d.runs[name]
-	delete(d.runs, name)
+	runs := d.runs[replica]
+	delete(d.runs, replica)
 	d.mu.Unlock()
 	d.Ledger.Log.State("replica-checked").Str("target", string(r.Target)).Uint64("incarnation", uint64(r.Incarnation)).
 		Str("state", state.String()).Int("broken_runs", len(runs)).Send()
@@ -83,7 +85,7 @@
 	}
 }
 
-// recordCrash records the crash of a replica under these runs.
+// recordCrash records the crash of a replica that broke these runs.
 func (d *Detector) recordCrash(runs []run) {
 	d.Ledger.Crashes.Add(1)
 	findings := make([]Finding, 0, len(runs))
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -14,7 +14,7 @@
 
 // Fingerprint identifies the content of a request. Repeats of a request have the same
 // fingerprint, independent of the ids of their attempts. It is a cryptographic hash, so that
-// nobody can forge a request with the fingerprint of another caller's.
+// nobody can forge a request with the fingerprint of another caller's request.
 type Fingerprint [16]byte
 
 // String returns the fingerprint in hexadecimal.
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -64,7 +64,7 @@
 	vm            int
 	sent          time.Time
 	done          time.Time
-	left          int // attempts
+	left          int // attempts left
 	callerAttempt int
 	popular       bool
 	regular       bool
@@ -99,7 +99,7 @@
 	replicas []*simReplica
 	messages []simMessage
 	findings []simFinding
-	names    uint64
+	names    uint64 // number of names given to replicas and unique requests
 	// fatalSent counts the fatal calls.
 	fatalSent int
 	res       fleetResult
@@ -218,8 +218,8 @@
 	return fmt.Sprint("fatal", i, " ", f.fatalSent/2)
 }
 
-// popularDue reports whether a caller sends the popular request in this tick. Each of them sends
-// it ten times a second on average.
+// popularDue reports whether a caller sends the popular request in this tick. Each of the callers
+// that share the request sends it ten times a second on average.
 func (f *fleetSim) popularDue() bool {
 	return f.popular > 0 && f.rng.Float64() < float64(f.popular)*10*tick.Seconds()
 }
@@ -367,15 +367,15 @@
 func (f *fleetSim) sendReports() {
 	sec := f.now.Sub(f.start).Seconds()
 	for vm := range f.vms {
-		to := f.peersOf(vm)
-		what := f.ledgers[vm].DueReports(len(to))
-		if len(what) == 0 {
+		peers := f.peersOf(vm)
+		reports := f.ledgers[vm].DueReports(len(peers))
+		if len(reports) == 0 {
 			continue
 		}
-		for _, o := range to {
-			apart := sec >= f.cut[0] && sec < f.cut[1] && o%f.domains != vm%f.domains
-			if !apart && f.rng.Float64() >= f.lost {
-				f.messages = append(f.messages, simMessage{o, ids.VM(fmt.Sprint(vm)), f.now.Add(reportDelay), what})
+		for _, o := range peers {
+			partitioned := sec >= f.cut[0] && sec < f.cut[1] && o%f.domains != vm%f.domains
+			if !partitioned && f.rng.Float64() >= f.lost {
+				f.messages = append(f.messages, simMessage{o, ids.VM(fmt.Sprint(vm)), f.now.Add(reportDelay), reports})
 			}
 		}
 	}
@@ -431,7 +431,7 @@
 			t.Logf("replicas ended: %.1f on average, %d at most; late arrivals: %d at most; wrongly refused: %d of %d calls, %d of %d popular ones",
 				float64(sum.ended)/seeds, most, worst, sum.othersRefused, sum.others, sum.popularRefused, sum.popular)
 			if sum.othersRefused > sum.others/500 || sum.popularRefused > sum.popular/500 {
-				t.Errorf("too many calls were wrongly refused")
+				t.Errorf("wrongly refused more than 1 in 500 of the unique or of the popular calls")
 			}
 		})
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -15,8 +15,9 @@
 // refuse nothing.
 type Guard struct {
 	Detector *Detector
-	// Rank returns how many live VMs precede this one for a task that one VM does for all. name
-	// identifies the task. Nil means that this VM is the only one.
+	// Rank returns how many live VMs precede this one in the order in which VMs may take on a
+	// task that one VM does for all. name identifies the task. Nil means that this VM is the only
+	// one.
 	Rank func(name ids.Target) int
 }
 
@@ -59,8 +60,8 @@
 }
 
 // Refusal returns the refusal of a call whose request crashes replicas, or nil. Call it before
-// choosing a replica. first must be set if the call has not been sent yet: only then may it be a
-// trial.
+// choosing a replica. first must be set if the call has not been sent yet: only a first send may be
+// a trial.
 //
 // The limits on retries apply within one call only: a crashing request that came under a new id
 // each time ended 48 replicas in six seconds without this check, and 3 to 10 with it.
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -35,8 +35,8 @@
 // Case is the evidence against one request.
 type Case struct {
 	Request Fingerprint
-	// Answered is set if the request has been answered since the VMs first recorded it, so
-	// that it does not crash every replica that runs it.
+	// Answered is set if a VM has seen the request answered, so that it does not crash every
+	// replica that runs it.
 	Answered bool
 	// Quarantined is set if this VM or another already quarantined the request.
 	Quarantined bool
@@ -53,8 +53,8 @@
 	crashesIfAnswered = 12
 	// sameEventWindow is the time within which several crashes are one event. A cause that
 	// ends all replicas of a service at once breaks a run at one replica and its retry at
-	// the next. Counting each crash quarantined a request of twelve callers in each of 40
-	// fleets.
+	// the next. When each crash counted, a harmless request that twelve callers shared was
+	// quarantined in each of 40 simulated fleets.
 	sameEventWindow = 50 * time.Millisecond
 	// separateEventGap is the time between two crashes from which they are separate events
 	// even if the later run was sent before the earlier crash.
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// Retention is the time after a request's last crash in which its crashes count and its
-	// quarantine holds. After that it may run again, and one crash quarantines it anew: a
-	// request that never stops coming costs about one replica in this time.
+	// Retention is how long a quarantine holds after the last crash under the request. After
+	// that the request may run again. The ledger keeps the case for evictAfter, so one more crash
+	// quarantines the request anew: one that never stops coming costs about one replica in this
+	// time.
 	Retention = 10 * time.Minute
 	// evictAfter is the time after which a ledger drops a case.
 	evictAfter = 2 * Retention
@@ -26,12 +27,13 @@
 	// that many callers share must not be refused for long because all replicas ended one
 	// after the other.
 	trialAfter = 10 * time.Second
-	// maxTrials bounds the trials of a request that was never answered. Both sides of a
-	// network partition may each make one, and a VM that has not received the report yet
+	// maxTrials bounds the trials of a request that was never answered. Each side of a network
+	// partition may make one, and a VM that has not received the report of a trial yet may make
 	// another, so that the fleet may make three. A request that was answered before is tried
-	// without limit, trialAfter apart, and needs more crashes to be quarantined. Without that,
-	// while an attacker ended eight replicas a second with ever new requests, a request that
-	// came once a second was refused 191 of 590 times; now 34 of 690 (TestFleetUnderAttack).
+	// without limit, trialAfter apart, and needs more crashes to be quarantined. Without these
+	// two rules, while an attacker ended eight replicas a second with ever new requests, a
+	// request that came once a second was refused 191 of 590 times; with them, 34 of 690
+	// (TestFleetUnderAttack).
 	maxTrials = 1
 	// maxCases bounds the cases in a ledger. A crashing replica adds the requests that it runs
 	// and those waiting there, some tens at once. Beyond the limit the ledger evicts the cases
@@ -48,8 +50,8 @@
 // Ledger records which requests were in progress when replicas crashed, as seen by this VM or
 // reported by peers. Merging reports is commutative and idempotent. Safe for concurrent use.
 type Ledger struct {
-	// Log receives a line for each crash under a request and for each quarantine that starts,
-	// is tried or is lifted.
+	// Log receives a line for each crash under a request, for each quarantine that starts or is
+	// lifted, and for each trial.
 	Log *eventlog.Log
 
 	now func() time.Time
@@ -76,8 +78,9 @@
 	// the request is answered. VMs that see only some of the crashes, or see them in another
 	// order, must agree on it.
 	quarantined bool
-	// answers increases when the request is answered after crashes. Reports with a lower
-	// value are outdated, and so are their crashes.
+	// answers increases when the request is answered after crashes. It starts at 1 if this VM
+	// remembers an earlier answer. Reports with a lower value are outdated, and so are their
+	// crashes.
 	answers uint32
 	// trials is the number of trials since the request was quarantined.
 	trials  uint32
@@ -98,8 +101,8 @@
 // look-up.
 func (l *Ledger) Empty() bool { return l == nil || l.caseCount.Load() == 0 }
 
-// Quarantined reports whether a request must not be sent to replicas, and how many replicas
-// have crashed under it.
+// Quarantined reports whether a request must not be sent to replicas, and if so, how many
+// crashes under it the ledger holds, at most maxCrashes.
 func (l *Ledger) Quarantined(f Fingerprint) (crashes int, quarantined bool) {
 	if l.Empty() {
 		return 0, false
@@ -146,7 +149,8 @@
 	return l.now().Sub(e.lastCrash()) >= wait && l.now().Sub(e.triedAt) >= wait
 }
 
-// Counts returns the number of cases, and how many of them are quarantined.
+// Counts returns the number of cases, and how many of them are quarantined, including those whose
+// Retention is over.
 func (l *Ledger) Counts() (cases, quarantined int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -336,7 +340,7 @@
 	l.logCase("quarantined", f, from)
 }
 
-// listQuarantined returns the quarantined requests in order. The caller holds l.mu.
+// listQuarantined returns the quarantined requests, sorted by fingerprint. The caller holds l.mu.
 func (l *Ledger) listQuarantined() []Fingerprint {
 	var out []Fingerprint
 	for f, e := range l.cases {
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -31,7 +31,8 @@
 	return yes
 }
 
-// TestFingerprint checks that requests have the same fingerprint exactly if all parts are equal.
+// TestFingerprint checks that requests have the same fingerprint if and only if all their parts
+// are equal.
 func TestFingerprint(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", URI: "/p?q=1", Body: []byte("body")}
 	same := base
@@ -86,7 +87,7 @@
 	}
 	c.crash(l, "q", "r9")
 	if !quarantined(l, "q") {
-		t.Error("another crash does not quarantine it again")
+		t.Error("another crash does not quarantine the request again")
 	}
 	c.now = c.now.Add(evictAfter)
 	l.Sweep()
@@ -107,16 +108,16 @@
 	old := l.DueReports(1)
 	peer.Receive("a", old, false)
 	if !quarantined(peer, "q") {
-		t.Fatal("the report does not quarantine it at the peer")
+		t.Fatal("the report does not quarantine the request at the peer")
 	}
 	l.Answered(named("q"))
 	peer.Receive("a", l.DueReports(1), false)
 	if quarantined(l, "q") || quarantined(peer, "q") {
-		t.Error("still quarantined though it was answered")
+		t.Error("still quarantined though the request was answered")
 	}
 	peer.Receive("a", old, false) // late
 	if quarantined(peer, "q") {
-		t.Error("an outdated report quarantines it again")
+		t.Error("an outdated report quarantines the request again")
 	}
 	for i := range crashesIfAnswered - 1 {
 		c.crash(l, "q", fmt.Sprint("s", i))
@@ -159,7 +160,7 @@
 		}
 	}
 	if !quarantined(a, "q") || !quarantined(b, "q") {
-		t.Error("not quarantined")
+		t.Error("not quarantined at both VMs after three crashes")
 	}
 }
 
@@ -263,23 +264,23 @@
 		t.Run(c.state.String(), func(t *testing.T) {
 			var checks atomic.Int64
 			release := make(chan struct{})
-			w := &Detector{Ledger: NewLedger(nil, nil), Check: func(context.Context, ids.Target, string) Liveness {
+			d := &Detector{Ledger: NewLedger(nil, nil), Check: func(context.Context, ids.Target, string) Liveness {
 				checks.Add(1)
 				<-release
 				return c.state
 			}}
 			now := time.Now()
-			guard := &Guard{Detector: w}
+			guard := &Guard{Detector: d}
 			for _, q := range []string{"one", "two", "one"} {
 				call := guard.Call("id", Request{Body: []byte(q)})
 				call.ReportBroken(Send{Target: "r", Incarnation: 1, Sent: now.Add(-time.Second), Broke: now}, false)
 			}
 			close(release)
-			for end := time.Now().Add(time.Second); w.Ledger.Empty() && time.Now().Before(end) && c.cases > 0; {
+			for end := time.Now().Add(time.Second); d.Ledger.Empty() && time.Now().Before(end) && c.cases > 0; {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(10 * time.Millisecond)
-			if n, _ := w.Ledger.Counts(); n != c.cases || checks.Load() != 1 {
+			if n, _ := d.Ledger.Counts(); n != c.cases || checks.Load() != 1 {
 				t.Errorf("the ledger has %d cases after %d checks, want %d after 1", n, checks.Load(), c.cases)
 			}
 		})
--- a/internal/quarantine/merge_test.go
+++ b/internal/quarantine/merge_test.go
@@ -16,9 +16,9 @@
 	m.Run()
 }
 
-// TestLedgersConverge generates crashes and answers at several VMs, and reports that
-// arrive late, twice, in any order or not at all. After all ledgers have exchanged snapshots, they
-// must agree on the quarantined requests. A request without a crash must not be quarantined.
+// TestLedgersConverge generates crashes and answers at several VMs, and reports that arrive late,
+// twice, in any order or not at all. After all ledgers have exchanged snapshots, they must agree on
+// the quarantined requests. A request without a crash must not be quarantined.
 func TestLedgersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newClock()
@@ -28,8 +28,8 @@
 			all[i] = c.ledger()
 		}
 		type message struct {
-			from int
-			what []Report
+			from    int
+			reports []Report
 		}
 		var late []message
 		requests := []string{"a", "b", "c"}
@@ -48,7 +48,7 @@
 			case 4:
 				if len(late) > 0 {
 					m := late[rapid.IntRange(0, len(late)-1).Draw(t, "message")]
-					all[vm].Receive(ids.VM(fmt.Sprint(m.from)), m.what, rapid.Bool().Draw(t, "passOn"))
+					all[vm].Receive(ids.VM(fmt.Sprint(m.from)), m.reports, rapid.Bool().Draw(t, "forward"))
 				}
 			}
 		}
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -11,8 +11,9 @@
 )
 
 // VMs exchange reports of their cases, since a request may reach any VM and each VM sees only a
-// part of the crashes. A VM reports each change in several rounds, since messages get lost. It
-// resends quarantined cases periodically, so that VMs that start, or were cut off, receive them.
+// part of the crashes. A VM reports each change in several rounds, one for each call of
+// DueReports, since messages get lost. It resends quarantined cases periodically, so that VMs that
+// start, or were cut off, receive them.
 
 const (
 	// ownCopies is the number of rounds in which a VM reports what it saw itself. If all three
@@ -20,7 +21,7 @@
 	ownCopies = 3
 	// forwardedCopies is the number of rounds in which a VM forwards a report of a peer.
 	forwardedCopies = 2
-	// maxReported bounds the cases in one message. A case takes 22 bytes and 16 per crash.
+	// maxReported bounds the cases in one message. A case takes 22 bytes plus 16 per crash.
 	maxReported = 24
 	// resendsPerSecond bounds the resent cases that a VM receives from all peers together:
 	// 0.7 KB/s with three crashes each.
@@ -126,8 +127,8 @@
 	return false
 }
 
-// nextResend returns the quarantined request to resend next, in cyclic order; false if the pause
-// is not over. The caller holds l.mu.
+// nextResend returns the quarantined request to resend next, in cyclic order; false if there is
+// none or the pause is not over. The caller holds l.mu.
 func (l *Ledger) nextResend(now time.Time, peers int) (Fingerprint, bool) {
 	if now.Before(l.resendAt) {
 		return Fingerprint{}, false
