--- a/internal/canary/controller.go
+++ b/internal/canary/controller.go
@@ -63,7 +63,7 @@
 	orders   map[string]Order // by key
 	ready    bool             // orders have been read since the VM acquired the lease
 	ledgers  map[string]*Ledger
-	writes   uint64
+	writes   uint64 // sequence number of the last write; see Record.Write
 	services map[string]*serviceState
 }
 
@@ -72,7 +72,7 @@
 	stableGoneSince time.Time // since when the version in service has no target; zero: it has one
 	elapsed         time.Duration
 	at              time.Time // when elapsed was read
-	order           OrderID
+	order           OrderID   // the order that elapsed belongs to
 	loggedVerdict   Verdict
 }
 
--- a/internal/canary/gate.go
+++ b/internal/canary/gate.go
@@ -31,7 +31,7 @@
 type serviceGate struct {
 	record   Record
 	revision objectapi.Revision
-	at       time.Time // when this VM applied the record
+	at       time.Time                   // when this VM applied the record
 	calls    map[ids.SoftwareVersion]int // calls in progress, by version
 	counts   counts
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -196,7 +196,7 @@
 		r.targets[c.Target] = t
 	}
 	ref := &r.reference
-	r.add(t, &t.failed, &r.failed, newTest(ref.failRate(), goodFailExcess, badFailExcess), loaded, c.Failed, c.Calls)
+	r.add(t, &t.failed, &r.failed, newRateTest(ref.failRate(), goodFailExcess, badFailExcess), loaded, c.Failed, c.Calls)
 	if ref.timed < minReferenceAnswers {
 		return
 	}
@@ -209,12 +209,12 @@
 		}
 	}
 	r.timed += timed
-	r.add(t, &t.slow, &r.slow, newTest(part, goodSlowExcess, badSlowExcess), loaded, slow, timed)
+	r.add(t, &t.slow, &r.slow, newRateTest(part, goodSlowExcess, badSlowExcess), loaded, slow, timed)
 }
 
 // add adds hits (failed or slow calls) out of calls to the sums of a target and to the joint
 // sum of its route.
-func (r *routeEvidence) add(t *targetEvidence, s *sums, joint *float64, p test, loaded bool, hits, calls uint32) {
+func (r *routeEvidence) add(t *targetEvidence, s *sums, joint *float64, p rateTest, loaded bool, hits, calls uint32) {
 	s.sprt = clampSPRT(s.sprt + p.logLikelihood(hits, calls))
 	s.cusum = p.cusum(s.cusum, hits, calls)
 	if !loaded {
@@ -246,25 +246,26 @@
 // still change the result.
 func clampSPRT(x float64) float64 { return min(max(x, 2*goodThreshold), badThreshold) }
 
-// test is a likelihood ratio test of two hit rates: a good one and a bad one. hit and miss are
+// rateTest is a likelihood ratio test of two hit rates: a good one and a bad one. hit and miss are
 // the log likelihood ratios of one call.
-type test struct{ hit, miss float64 }
+type rateTest struct{ hit, miss float64 }
 
-// newTest returns a test for the good rate base+goodExcess and a bad rate badExcess above it.
-func newTest(base, goodExcess, badExcess float64) test {
+// newRateTest returns a test for the good rate base+goodExcess and a bad rate badExcess above it.
+// The bad rate is at most 0.97, so that the logarithms are finite.
+func newRateTest(base, goodExcess, badExcess float64) rateTest {
 	p0 := min(base+goodExcess, 0.97-badExcess)
 	p1 := p0 + badExcess
-	return test{hit: math.Log(p1 / p0), miss: math.Log((1 - p1) / (1 - p0))}
+	return rateTest{hit: math.Log(p1 / p0), miss: math.Log((1 - p1) / (1 - p0))}
 }
 
 // logLikelihood returns the log likelihood ratio of hits out of calls.
-func (p test) logLikelihood(hits, calls uint32) float64 {
+func (p rateTest) logLikelihood(hits, calls uint32) float64 {
 	return float64(hits)*p.hit + float64(calls-min(hits, calls))*p.miss
 }
 
 // cusum adds hits out of calls to a cumulative sum. It adds the misses first, since the order
 // of the calls is unknown.
-func (p test) cusum(s float64, hits, calls uint32) float64 {
+func (p rateTest) cusum(s float64, hits, calls uint32) float64 {
 	s = max(s+float64(calls-min(hits, calls))*p.miss, 0)
 	return min(s+float64(hits)*p.hit, badThreshold)
 }
