--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -67,7 +67,8 @@
 	// request overwrites another one with the same slot.
 	answered [answeredSlots]uint64
 
-	// Crashes counts the crashes of replicas that this VM saw under requests, each once.
+	// Crashes counts the crashes of replicas that this VM saw under requests: one for each check
+	// that found a replica ended, and one for each broken run whose replica was known to have ended.
 	Crashes atomic.Int64
 }
 
@@ -83,10 +84,10 @@
 	// crashes.
 	answers uint32
 	// trials is the number of trials since the request was quarantined.
-	trials  uint32
-	triedAt time.Time // the latest trial that this VM knows of
-	changed time.Time
-	copies  int // number of rounds in which the entry is still to be reported
+	trials     uint32
+	triedAt    time.Time // the latest trial that this VM knows of
+	changed    time.Time
+	roundsLeft int // rounds in which the entry is still to be reported
 }
 
 // NewLedger returns an empty ledger. A nil now means clock.Now.
@@ -134,7 +135,7 @@
 	}
 	e := l.cases[f]
 	e.trials++
-	e.triedAt, e.changed, e.copies = l.now(), l.now(), ownCopies
+	e.triedAt, e.changed, e.roundsLeft = l.now(), l.now(), ownRounds
 	l.logCase("quarantine-trial", f, "")
 	return true
 }
@@ -170,7 +171,7 @@
 	defer l.mu.Unlock()
 	for _, f := range findings {
 		if e := l.entry(f.Request); e.add(f.Crash) {
-			e.changed, e.copies = l.now(), ownCopies
+			e.changed, e.roundsLeft = l.now(), ownRounds
 		}
 	}
 	l.judge("")
@@ -188,7 +189,7 @@
 		return
 	}
 	l.clear(f, e, e.answers+1, "")
-	e.changed, e.copies = l.now(), ownCopies
+	e.changed, e.roundsLeft = l.now(), ownRounds
 }
 
 // clear drops the evidence against a request. The caller holds l.mu.
@@ -336,7 +337,7 @@
 // quarantine quarantines a request. The caller holds l.mu.
 func (l *Ledger) quarantine(f Fingerprint, from ids.VM) {
 	e := l.cases[f]
-	e.quarantined, e.changed, e.copies = true, l.now(), max(e.copies, ownCopies)
+	e.quarantined, e.changed, e.roundsLeft = true, l.now(), max(e.roundsLeft, ownRounds)
 	l.logCase("quarantined", f, from)
 }
 
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -16,11 +16,11 @@
 // start, or were cut off, receive them.
 
 const (
-	// ownCopies is the number of rounds in which a VM reports what it saw itself. If all three
+	// ownRounds is the number of rounds in which a VM reports what it saw itself. If all three
 	// are lost, the report of the next crash makes up for it.
-	ownCopies = 3
-	// forwardedCopies is the number of rounds in which a VM forwards a report of a peer.
-	forwardedCopies = 2
+	ownRounds = 3
+	// forwardedRounds is the number of rounds in which a VM forwards a report of a peer.
+	forwardedRounds = 2
 	// maxReported bounds the cases in one message. A case takes 22 bytes plus 16 per crash.
 	maxReported = 24
 	// resendsPerSecond bounds the resent cases that a VM receives from all peers together:
@@ -60,7 +60,7 @@
 	now := l.now()
 	var due []Fingerprint
 	for f, e := range l.cases {
-		if e.copies > 0 {
+		if e.roundsLeft > 0 {
 			due = append(due, f)
 		}
 	}
@@ -69,7 +69,7 @@
 	})
 	due = due[:min(len(due), maxReported)]
 	for _, f := range due {
-		l.cases[f].copies--
+		l.cases[f].roundsLeft--
 	}
 	if f, ok := l.nextResend(now, peers); ok && !slices.Contains(due, f) {
 		due = append(due, f)
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range l.listQuarantined() {
-		l.cases[f].copies = max(l.cases[f].copies, 1)
+		l.cases[f].roundsLeft = max(l.cases[f].roundsLeft, 1)
 	}
 }
 
@@ -120,7 +120,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.cases {
-		if e.copies > 0 {
+		if e.roundsLeft > 0 {
 			return true
 		}
 	}
@@ -166,7 +166,7 @@
 		}
 		changed = true
 		if forward {
-			e.copies = max(e.copies, forwardedCopies)
+			e.roundsLeft = max(e.roundsLeft, forwardedRounds)
 		}
 	}
 	if changed {
