--- a/internal/quarantine/attack_test.go
+++ b/internal/quarantine/attack_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestFleetUnderAttack simulates an attacker who crashes replicas with ever new requests, four a
-// second, none of which comes often enough to be quarantined. A quarantine by request cannot stop
-// that attack, but it must not refuse other requests that were in progress on the replicas.
+// TestFleetUnderAttack simulates an attacker who crashes replicas with four calls a second and a
+// new request after every second call. Since no request comes a third time, a quarantine by
+// request cannot stop that attack, but it must not refuse other requests that were in progress on
+// the replicas.
 func TestFleetUnderAttack(t *testing.T) {
 	s := fleetScenario{
 		vms: 6, domains: 2, fatal: 1, fatalTwice: true, fatalEvery: 250 * time.Millisecond, crashAfter: [2]int{20, 150},
