--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -20,7 +20,8 @@
 
 // Judge compares a canary with the version in service. It does no I/O and reads no clock.
 type Judge interface {
-	// Observe adds the calls counted in a cell since the last time it was observed.
+	// Observe adds the calls in c, which are those that the cell has counted since it was last
+	// observed.
 	Observe(c Cell, now time.Time)
 	// SetLoaded marks that from now on canary targets get as much work as in service.
 	SetLoaded()
@@ -48,11 +49,12 @@
 	// priorCalls and priorFailed are the prior of a route's failure rate: 0.5 of 10 calls.
 	priorCalls, priorFailed = 10, 0.5
 
-	// A version is bad on a route if its failure rate exceeds that of the version in service
-	// by badFailExcess. An excess of up to goodFailExcess counts as chance.
+	// A failure rate on a route is good up to goodFailExcess above that of the version in
+	// service, and bad from badFailExcess above the good rate. The tests compare these two rates.
 	badFailExcess, goodFailExcess = 0.18, 0.03
-	// The same limits for the fraction of slow answers. An answer is slow if it takes half an
-	// octave more than the slowest tenth (slowTail) of the answers of the version in service.
+	// The same limits for the fraction of slow answers. An answer is slow if its time is more
+	// than half an octave above the histogram bucket that holds the 90th percentile (1 - slowTail)
+	// of the version in service.
 	badSlowExcess, goodSlowExcess = 0.30, 0.05
 	slowTail                      = 0.1
 
@@ -62,7 +64,7 @@
 	// goodThreshold is the log likelihood ratio at which a canary is good on a route.
 	goodThreshold = -3
 	// tentativeBadThreshold is the log likelihood ratio from which the tentative verdict is
-	// bad, since no more evidence is to come.
+	// bad. It is lower than badThreshold, since no more evidence is to come.
 	tentativeBadThreshold = 2.3
 	// suspectThreshold is the log likelihood ratio from which a single target counts as
 	// suspect. Lower values are chance.
@@ -96,7 +98,7 @@
 type routeEvidence struct {
 	reference reference
 	targets   map[uint32]*targetEvidence
-	timed     uint32
+	timed     uint32 // answers of the canary with a time
 	// failed and slow are joint CUSUMs over the targets that were not suspect before they
 	// were loaded.
 	failed, slow float64
@@ -194,7 +196,7 @@
 		r.targets[c.Target] = t
 	}
 	ref := &r.reference
-	r.add(t, &t.failed, &r.failed, newTest(ref.failRate(), goodFailExcess, badFailExcess), loaded, c.Failed, c.Calls)
+	r.add(t, &t.failed, &r.failed, newRateTest(ref.failRate(), goodFailExcess, badFailExcess), loaded, c.Failed, c.Calls)
 	if ref.timed < minReferenceAnswers {
 		return
 	}
@@ -207,12 +209,12 @@
 		}
 	}
 	r.timed += timed
-	r.add(t, &t.slow, &r.slow, newTest(part, goodSlowExcess, badSlowExcess), loaded, slow, timed)
+	r.add(t, &t.slow, &r.slow, newRateTest(part, goodSlowExcess, badSlowExcess), loaded, slow, timed)
 }
 
 // add adds hits (failed or slow calls) out of calls to the sums of a target and to the joint
 // sum of its route.
-func (r *routeEvidence) add(t *targetEvidence, s *sums, joint *float64, p test, loaded bool, hits, calls uint32) {
+func (r *routeEvidence) add(t *targetEvidence, s *sums, joint *float64, p rateTest, loaded bool, hits, calls uint32) {
 	s.sprt = clampSPRT(s.sprt + p.logLikelihood(hits, calls))
 	s.cusum = p.cusum(s.cusum, hits, calls)
 	if !loaded {
@@ -244,25 +246,26 @@
 // still change the result.
 func clampSPRT(x float64) float64 { return min(max(x, 2*goodThreshold), badThreshold) }
 
-// test is a likelihood ratio test of two hit rates: a good one and a bad one. hit and miss are
+// rateTest is a likelihood ratio test of two hit rates: a good one and a bad one. hit and miss are
 // the log likelihood ratios of one call.
-type test struct{ hit, miss float64 }
+type rateTest struct{ hit, miss float64 }
 
-// newTest returns a test for the good rate base+goodExcess and a bad rate badExcess above it.
-func newTest(base, goodExcess, badExcess float64) test {
+// newRateTest returns a test for the good rate base+goodExcess and a bad rate badExcess above it.
+// The bad rate is at most 0.97, so that the logarithms are finite.
+func newRateTest(base, goodExcess, badExcess float64) rateTest {
 	p0 := min(base+goodExcess, 0.97-badExcess)
 	p1 := p0 + badExcess
-	return test{hit: math.Log(p1 / p0), miss: math.Log((1 - p1) / (1 - p0))}
+	return rateTest{hit: math.Log(p1 / p0), miss: math.Log((1 - p1) / (1 - p0))}
 }
 
 // logLikelihood returns the log likelihood ratio of hits out of calls.
-func (p test) logLikelihood(hits, calls uint32) float64 {
+func (p rateTest) logLikelihood(hits, calls uint32) float64 {
 	return float64(hits)*p.hit + float64(calls-min(hits, calls))*p.miss
 }
 
 // cusum adds hits out of calls to a cumulative sum. It adds the misses first, since the order
 // of the calls is unknown.
-func (p test) cusum(s float64, hits, calls uint32) float64 {
+func (p rateTest) cusum(s float64, hits, calls uint32) float64 {
 	s = max(s+float64(calls-min(hits, calls))*p.miss, 0)
 	return min(s+float64(hits)*p.hit, badThreshold)
 }
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -11,16 +11,17 @@
 )
 
 // VMs exchange reports of their cases, since a request may reach any VM and each VM sees only a
-// part of the crashes. A VM reports each change in several rounds, since messages get lost. It
-// resends quarantined cases periodically, so that VMs that start, or were cut off, receive them.
+// part of the crashes. A VM reports each change in several rounds, one for each call of
+// DueReports, since messages get lost. It resends quarantined cases periodically, so that VMs that
+// start, or were cut off, receive them.
 
 const (
-	// ownCopies is the number of rounds in which a VM reports what it saw itself. If all three
+	// ownRounds is the number of rounds in which a VM reports what it saw itself. If all three
 	// are lost, the report of the next crash makes up for it.
-	ownCopies = 3
-	// forwardedCopies is the number of rounds in which a VM forwards a report of a peer.
-	forwardedCopies = 2
-	// maxReported bounds the cases in one message. A case takes 22 bytes and 16 per crash.
+	ownRounds = 3
+	// forwardedRounds is the number of rounds in which a VM forwards a report of a peer.
+	forwardedRounds = 2
+	// maxReported bounds the cases in one message. A case takes 22 bytes plus 16 per crash.
 	maxReported = 24
 	// resendsPerSecond bounds the resent cases that a VM receives from all peers together:
 	// 0.7 KB/s with three crashes each.
@@ -59,7 +60,7 @@
 	now := l.now()
 	var due []Fingerprint
 	for f, e := range l.cases {
-		if e.copies > 0 {
+		if e.roundsLeft > 0 {
 			due = append(due, f)
 		}
 	}
@@ -68,7 +69,7 @@
 	})
 	due = due[:min(len(due), maxReported)]
 	for _, f := range due {
-		l.cases[f].copies--
+		l.cases[f].roundsLeft--
 	}
 	if f, ok := l.nextResend(now, peers); ok && !slices.Contains(due, f) {
 		due = append(due, f)
@@ -89,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, f := range l.listQuarantined() {
-		l.cases[f].copies = max(l.cases[f].copies, 1)
+		l.cases[f].roundsLeft = max(l.cases[f].roundsLeft, 1)
 	}
 }
 
@@ -119,15 +120,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.cases {
-		if e.copies > 0 {
+		if e.roundsLeft > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// nextResend returns the quarantined request to resend next, in cyclic order; false if the pause
-// is not over. The caller holds l.mu.
+// nextResend returns the quarantined request to resend next, in cyclic order; false if there is
+// none or the pause is not over. The caller holds l.mu.
 func (l *Ledger) nextResend(now time.Time, peers int) (Fingerprint, bool) {
 	if now.Before(l.resendAt) {
 		return Fingerprint{}, false
@@ -165,7 +166,7 @@
 		}
 		changed = true
 		if forward {
-			e.copies = max(e.copies, forwardedCopies)
+			e.roundsLeft = max(e.roundsLeft, forwardedRounds)
 		}
 	}
 	if changed {
