--- a/internal/allowance/account.go
+++ b/internal/allowance/account.go
@@ -14,15 +14,16 @@
 	// unresponsive VMs; the rest is split by demand. Without it nothing would be reserved for a
 	// VM that was idle when it was partitioned.
 	equalFraction = 0.1
-	// maxDebt bounds a debt, as the time in which the rate pays it. A longer debt results from a
-	// lowered limit or a healed partition, and callers would still pay for it after the window
-	// in which operators count use.
+	// maxDebt bounds a debt, as the time in which the limit's rate pays it. A lowered limit or a
+	// healed partition would cause a longer debt, and callers would still pay for it after the
+	// window in which operators count use.
 	maxDebt = 4 * time.Second
-	// minCounted is the shortest counting time assumed when demand is extrapolated: a single
+	// minCountingTime is the shortest counting time assumed when demand is extrapolated: a single
 	// call right after the start says little.
-	minCounted = 50 * time.Millisecond
-	// forgetAfter is the time without a call or reported use after which an account is dropped:
-	// its bucket is full again.
+	minCountingTime = 50 * time.Millisecond
+	// forgetAfter is the time without a call or reported use after which the account of a
+	// workspace for which no limit is set is dropped: if a limit is set again, its bucket would
+	// be full in any case.
 	forgetAfter = time.Minute
 )
 
@@ -34,14 +35,14 @@
 	levelAt    time.Time // time of level
 	lastActive time.Time // last call or report of use
 
-	used, offered decayingSum // by this VM
+	used, offered decayingSum // admitted by this VM, and demanded of it
 	started       time.Time   // start of this VM, before which nothing was counted
 
 	// Sums last reported by the responsive peers, in units.
 	peersUsed, peersOffered float64
 	reserved                float64 // fraction of the limit reserved for unresponsive VMs
 
-	sequence uint64 // last sample, times 2^64
+	sequence uint64 // last result of nextSample, times 2^64
 
 	demandHistory [demandSamples]float64 // the fleet's demand at the last sweeps
 	sampleCount   int
@@ -101,11 +102,11 @@
 	}
 }
 
-// demand returns the sum that the callers' demand on this VM sustains. After a start the counted
-// sum holds only what has arrived since, and used as it is would make constant demand look like
-// rising demand: VMs that start together would admit several times the rate.
+// demand returns the sum that the callers' demand on this VM sustains. It extrapolates the counted
+// sum, which after a start holds only the calls since then. Without that, constant demand would
+// look like rising demand, and VMs that start together would admit several times the rate.
 func (a *account) demand(now time.Time) float64 {
-	return a.offered.value(now) / (1 - decay(max(now.Sub(a.started), minCounted)))
+	return a.offered.value(now) / (1 - decay(max(now.Sub(a.started), minCountingTime)))
 }
 
 // sampleDemand records the fleet's demand.
@@ -119,7 +120,7 @@
 func (a *account) pastDemand() float64 { return a.demandHistory[a.sampleCount%demandSamples] }
 
 // share returns the fraction of the limit that belongs to one of vms VMs, given the demand that
-// it last reported. The admitted load would not do: it fluctuates while demand exceeds the
+// it last reported. The admitted load is unsuitable: it fluctuates while demand exceeds the
 // limit, and two sides of a partition that sampled it at different times reserved too little
 // for each other.
 func (a *account) share(demand float64, vms int) float64 {
@@ -130,16 +131,18 @@
 	return min((demand+equal)/(max(a.pastDemand(), demand)+equal*float64(vms)), 1)
 }
 
-// updateReport replaces a VM's previous report by a new one that came the time since later.
-func (a *account) updateReport(was, is Use, since time.Duration, now time.Time) {
+// updateReport replaces a VM's previous report by its current one, which arrived the duration
+// since after the previous one.
+func (a *account) updateReport(previous, current Use, since time.Duration, now time.Time) {
 	a.advance(now)
-	before, after := float64(was.Used), float64(is.Used)
+	before, after := float64(previous.Used), float64(current.Used)
 	a.peersUsed = max(a.peersUsed+after-before, 0)
-	a.peersOffered = max(a.peersOffered+float64(is.Offered)-float64(was.Offered), 0)
-	// A sum cannot shrink faster than it decays: if it did, the total lost the report of a VM
-	// that is gone now, and that VM's use still counts.
+	a.peersOffered = max(a.peersOffered+float64(current.Offered)-float64(previous.Offered), 0)
+	// The sum of a VM cannot shrink faster than it decays. If a total shrinks faster, it no longer
+	// includes a VM that is gone, and the use of that VM still counts.
 	grown := max(after, before*decay(since)) - before
-	// advance assumed the previous rate for the interval; on average it was halfway.
+	// advance assumed the previous rate for the whole interval. On average the rate was halfway
+	// between the previous and the current one.
 	a.level -= grown * (1 + since.Seconds()/decayTime.Seconds()/2)
 	a.clampLevel()
 	if after > 0 {
@@ -148,21 +151,21 @@
 }
 
 // removeReport drops a VM's last report and leaves the level as it is.
-func (a *account) removeReport(was Use, now time.Time) {
+func (a *account) removeReport(last Use, now time.Time) {
 	a.advance(now)
-	a.peersUsed = max(a.peersUsed-float64(was.Used), 0)
-	a.peersOffered = max(a.peersOffered-float64(was.Offered), 0)
+	a.peersUsed = max(a.peersUsed-float64(last.Used), 0)
+	a.peersOffered = max(a.peersOffered-float64(last.Offered), 0)
 }
 
 // addReport adds the first report of a VM and leaves the level as it is.
-func (a *account) addReport(is Use, now time.Time) {
+func (a *account) addReport(first Use, now time.Time) {
 	a.advance(now)
-	a.peersUsed += float64(is.Used)
-	a.peersOffered += float64(is.Offered)
+	a.peersUsed += float64(first.Used)
+	a.peersOffered += float64(first.Offered)
 }
 
 // reserve reserves a fraction of the limit for an unresponsive VM: of the rate from now on, and
-// of the burst as if it had been used.
+// of the burst as if that VM had used it.
 func (a *account) reserve(fraction float64, now time.Time) {
 	a.advance(now)
 	a.reserved = min(a.reserved+fraction, 1)
--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -3,8 +3,8 @@
 //
 // # Load
 //
-// A workspace suddenly sends several times its usual load, to all VMs at once, while the other
-// workspaces continue. Its calls cost thousands of tokens each and the longest tenth several
+// A workspace suddenly sends several times its usual load, to all VMs at once, while the load of
+// the other workspaces stays as it was. Its calls cost thousands of tokens each and the longest tenth several
 // times that, so an even split of the limit over 90 VMs leaves each VM less than one prompt;
 // and within one round of reports between VMs the workspace sends as much as its whole burst.
 //
@@ -15,18 +15,18 @@
 // the calls that its peers report. The level may be negative, so that a call is admitted or
 // refused regardless of its size and calls admitted before the reports arrived are paid back.
 // As the bucket empties, each call is admitted with a probability that keeps the admitted load
-// at the rate: VMs that only check whether anything is left all admit everything until the
-// next reports arrive.
+// at the rate: VMs that only checked whether anything is left would all admit everything until
+// the next reports arrive.
 //
 // A VM reports what it has admitted as an exponentially decaying sum (see decayingSum): the
-// sums of VMs can be added, a lost message makes a sum old and not wrong, and between two
-// messages peers assume that the VM continues at the same rate.
+// sums of VMs can be added, a lost message leaves a peer with an older sum until the next one
+// arrives, and between two messages peers assume that the VM continues at the same rate.
 //
 // # VMs without reports
 //
 // A listed VM that sends no messages may be serving on the other side of a network partition.
-// After unresponsiveAfter, a share of the limit is reserved for it, by the demand that it
-// reported last, so that the sides of a partition together use one limit. A VM that has just
+// After unresponsiveAfter, the other VMs reserve a share of the limit for it, by the demand that
+// it last reported, so that the sides of a partition together use one limit. A VM that has just
 // started has received no reports: it has an equal share and no burst.
 package allowance
 
@@ -67,25 +67,26 @@
 	// drainRounds is the number of report rounds over which the rest of a burst is spent: with
 	// two, VMs that all see the same level do not overshoot together.
 	drainRounds = 2
-	// treeRounds is the approximate age, in rounds, of totals that come over a tree: to the
-	// root, to the other roots, and back.
+	// treeRounds is the approximate age, in rounds, of totals that are aggregated over a tree of
+	// VMs: to the root, to the other roots, and back.
 	treeRounds = 3
-	// maxRetryDelay bounds the delay, beyond minRetryAfter, after which callers are to retry.
+	// maxRetryDelay bounds the part of Verdict.RetryAfter that depends on debt and demand.
 	maxRetryDelay = 3 * time.Second
-	// minRetryAfter keeps refused callers from retrying within one round of reports.
+	// minRetryAfter is the shortest Verdict.RetryAfter of a refused call. retryAfter adds up to as
+	// much again, so that refused callers do not retry within one round of reports.
 	minRetryAfter = 250 * time.Millisecond
 )
 
 // Verdict says whether a call is admitted.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is the time after which a refused caller may retry.
+	// RetryAfter is the time after which a refused caller may retry; zero if it was admitted.
 	RetryAfter time.Duration
 }
 
-// Decide admits or refuses a call. sample is a uniformly distributed number in [0, 1). As long
-// as all VMs are responsive, the verdict does not depend on the cost of the call itself: long
-// prompts are refused no more often than short ones.
+// Decide admits or refuses a call. sample is a uniformly distributed number in [0, 1). While
+// Reserved is zero, the verdict does not depend on the cost of the call itself: long prompts are
+// refused no more often than short ones.
 func (s State) Decide(sample float64) Verdict {
 	if s.Limit.Unlimited() {
 		return Verdict{Admitted: true}
@@ -100,10 +101,10 @@
 
 // admitProbability returns the fraction of calls to admit.
 //
-// A VM with few responsive peers must not admit its first call whatever the call costs: 90 VMs that
-// were killed and restarted, each with a ninetieth of the limit, would admit 90 prompts, which
-// use up the limit for four seconds. The call's own cost therefore counts as demand, in
-// proportion to the fraction of the limit that is reserved for other VMs.
+// The call's own cost counts as demand too, in proportion to the fraction of the limit that is
+// reserved for other VMs. Otherwise a VM with few responsive peers would admit its first call at
+// any cost: 90 VMs that were killed and restarted, each with a ninetieth of the limit, would
+// admit 90 prompts, which use up the limit for four seconds.
 func (s State) admitProbability() float64 {
 	if s.DrainTime <= 0 {
 		if s.Level > 0 {
@@ -126,9 +127,9 @@
 // rate returns the part of the limit's rate that the responsive VMs have together, in units/s.
 func (s State) rate() float64 { return s.Limit.Rate * (1 - s.Reserved) }
 
-// retryAfter returns the time until the debt is paid plus a delay, proportional to sample, by
-// which the load refused in one second fits into the rate: callers do not retry all at once,
-// and the more there are, the later they retry.
+// retryAfter returns the time until the debt is paid plus a delay that is proportional to sample.
+// The delays spread the load refused in one second over the time in which the rate can serve it:
+// callers do not retry all at once, and the more load there is, the later they retry.
 func (s State) retryAfter(sample float64) time.Duration {
 	rate := max(s.rate(), minRate)
 	wait := max(-s.Level, 0) / rate
@@ -137,14 +138,14 @@
 	return min(max(delay, 0), maxRetryDelay) + time.Duration((1+sample)*float64(minRetryAfter))
 }
 
-// minRate prevents a division by zero for a limit of zero, in units/s.
+// minRate, in units/s, prevents a division by zero if the responsive VMs have no rate.
 const minRate = 1e-3
 
 // Use holds what one or several VMs have admitted of a workspace and what callers demanded of
 // them, as sums in units that decay with decayTime.
 type Use struct {
 	_         struct{} `cbor:",toarray"`
-	Workspace uint32   // HashOf the name
+	Workspace uint32   // HashOf its name
 	Used      float32
 	Offered   float32
 }
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// unresponsiveAfter is the time since the last message after which a VM may be serving on the
-	// other side of a network partition. In a fleet of 100, each VM reports every 0.5 s and, with
+	// unresponsiveAfter is the time since a VM's last message after which it counts as
+	// unresponsive: it may be serving on the other side of a network partition. In a fleet of 100, each VM reports every 0.5 s and, with
 	// nothing to report, every second, so that two reports lost in a row do not make a VM
 	// unresponsive. Until then both sides of a partition may use the whole limit.
 	unresponsiveAfter = 2 * time.Second
@@ -32,8 +32,9 @@
 // HashOf returns the hash that identifies a workspace in messages between VMs.
 func HashOf(ws ids.Workspace) uint32 { return uint32(xxh3.HashString(string(ws))) }
 
-// Limiter keeps the workspaces' accounts on one VM. It is safe for concurrent use. A nil Limiter
-// ignores messages of peers, and its OwnUse is empty.
+// Limiter keeps the workspaces' accounts on one VM. It is safe for concurrent use. On a nil
+// Limiter, MarkSeen, RecordUse and RecordFleetUse do nothing and OwnUse returns nil; the other
+// methods panic.
 type Limiter struct {
 	now     func() time.Time
 	self    ids.VM
@@ -44,9 +45,10 @@
 	accounts map[uint32]*account
 	peers    map[ids.VM]*peer // listed VMs without this one
 	listed   bool             // the list of VMs has been read
-	fleet    *peer            // all other VMs, where only their total is reported; nil otherwise
-	// starting is set until this VM knows the load of the others. firstReports counts the VMs
-	// whose first report it received, and activeReports those of them that had been serving.
+	fleet    *peer            // all other VMs, if peers report only their total; nil otherwise
+	// starting is set until this VM knows the load of the others, for startPeriod at most.
+	// firstReports counts the first reports that it received, of VMs or of the fleet, and
+	// activeReports those of them that contained use.
 	starting                    bool
 	firstReports, activeReports int
 	// interval is the measured mean time between two reports of a peer.
@@ -104,13 +106,14 @@
 type Decision struct {
 	Verdict
 	State
-	// Age is the age of the oldest report that was counted.
+	// Age is the longest time since the last message of a responsive peer. It is zero if there is
+	// none, if the workspace is unlimited, or if this VM has not read the list of VMs.
 	Age time.Duration
 }
 
 // Take admits and counts a call, or refuses it. Until this VM has read the list of VMs it
-// refuses every call of a limited workspace: of four VMs that were all killed, each assumed for
-// some ms after its start that it was the only one, and used the whole burst.
+// refuses every call of a limited workspace: without that, four VMs that were all killed and
+// restarted each assumed for some ms that they were the only one, and used the whole burst.
 func (l *Limiter) Take(c Call) Decision {
 	now := l.now()
 	l.mu.Lock()
@@ -126,7 +129,7 @@
 		a.refused += c.Cost
 		return Decision{Verdict: Verdict{RetryAfter: minRetryAfter}, State: a.state(c.Cost, now)}
 	}
-	out := Decision{State: a.state(c.Cost, now), Age: l.oldestReportAge(now)}
+	out := Decision{State: a.state(c.Cost, now), Age: l.maxMessageAge(now)}
 	out.DrainTime = l.drainTime()
 	out.Verdict = l.decide(out.State, a.nextSample())
 	a.offered.add(c.Cost, now)
@@ -175,8 +178,9 @@
 	return xxh3.HashStringSeed(string(l.self), uint64(l.started.UnixNano())^uint64(hash))
 }
 
-// Share returns the fraction of a workspace's limits that this VM may use: its fraction of the
-// demand on all responsive VMs, and at least an equal share.
+// Share returns the fraction of a workspace's limits that this VM may use: of the part that is not
+// reserved for unresponsive VMs, this VM's fraction of the demand on all responsive VMs, and at
+// least an equal share of the whole.
 func (l *Limiter) Share(ws ids.Workspace) float64 {
 	now := l.now()
 	l.mu.Lock()
@@ -190,7 +194,7 @@
 	return max(equal, (1-a.reserved)*own/max(own+a.peersOffered, minReportedUse))
 }
 
-// SetLimit puts the limit of one workspace into force.
+// SetLimit puts the limit of one workspace into force; other limits stay as they are.
 func (l *Limiter) SetLimit(ws ids.Workspace, limit Limit) {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/allowance/peers.go
+++ b/internal/allowance/peers.go
@@ -10,12 +10,12 @@
 
 // peer is another VM, or all others together.
 type peer struct {
-	incarnation  int64
-	seq          uint64
+	incarnation  int64  // of the VM at its last report
+	seq          uint64 // of its last report
 	lastSeen     time.Time
 	unresponsive bool
 	uses         map[uint32]Use
-	shares       map[uint32]float64 // reserved for it while it is unresponsive, by workspace; if absent, an equal share
+	shares       map[uint32]float64 // reserved for it while it is unresponsive, by HashOf the workspace; if absent, an equal share
 }
 
 // SetVMs sets the VMs that the platform lists. The list may include this VM.
@@ -44,9 +44,9 @@
 
 // forgetUses drops the last report of a VM. The caller holds the lock.
 func (l *Limiter) forgetUses(p *peer, now time.Time) {
-	for hash, was := range p.uses {
+	for hash, last := range p.uses {
 		if a := l.accounts[hash]; a != nil && !p.unresponsive {
-			a.removeReport(was, now)
+			a.removeReport(last, now)
 		}
 	}
 	p.uses = nil
@@ -61,7 +61,7 @@
 	}
 }
 
-// MarkSeen records that any message has come from a VM.
+// MarkSeen records that a message has arrived from a VM, whatever its content.
 func (l *Limiter) MarkSeen(vm ids.VM) {
 	if l == nil {
 		return
@@ -86,8 +86,9 @@
 	return true
 }
 
-// RecordUse replaces all uses that a VM reported. It ignores a report that is older than the
-// last one by incarnation and seq.
+// RecordUse replaces all uses that a VM has reported before by uses. It ignores the report if the
+// VM is not listed, or if the report is not newer, by incarnation and then seq, than the last one.
+// Malformed elements of uses are ignored.
 func (l *Limiter) RecordUse(vm ids.VM, incarnation int64, seq uint64, uses []Use) {
 	if l == nil {
 		return
@@ -114,7 +115,7 @@
 }
 
 // RecordWorkspaceUse records a VM's use of one workspace; its uses of other workspaces stay as last
-// reported.
+// reported. It ignores the report if the VM is not listed or u is malformed.
 func (l *Limiter) RecordWorkspaceUse(vm ids.VM, u Use) {
 	now := l.now()
 	l.mu.Lock()
@@ -126,20 +127,22 @@
 	since := now.Sub(p.lastSeen)
 	l.markSeen(p, now)
 	l.observeInterval(since)
-	was, known := p.uses[u.Workspace]
+	previous, known := p.uses[u.Workspace]
 	if p.uses == nil {
 		p.uses = map[uint32]Use{}
 	}
 	p.uses[u.Workspace] = u
 	a := l.account(u.Workspace, now)
 	if known {
-		a.updateReport(was, u, since, now)
+		a.updateReport(previous, u, since, now)
 	} else {
 		a.addReport(u, now)
 	}
 }
 
-// countFirstReport counts the first report of a VM. The caller holds the lock.
+// countFirstReport counts the first report of a VM, or of the fleet. If more than half of the first
+// reports contain use, the others have been serving and this VM's start ends. The caller holds the
+// lock.
 func (l *Limiter) countFirstReport(uses []Use, now time.Time) {
 	l.firstReports++
 	if len(uses) > 0 {
@@ -157,6 +160,7 @@
 }
 
 // RecordFleetUse records the total use of all other VMs, in place of the reports of single VMs.
+// Malformed elements of uses are ignored.
 func (l *Limiter) RecordFleetUse(uses []Use) {
 	if l == nil {
 		return
@@ -185,12 +189,12 @@
 	if !known {
 		l.countFirstReport(uses, now)
 	}
-	is := make(map[uint32]Use, len(uses))
+	current := make(map[uint32]Use, len(uses))
 	for _, u := range uses {
 		if !u.valid() {
 			continue
 		}
-		is[u.Workspace] = u
+		current[u.Workspace] = u
 		a := l.account(u.Workspace, now)
 		if known {
 			a.updateReport(p.uses[u.Workspace], u, since, now)
@@ -198,16 +202,16 @@
 			a.addReport(u, now)
 		}
 	}
-	for hash, was := range p.uses {
-		if _, still := is[hash]; !still && l.accounts[hash] != nil {
-			l.accounts[hash].updateReport(was, Use{}, since, now)
+	for hash, last := range p.uses {
+		if _, still := current[hash]; !still && l.accounts[hash] != nil {
+			l.accounts[hash].updateReport(last, Use{}, since, now)
 		}
 	}
-	p.uses = is
+	p.uses = current
 }
 
-// reservedOf returns the fraction of a workspace's limit that is reserved for unresponsive VMs.
-// The caller holds the lock.
+// reservedOf returns the fraction of a workspace's limit that is reserved for unresponsive VMs, or
+// while this VM is starting, all but its equal share. The caller holds the lock.
 func (l *Limiter) reservedOf(hash uint32) float64 {
 	if l.starting {
 		return float64(len(l.peers)) / float64(len(l.peers)+1)
@@ -221,7 +225,8 @@
 	return min(sum, 1)
 }
 
-// shareOf returns the fraction that is reserved for an unresponsive VM. The caller holds the lock.
+// shareOf returns the fraction of a workspace's limit that is reserved for an unresponsive VM. The
+// caller holds the lock.
 func (l *Limiter) shareOf(p *peer, hash uint32) float64 {
 	if share, ok := p.shares[hash]; ok {
 		return share
@@ -229,9 +234,9 @@
 	return 1 / float64(len(l.peers)+1)
 }
 
-// oldestReportAge returns the longest time since the last message of a responsive VM. The caller
-// holds the lock.
-func (l *Limiter) oldestReportAge(now time.Time) time.Duration {
+// maxMessageAge returns the longest time since the last message of a responsive VM, or zero if
+// none is responsive. The caller holds the lock.
+func (l *Limiter) maxMessageAge(now time.Time) time.Duration {
 	oldest := time.Duration(0)
 	for _, p := range l.peers {
 		if !p.unresponsive {
@@ -282,8 +287,8 @@
 // minReportedUse is the sum, in units, up to which a workspace counts as idle.
 const minReportedUse = 1e-3
 
-// Sweep detects unresponsive VMs, samples demand, and drops the accounts of idle workspaces. The
-// caller calls it every SweepEvery.
+// Sweep detects unresponsive VMs, samples demand, and drops the accounts of idle workspaces for
+// which no limit is set. It must be called every SweepEvery.
 func (l *Limiter) Sweep() {
 	now := l.now()
 	l.mu.Lock()
@@ -309,15 +314,16 @@
 	}
 }
 
-// markUnresponsive reserves for a VM its share by its last report. The caller holds the lock.
+// markUnresponsive reserves a VM's share of each limit: by its last report, or an equal share if
+// peers report only their total. The caller holds the lock.
 func (l *Limiter) markUnresponsive(p *peer, now time.Time) {
 	p.unresponsive, p.shares = true, map[uint32]float64{}
 	for hash, a := range l.accounts {
-		was := p.uses[hash]
-		a.removeReport(was, now)
+		last := p.uses[hash]
+		a.removeReport(last, now)
 		share := 1 / float64(len(l.peers)+1)
 		if l.fleet == nil {
-			share = a.share(float64(was.Offered), len(l.peers)+1)
+			share = a.share(float64(last.Offered), len(l.peers)+1)
 		}
 		p.shares[hash] = share
 		a.reserve(share, now)
--- a/internal/allowance/status.go
+++ b/internal/allowance/status.go
@@ -12,10 +12,10 @@
 	Workspace ids.Workspace `json:"workspace"`
 	Rate      float64       `json:"rate"` // effective, as set by Bounds.Limit
 	Burst     float64       `json:"burst"`
-	Left      float64       `json:"left"`   // of the burst on all VMs; negative: a debt
-	Used      float64       `json:"used"`   // by all responsive VMs, units/s
-	Demand    float64       `json:"demand"` // of the callers on them, units/s
-	Reserved  float64       `json:"reserved"`
+	Left      float64       `json:"left"`     // of the burst on all VMs; negative: a debt
+	Used      float64       `json:"used"`     // by all responsive VMs, units/s
+	Demand    float64       `json:"demand"`   // of the callers on them, units/s
+	Reserved  float64       `json:"reserved"` // fraction of the limit reserved for unresponsive VMs
 	Admitted  float64       `json:"admitted"` // by this VM, units
 	Refused   float64       `json:"refused"`  // by this VM, units
 	Refusals  int64         `json:"refusals"` // by this VM, calls
