--- a/internal/allowance/bench_test.go
+++ b/internal/allowance/bench_test.go
@@ -31,7 +31,7 @@
 	return l, uses, spaces
 }
 
-// BenchmarkTake measures one verdict on a VM of 90, with 16 workspaces.
+// BenchmarkTake measures one verdict on one of 90 VMs, with 16 workspaces.
 func BenchmarkTake(b *testing.B) {
 	l, _, spaces := benchLimiter(89, 16)
 	i := 0
@@ -41,9 +41,9 @@
 	}
 }
 
-// BenchmarkHeard measures one report of a peer on all workspaces, in a fleet of 90 VMs that report
-// to each other directly, with 16 and with 580 workspaces.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkRecordUse measures one report of a peer on all workspaces, in a fleet of 90 VMs that
+// report to each other directly, with 16 and with 580 workspaces.
+func BenchmarkRecordUse(b *testing.B) {
 	for _, n := range []int{16, 580} {
 		b.Run(fmt.Sprint(n, " workspaces"), func(b *testing.B) {
 			l, uses, _ := benchLimiter(89, n)
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkHeardFleet measures one total of a tree of 380 VMs.
-func BenchmarkHeardFleet(b *testing.B) {
+// BenchmarkRecordFleetUse measures one report of the total use of the other VMs in a fleet of 380.
+func BenchmarkRecordFleetUse(b *testing.B) {
 	l, uses, _ := benchLimiter(379, 580)
 	for b.Loop() {
 		l.RecordFleetUse(uses)
--- a/internal/allowance/fleet_test.go
+++ b/internal/allowance/fleet_test.go
@@ -35,7 +35,7 @@
 	// listed reports whether the platform lists a VM; nil: all are.
 	listed   func(vm int, t time.Duration) bool
 	loss     float64 // fraction of messages lost
-	tree     bool    // VMs receive only totals
+	tree     bool    // VMs receive only the total use of the others
 	meanCost float64 // cost of a call, units
 }
 
@@ -145,7 +145,7 @@
 	return x
 }
 
-// updateVMs stops and starts VMs.
+// updateVMs stops and starts VMs, and sets the list of VMs where it has changed.
 func (x *simulation) updateVMs() {
 	n := 0
 	for i := range x.vms {
@@ -324,21 +324,21 @@
 func (x *simulation) longCallRatio() float64 {
 	// The longest tenth of a log-normal distribution of this width begins at 2.03 times its mean.
 	threshold := 2.03 * x.scenario.meanCost
-	var all, in, long, longIn float64
+	var all, admitted, long, longAdmitted float64
 	for _, s := range x.calls {
 		all++
 		if s.admitted {
-			in++
+			admitted++
 		}
 		if s.cost > threshold {
 			long++
 			if s.admitted {
-				longIn++
+				longAdmitted++
 			}
 		}
 	}
-	if long == 0 || in == 0 {
+	if long == 0 || admitted == 0 {
 		return 1
 	}
-	return longIn / long / (in / all)
+	return longAdmitted / long / (admitted / all)
 }
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -12,9 +12,10 @@
 
 const (
 	// unresponsiveAfter is the time since a VM's last message after which it counts as
-	// unresponsive: it may be serving on the other side of a network partition. In a fleet of 100, each VM reports every 0.5 s and, with
-	// nothing to report, every second, so that two reports lost in a row do not make a VM
-	// unresponsive. Until then both sides of a partition may use the whole limit.
+	// unresponsive: it may be serving on the other side of a network partition. In a fleet of 100,
+	// each VM reports every 0.5 s, so that two reports lost in a row do not make it unresponsive;
+	// with nothing to report it sends a message every second, and two lost ones do. Until a VM
+	// counts as unresponsive, both sides of a partition may use the whole limit.
 	unresponsiveAfter = 2 * time.Second
 	// SweepEvery is the interval at which Sweep must be called.
 	SweepEvery = 250 * time.Millisecond
--- a/internal/allowance/limiter_test.go
+++ b/internal/allowance/limiter_test.go
@@ -74,7 +74,7 @@
 			shares[sides[i]] = max(shares[sides[i]], share)
 		}
 		if sum := shares[0] + shares[1]; sum > 1.001 {
-			rt.Fatalf("the sides of the partition use %.4f of the limit together", sum)
+			rt.Fatalf("the sides of the partition use %.4f of the limit together, want at most 1", sum)
 		}
 	})
 }
@@ -92,14 +92,14 @@
 		l.Sweep()
 	}
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Admitted || s.Demand < 899 {
-		t.Fatalf("with a peer whose demand is nine times the limit: %+v", s)
+		t.Fatalf("with a peer whose demand is nine times the limit: got %+v, want a refusal and a demand of at least 899", s)
 	}
 	for range 12 {
 		clock.advance(SweepEvery)
 		l.Sweep()
 	}
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Reserved < 0.9 {
-		t.Fatalf("with an unresponsive peer that had used the whole limit: %+v", s)
+		t.Fatalf("with an unresponsive peer that had used the whole limit: got %+v, want at least 0.9 reserved", s)
 	}
 }
 
@@ -113,13 +113,13 @@
 	for i := range 100 {
 		c := Call{Workspace: "w", Cost: 90}
 		if s := l.Take(c); !s.Admitted {
-			t.Fatalf("call %d was refused: %+v", i, s)
+			t.Fatalf("call %d was refused although the cost of all earlier ones was returned: %+v", i, s)
 		}
 		clock.advance(10 * time.Millisecond)
 		l.Return(c, clock.t.Add(-10*time.Millisecond))
 	}
 	if u := l.OwnUse(); len(u) != 1 || u[0].Used > 1e-3 {
-		t.Fatalf("reported to peers: %+v", u)
+		t.Fatalf("reported to peers: got %+v, want one element with nothing used", u)
 	}
 }
 
@@ -130,10 +130,10 @@
 	l := New("a", clock.now)
 	l.SetLimits(limits(Limit{20, 20}))
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); s.Admitted || s.RetryAfter <= 0 {
-		t.Fatalf("before the list of VMs was read: %+v", s)
+		t.Fatalf("before the list of VMs was read: got %+v, want a refusal with a time to retry", s)
 	}
 	if s := l.Take(Call{Workspace: "unlimited", Cost: 1}); !s.Admitted {
-		t.Fatalf("a workspace without a limit: %+v", s)
+		t.Fatalf("a workspace without a limit: got %+v, want the call admitted", s)
 	}
 	clock.advance(20 * time.Millisecond)
 	l.SetVMs([]ids.VM{"a", "b", "c", "d"})
@@ -144,7 +144,7 @@
 		}
 	}
 	if admitted > 6 {
-		t.Fatalf("one of four starting VMs admitted %d calls at once; a quarter of one second's rate is 5", admitted)
+		t.Fatalf("one of four starting VMs admitted %d calls at once, want at most 6; a quarter of one second's rate is 5", admitted)
 	}
 }
 
@@ -166,12 +166,12 @@
 	l.RecordUse("b", 1, 100, nil)
 	clock.advance(SweepEvery)
 	if s := l.Take(Call{Workspace: "w", Cost: 1}); !s.Admitted {
-		t.Fatalf("after malformed reports: %+v", s)
+		t.Fatalf("after malformed reports: got %+v, want the call admitted", s)
 	}
 }
 
-// TestBounds checks that in a window the bucket admits at least what is allowed, and beyond that
-// at most half of the tolerance.
+// TestBounds checks that in a window the bucket of Bounds.Limit admits at least what is allowed,
+// and beyond that at most half of the tolerance.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := Bounds{
@@ -183,15 +183,16 @@
 		allowed := rate*b.Window.Seconds() + burst
 		given := l.Rate*b.Window.Seconds() + l.Burst
 		if given < allowed*0.9999 || given > allowed+(allowed*b.Excess+b.Slack)*0.5+1 {
-			rt.Fatalf("%+v admits %.1f units in a window; %.1f are allowed", l, given, allowed)
+			rt.Fatalf("%+v admits %.1f units in a window, want at least %.1f and at most half of the tolerance more", l, given, allowed)
 		}
 		if l.Unlimited() != (rate <= 0 && burst <= 0) {
-			rt.Fatalf("%+v for %v, %v", l, rate, burst)
+			rt.Fatalf("%+v for a rate of %v and a burst of %v: want it unlimited only if both are zero", l, rate, burst)
 		}
 	})
 }
 
-// TestIdleAccountsDropped checks that accounts of removed workspaces are dropped.
+// TestIdleAccountsDropped checks that the accounts of workspaces whose limit was removed are dropped
+// once they are idle.
 func TestIdleAccountsDropped(t *testing.T) {
 	clock := newTestClock()
 	l := New("a", clock.now)
--- a/internal/allowance/restart_test.go
+++ b/internal/allowance/restart_test.go
@@ -9,7 +9,7 @@
 
 // These tests guard against underestimated demand after a restart. All VMs of a small fleet were
 // killed twice within 1.4 s, some of them once more, at a demand of ten times a workspace's
-// allowance: 106 calls ran within 3 s, 103 are tolerated. Demand is a sum that decays within half
+// limit: 106 calls ran within 3 s, 103 are tolerated. Demand is a sum that decays within half
 // a second, and after a start it held only the calls since: each VM estimated a tenth of the
 // constant demand and admitted several times its share. At 220 calls/s the VMs estimated:
 //
@@ -33,10 +33,10 @@
 	w.l.SetLimits(map[ids.Workspace]Limit{"w": smallFleetBounds.Limit(l.Rate, l.Burst)})
 }
 
-// runRepeatedKills simulates four VMs that are all killed five times, once every pause, and
+// runRepeatedKills simulates four VMs that are all killed five times, once every interval, and
 // restarted after down. It returns the number of 20 seeds in which the workspace used more than
 // is tolerated, and the largest use as a fraction of what is tolerated.
-func runRepeatedKills(pause, down time.Duration) (over int, most float64) {
+func runRepeatedKills(interval, down time.Duration) (over int, most float64) {
 	p := baseScenario()
 	p.vms, p.meanCost = 4, rate/20
 	p.demand = spreadDemand(4, func(t time.Duration) float64 {
@@ -44,7 +44,7 @@
 	})
 	p.down = func(vm int, t time.Duration) bool {
 		since := t - hotFrom - 2*time.Second - time.Duration(vm)*50*time.Millisecond
-		return since >= 0 && since < 5*pause && since%pause < down
+		return since >= 0 && since < 5*interval && since%interval < down
 	}
 	allowed := rate*smallFleetBounds.Window.Seconds() + rate
 	tolerated := allowed*(1+smallFleetBounds.Excess) + smallFleetBounds.Slack
@@ -59,11 +59,11 @@
 }
 
 func checkRepeatedKills(t *testing.T, down time.Duration) {
-	for _, pause := range []time.Duration{700 * time.Millisecond, time.Second, 1300 * time.Millisecond, 1600 * time.Millisecond} {
-		over, most := runRepeatedKills(pause, down)
-		t.Logf("killed every %v: at most %.2f of what is tolerated", pause, most)
+	for _, interval := range []time.Duration{700 * time.Millisecond, time.Second, 1300 * time.Millisecond, 1600 * time.Millisecond} {
+		over, most := runRepeatedKills(interval, down)
+		t.Logf("killed every %v: at most %.2f of what is tolerated", interval, most)
 		if over > 0 {
-			t.Errorf("killed every %v, restarted after %v: more than is tolerated in %d of 20 seeds, up to %.2f of it", pause, down, over, most)
+			t.Errorf("killed every %v, restarted after %v: more than is tolerated in %d of 20 seeds, up to %.2f of it", interval, down, over, most)
 		}
 	}
 }
--- a/internal/allowance/ways_play_test.go
+++ b/internal/allowance/ways_play_test.go
@@ -32,7 +32,8 @@
 	return func(vm int, t time.Duration) float64 { return total(t) * weight[vm] / sum }
 }
 
-func hotSpellDemand(t time.Duration) float64 {
+// hotPeriodDemand returns hotDemand from hotFrom to hotTill, and usualDemand otherwise.
+func hotPeriodDemand(t time.Duration) float64 {
 	if t >= hotFrom && t < hotTill {
 		return hotDemand
 	}
@@ -46,7 +47,7 @@
 // baseScenario is a workspace on 90 VMs whose demand rises to 4.1 times its limit.
 func baseScenario() scenario {
 	return scenario{
-		vms: 90, length: scenarioLength, limit: constant(Limit{rate, rate}), demand: spreadDemand(90, hotSpellDemand), loss: 0.03, meanCost: prompt,
+		vms: 90, length: scenarioLength, limit: constant(Limit{rate, rate}), demand: spreadDemand(90, hotPeriodDemand), loss: 0.03, meanCost: prompt,
 	}
 }
 
@@ -78,23 +79,23 @@
 	add("hot at one VM", func(p *scenario) {
 		p.demand = func(vm int, t time.Duration) float64 {
 			if vm == 7 {
-				return hotSpellDemand(t)
+				return hotPeriodDemand(t)
 			}
 			return 0
 		}
 	})
-	add("hot, 8 VMs", func(p *scenario) { p.vms = 8; p.demand = spreadDemand(8, hotSpellDemand) })
-	add("hot, 380 VMs", func(p *scenario) { p.vms, p.tree = 380, true; p.demand = spreadDemand(380, hotSpellDemand) })
+	add("hot, 8 VMs", func(p *scenario) { p.vms = 8; p.demand = spreadDemand(8, hotPeriodDemand) })
+	add("hot, 380 VMs", func(p *scenario) { p.vms, p.tree = 380, true; p.demand = spreadDemand(380, hotPeriodDemand) })
 	add("hot, 380 VMs, a quarter partitioned", func(p *scenario) {
-		p.vms, p.tree, p.demand, p.partition = 380, true, spreadDemand(380, hotSpellDemand), partitionAt(hotFrom-2500*time.Millisecond, 4)
+		p.vms, p.tree, p.demand, p.partition = 380, true, spreadDemand(380, hotPeriodDemand), partitionAt(hotFrom-2500*time.Millisecond, 4)
 	})
 	for _, c := range []struct {
 		name string
 		at   time.Duration
-	}{{"3 s before", -3 * time.Second}, {"1 s before", -time.Second}, {"as it turns hot", 0}, {"3 s into it", 3 * time.Second}} {
+	}{{"3 s before the rise in demand", -3 * time.Second}, {"1 s before the rise in demand", -time.Second}, {"as demand rises", 0}, {"3 s after the rise in demand", 3 * time.Second}} {
 		add("halves partitioned "+c.name, func(p *scenario) { p.partition = partitionAt(hotFrom+c.at, 2) })
 	}
-	add("a quarter partitioned as it turns hot", func(p *scenario) { p.partition = partitionAt(hotFrom, 4) })
+	add("a quarter partitioned as demand rises", func(p *scenario) { p.partition = partitionAt(hotFrom, 4) })
 	add("usual, a quarter partitioned", func(p *scenario) {
 		p.demand, p.partition = spreadDemand(90, func(time.Duration) float64 { return usualDemand }), partitionAt(hotFrom, 4)
 	})
@@ -133,7 +134,7 @@
 		}
 	})
 	add("hot, VMs join", func(p *scenario) {
-		p.vms, p.demand = 102, spreadDemand(102, hotSpellDemand)
+		p.vms, p.demand = 102, spreadDemand(102, hotPeriodDemand)
 		p.listed = func(vm int, t time.Duration) bool { return vm < 90 || t >= hotFrom+2*time.Second }
 	})
 	add("limit lowered while hot", func(p *scenario) {
@@ -156,10 +157,10 @@
 }
 
 func scaled(by float64) func(time.Duration) float64 {
-	return func(t time.Duration) float64 { return hotSpellDemand(t) * by }
+	return func(t time.Duration) float64 { return hotPeriodDemand(t) * by }
 }
 
-// partitionAt separates one VM in parts from the others for 5.5 s.
+// partitionAt separates each parts-th VM from the others, for 5.5 s from the time from.
 func partitionAt(from time.Duration, parts int) func(int, time.Duration) int {
 	partitioned := between(from, from+5500*time.Millisecond)
 	return func(vm int, t time.Duration) int {
@@ -187,7 +188,7 @@
 
 // checkScenario simulates one scenario with the limiter. In no window may the workspace use more
 // than operators tolerate. It must get at least four fifths of what one bucket for all VMs would
-// admit, and 19 of 20 units if its demand is at most its limit. The result is the admitted
+// admit, and 19 of 20 units if its demand is at most its limit. checkScenario returns the admitted
 // fraction of long prompts over that of all calls.
 func checkScenario(t *testing.T, name string) (long float64) {
 	t.Helper()
@@ -198,7 +199,7 @@
 		maxShortfall = 0.05
 	}
 	if f.overuse > 1 || f.shortfall > maxShortfall {
-		t.Errorf("use beyond the limit: %.2f of the tolerance; %.3f of what one bucket admits was refused", f.overuse, f.shortfall)
+		t.Errorf("use beyond the limit is %.2f of the tolerance, want at most 1; %.3f of what one bucket admits was refused, want at most 0.2, or 0.05 if demand is within the limit", f.overuse, f.shortfall)
 	}
 	return f.longRatio
 }
@@ -222,7 +223,7 @@
 		}
 	})
 	if mean, se := meanAndError(long); mean < 0.95 {
-		t.Errorf("long prompts were admitted %.2f (s.e. %.2f) times as often as all calls", mean, se)
+		t.Errorf("long prompts were admitted %.2f (s.e. %.2f) times as often as all calls, want at least 0.95", mean, se)
 	}
 }
 
@@ -252,7 +253,7 @@
 				f := simulate(scenarios()[name], 1, w.build)
 				t.Logf("%-32s overuse %5.2f, shortfall %.3f, long %.2f", w.name, f.overuse, f.shortfall, f.longRatio)
 				if w.name == algorithms[0].name && f.overuse > 1 {
-					t.Errorf("%s: overuse %.2f of the tolerance", w.name, f.overuse)
+					t.Errorf("%s: overuse is %.2f of the tolerance, want at most 1", w.name, f.overuse)
 				}
 			}
 		})
--- a/internal/allowance/ways_test.go
+++ b/internal/allowance/ways_test.go
@@ -62,7 +62,7 @@
 func (w *sharesAlgorithm) take(c Call) bool {
 	now := w.now()
 	w.own.add(c.Cost, now)
-	target := w.target(now)
+	target := w.targetShare(now)
 	// A share shrinks at once, and grows slowly beyond an equal share.
 	equal := 1 / float64(max(len(w.vms), 1))
 	w.share = min(target, max(w.share*math.Pow(1.35, now.Sub(w.at).Seconds()), equal))
@@ -75,7 +75,7 @@
 	return true
 }
 
-func (w *sharesAlgorithm) target(now time.Time) float64 {
+func (w *sharesAlgorithm) targetShare(now time.Time) float64 {
 	const floor = 1
 	responsive, sum := 1, w.own.value(now)+floor
 	for _, t := range w.others {
@@ -95,7 +95,7 @@
 }
 
 // ownerAlgorithm lets one VM, the first responsive one, grant units to the others. A request and its
-// grant take one round of reports each; a call that finds nothing granted does not wait.
+// grant take one round of reports each; a call that arrives when nothing is granted is refused.
 type ownerAlgorithm struct {
 	self     ids.VM
 	now      func() time.Time
@@ -105,13 +105,13 @@
 	level    float64 // level of the owner's bucket
 	at       time.Time
 	left     float64 // units granted and not yet used
-	asked    decayingSum
+	demand   decayingSum
 	grants   map[ids.VM]float64 // to be sent with the next report
 }
 
 type ownerReport struct {
-	asks   float64
-	grants map[ids.VM]float64
+	requested float64
+	grants    map[ids.VM]float64
 }
 
 func newOwnerAlgorithm(vm int, now func() time.Time) algorithm {
@@ -127,7 +127,7 @@
 	return w.self
 }
 
-func (w *ownerAlgorithm) live() float64 {
+func (w *ownerAlgorithm) responsiveFraction() float64 {
 	n := 1
 	for _, at := range w.lastSeen {
 		if w.now().Sub(at) < unresponsiveAfter {
@@ -139,7 +139,7 @@
 
 func (w *ownerAlgorithm) take(c Call) bool {
 	now := w.now()
-	w.asked.add(c.Cost, now)
+	w.demand.add(c.Cost, now)
 	if w.owner() == w.self {
 		w.fill()
 		if w.level <= 0 {
@@ -157,13 +157,13 @@
 
 func (w *ownerAlgorithm) fill() {
 	now := w.now()
-	part := w.live()
+	part := w.responsiveFraction()
 	w.level = min(w.level+w.total.Rate*part*now.Sub(w.at).Seconds(), w.total.Burst*part)
 	w.at = now
 }
 
 func (w *ownerAlgorithm) report() any {
-	msg := ownerReport{asks: max(rateOf(w.asked.value(w.now()))*directInterval.Seconds()-w.left, 0), grants: w.grants}
+	msg := ownerReport{requested: max(rateOf(w.demand.value(w.now()))*directInterval.Seconds()-w.left, 0), grants: w.grants}
 	w.grants = map[ids.VM]float64{}
 	return msg
 }
@@ -176,11 +176,11 @@
 		w.left = min(w.left+report.grants[w.self], w.total.Burst)
 		return
 	}
-	if w.owner() != w.self || report.asks <= 0 {
+	if w.owner() != w.self || report.requested <= 0 {
 		return
 	}
 	w.fill()
-	if grant := min(report.asks, w.level); grant > 0 {
+	if grant := min(report.requested, w.level); grant > 0 {
 		w.level -= grant
 		w.grants[from] += grant
 	}
