--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -11,13 +11,14 @@
 // # Algorithm
 //
 // By rendezvous hashing, all VMs that receive each other's messages agree on the few that send
-// to the target, those in its failure domain first. Each sender has an equal share of the rate
-// and a bucket of one request (Position, Limiter). No message precedes a request, and the rate
-// stays in bounds whatever is lost: VMs that reach only a part of the fleet use only that part
-// of the rate. VMs report limits, and the end of limits, to each other.
+// to the target; VMs in its failure domain come first. Each sender has an equal share of the rate
+// and a bucket of one request (Position, Limiter). A VM exchanges no messages before it sends a
+// request, and the rate stays in bounds whatever is lost: VMs that reach only a part of the fleet
+// use only that part of the rate. VMs report limits, and the end of limits, to each other.
 //
 // A VM that does not send to the target learns of the end of a limit from those that do. If no
-// VM has confirmed a limit for long, each VM has an equal share of it to probe the target.
+// VM has confirmed a limit for a while (staleTime), each VM has an equal share of it to probe the
+// target.
 package ratelimit
 
 import "time"
@@ -72,8 +73,9 @@
 }
 
 const (
-	// minSenders is the number of VMs of a whole fleet that send to a target with a low limit.
-	// It is more than one, since it takes seconds to detect that a sender is gone.
+	// minSenders is the number of VMs that send to a target with a low limit if all listed VMs
+	// reach each other. It is more than one, since it takes seconds to detect that a sender is
+	// gone.
 	minSenders = 2
 	// sendersPerRate is the number of additional senders for each request/s. The full buckets of
 	// all senders stay within what targets tolerate beyond the rate.
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -17,8 +17,9 @@
 	positionMaxAge = 200 * time.Millisecond
 	// reportEndFor is how long the end of a limit is reported to peers.
 	reportEndFor = 5 * time.Second
-	// maxTransit is how much later than the limit a peer must have seen its end: the ages in
-	// reports do not include the time that the message was in transit.
+	// maxTransit bounds the time that a report is in transit, which its age does not include. If a
+	// peer reports the end of a limit, the end counts only if the peer observed it more than
+	// maxTransit after the last confirmation of the limit.
 	maxTransit = 100 * time.Millisecond
 	// staleAfter is the time without any report or response after which a limit may have ended.
 	staleAfter = 10 * time.Second
@@ -34,13 +35,14 @@
 	Target      ids.Target
 	Incarnation ids.Incarnation
 	Limit       Limit         // not announced: it has ended
-	Age         time.Duration // since a response confirmed it
+	Age         time.Duration // since a response confirmed the limit or its end
 }
 
 // Limiter keeps the limits that targets announce, on one VM. It is safe for concurrent use.
 type Limiter struct {
-	// Position returns this VM's position among those that send to a target. If it is nil, this
-	// VM is the only one. Position and RecentRate must be set before the first use.
+	// Position returns this VM's position among those that may send to a target. If it is nil, this
+	// VM is the only one. Position and RecentRate must be set before the first use. They are called
+	// with the limiter's lock held and must not call its methods.
 	Position func(id ids.Target) Position
 	// RecentRate returns the approximate recent rate of requests of all VMs to a target, in
 	// requests/s. If it is nil, the rate is unknown.
@@ -75,8 +77,10 @@
 	creditAt   time.Time
 }
 
-// ObserveResponse records the limit that a response of incarnation inc announces, received now
-// for a request sent at sent. It reports whether the known limit has changed.
+// ObserveResponse records the limit that a target's response announces, or that it announces none.
+// The response was received now from incarnation inc, for a request sent at sent. ObserveResponse
+// ignores malformed limits and responses of earlier incarnations, and reports whether the known
+// limit has changed.
 func (l *Limiter) ObserveResponse(id ids.Target, inc ids.Incarnation, limit Limit, sent time.Time) (changed bool) {
 	if !limit.Announced && l.announced.Load() == 0 {
 		return false
@@ -100,7 +104,8 @@
 	return changed
 }
 
-// ApplyReport records the report of a peer. It reports whether the known limit has changed.
+// ApplyReport records the report of a peer, unless it is older than what is known. It reports
+// whether the known limit has changed.
 func (l *Limiter) ApplyReport(r Report) (changed bool) {
 	if !r.Limit.Announced && l.announced.Load() == 0 {
 		return false
@@ -149,8 +154,8 @@
 }
 
 // initialCredit returns a credit that spreads the first requests of all senders evenly, as the
-// rate spreads the later ones. If the target received more than its limit, the first requests
-// wait until countWindow has passed.
+// rate spreads the later ones. If the target received more than its limit, or the recent rate is
+// unknown, the first requests wait until countWindow has passed. The caller holds the lock.
 func (l *Limiter) initialCredit(id ids.Target, e *targetLimit) float64 {
 	if e.share == 0 {
 		return 0
@@ -232,7 +237,7 @@
 	return out
 }
 
-// Take counts a request to a target and reports whether it may be sent.
+// Take reports whether a request may be sent to a target now, and if so counts it.
 func (l *Limiter) Take(id ids.Target) bool {
 	if l.announced.Load() == 0 {
 		return true
@@ -264,7 +269,8 @@
 }
 
 // Wait returns the time until this VM may send its next request to a target, and the time from
-// that request to the one after it. known is false if only other VMs send to the target.
+// that request to the one after it; both are zero if the target announces no limit. known is false
+// if only other VMs send to the target.
 func (l *Limiter) Wait(id ids.Target) (wait, between time.Duration, known bool) {
 	now := l.now()
 	l.mu.Lock()
@@ -282,7 +288,8 @@
 }
 
 // Reports returns the limits, and ends of limits, to report to peers: those that this VM has from
-// the target itself. It also drops entries that are too old.
+// the target itself. It also drops limits that were last confirmed more than forgetAfter ago, and
+// ends of limits after reportEndFor.
 func (l *Limiter) Reports() []Report {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -44,22 +44,22 @@
 		t.Error("the first announcement of a limit is not reported as a change")
 	}
 	if n := o.takes(4 * time.Second); n < 7 || n > 10 {
-		t.Errorf("%d requests in 4 s at 2 requests/s", n)
+		t.Errorf("%d requests in 4 s at 2 requests/s, want 7 to 10", n)
 	}
 	o.observe(1, Limit{}, time.Minute) // sent before the response that announced the limit
 	if n := o.takes(2 * time.Second); n > 5 {
-		t.Errorf("a late response ended the limit: %d requests in 2 s", n)
+		t.Errorf("a late response ended the limit: %d requests in 2 s, want at most 5", n)
 	}
 	o.observe(1, Limit{Announced: true, Malformed: true}, 0)
 	if n := o.takes(2 * time.Second); n < 3 || n > 5 {
-		t.Errorf("a malformed limit changed the previous one: %d requests in 2 s", n)
+		t.Errorf("a malformed limit changed the previous one: %d requests in 2 s, want 3 to 5", n)
 	}
 	if !o.observe(1, Limit{}, 0) || o.takes(time.Second) != 100 {
 		t.Error("the end of the limit was ignored")
 	}
 	o.observe(1, PerSecond(2), time.Minute) // a slow response: it may be current, so it counts
 	if n := o.takes(time.Second); n > 3 {
-		t.Errorf("a limit announced by a slow response does not hold: %d requests in 1 s", n)
+		t.Errorf("a limit announced by a slow response does not hold: %d requests in 1 s, want at most 3", n)
 	}
 	o.observe(2, Limit{}, 0)
 	if o.takes(time.Second) != 100 {
@@ -77,10 +77,10 @@
 	o := newTestLimiter(8)
 	o.observe(1, PerSecond(2), 0)
 	if n := o.takes(countWindow - 2*tick); n != 0 {
-		t.Errorf("%d requests right after a target that received 8 requests/s announced 2", n)
+		t.Errorf("%d requests right after a target that received 8 requests/s announced 2, want none", n)
 	}
 	if n := o.takes(4 * time.Second); n < 7 {
-		t.Errorf("%d requests in the 4 s after that", n)
+		t.Errorf("%d requests in the 4 s after that, want at least 7", n)
 	}
 }
 
@@ -90,12 +90,12 @@
 	o := newTestLimiter(0)
 	o.observe(1, PerSecond(0), 0)
 	if n := o.takes(time.Minute); n < 5 || n > 8 {
-		t.Errorf("%d requests in a minute to a target with a limit of 0", n)
+		t.Errorf("%d requests in a minute to a target with a limit of 0, want 5 to 8", n)
 	}
 	for _, huge := range []float64{1e300, 2e6} {
 		o.observe(1, PerSecond(huge), 0)
 		if n := o.takes(time.Second); n != 100 {
-			t.Errorf("%d of 100 requests with a limit of %g", n, huge)
+			t.Errorf("%d of 100 requests with a limit of %g, want all", n, huge)
 		}
 	}
 }
@@ -142,10 +142,10 @@
 	o.Position = func(ids.Target) Position { return Position{Rank: 50, Live: 90, Listed: 90} }
 	o.observe(1, PerSecond(9), 0)
 	if n := o.takes(staleAfter - time.Second); n != 0 {
-		t.Errorf("%d requests of a VM that is not a sender", n)
+		t.Errorf("%d requests of a VM that is not a sender, want none", n)
 	}
 	if n := o.takes(30 * time.Second); n < 2 || n > 3 {
-		t.Errorf("%d requests in the 30 s after that; its share is 0.1 requests/s", n)
+		t.Errorf("%d requests in the 30 s after that, want 2 or 3: its share is 0.1 requests/s", n)
 	}
 }
 
--- a/internal/ratelimit/play_test.go
+++ b/internal/ratelimit/play_test.go
@@ -59,7 +59,7 @@
 	loss           float64       // fraction of messages lost
 	reportInterval time.Duration // between two reports of a VM
 	maxDelay       time.Duration // longest transit time of a message
-	// maxLatency is the longest time to the head of a response.
+	// maxLatency is the longest time from a request to the headers of its response.
 	maxLatency time.Duration
 }
 
@@ -83,7 +83,7 @@
 // result is the result of one simulation.
 type result struct {
 	worst    float64 // most requests in a window, as a fraction of what is tolerated
-	used     float64 // fraction of the limit that was used from steadyFrom on
+	used     float64 // fraction of the limit, or of demandAfter if lower, that was used from steadyFrom on
 	messages int
 }
 
@@ -188,11 +188,13 @@
 	}
 }
 
+// issueCalls issues the calls of one tick. It generates them at the higher of the two demands; a VM
+// omits those beyond the demand that applies to what it knows of the limit.
 func (x *simulation) issueCalls() {
 	for range draw.Poisson(x.rng, max(x.scenario.demandAfter, x.scenario.demandBefore)*tick.Seconds()) {
-		i, by := x.rng.IntN(x.scenario.vms), x.rng.Float64()*max(x.scenario.demandAfter, x.scenario.demandBefore)
+		i, sample := x.rng.IntN(x.scenario.vms), x.rng.Float64()*max(x.scenario.demandAfter, x.scenario.demandBefore)
 		w := x.vms[i]
-		if w == nil || !w.knowsLimit() && by > x.scenario.demandBefore || w.knowsLimit() && by > x.scenario.demandAfter {
+		if w == nil || !w.knowsLimit() && sample > x.scenario.demandBefore || w.knowsLimit() && sample > x.scenario.demandAfter {
 			continue
 		}
 		if w.take() {
@@ -205,10 +207,10 @@
 // respond schedules the target's response to a request of VM i.
 func (x *simulation) respond(i int, w algorithm) {
 	sent, incarnation := x.now(), x.incarnation[i]
-	head := x.randomDelay(x.scenario.maxLatency)
-	x.schedule(head/2, func() {
+	latency := x.randomDelay(x.scenario.maxLatency)
+	x.schedule(latency/2, func() {
 		limit := x.scenario.limit(x.at)
-		x.schedule(head/2, func() {
+		x.schedule(latency/2, func() {
 			if x.incarnation[i] != incarnation {
 				return
 			}
@@ -220,8 +222,9 @@
 	})
 }
 
-// worstWindow returns the most requests in any window, as a fraction of what is tolerated. It
-// omits requests sent before the target announced a limit: 8 requests/s alone exceed a low one.
+// worstWindow returns the most requests of informed VMs in any window, as a fraction of what is
+// tolerated. It omits requests sent before the target announced a limit: 8 requests/s alone exceed
+// a low one.
 func (x *simulation) worstWindow() float64 {
 	most := 0.0
 	for end := announcedAt + bindsAfter; end < scenarioLength; end += tick {
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -149,6 +149,7 @@
 	w.updateLimit()
 }
 
+// constantFrom returns a limit of rate requests/s that is announced from announcedAt on.
 func constantFrom(rate float64) func(time.Duration) Limit {
 	return func(t time.Duration) Limit {
 		if t < announcedAt {
@@ -169,7 +170,7 @@
 	return func(t time.Duration) bool { return t >= from && t < till }
 }
 
-// partitionInto partitions the fleet into parts.
+// partitionInto partitions the fleet into parts, between from and till.
 func partitionInto(parts int, from, till time.Duration) func(int, time.Duration) int {
 	partitioned := between(from, till)
 	return func(vm int, t time.Duration) int {
@@ -250,14 +251,14 @@
 				f := simulate(p, seed, newFewSenders(p.demandBefore))
 				t.Logf("seed %d: worst window %.2f of what is tolerated, %.2f of the limit used", seed, f.worst, f.used)
 				if f.worst > 1 {
-					t.Errorf("seed %d: the target got %.2f times what it tolerates", seed, f.worst)
+					t.Errorf("seed %d: the target got %.2f times what it tolerates, want at most 1", seed, f.worst)
 				}
 				minUsed := 0.8
 				if name == varyingLimit {
 					minUsed = 0.6
 				}
 				if whole := p.partition == nil && p.down == nil && p.limit(steadyFrom).PerSecond > 0; whole && f.used < minUsed {
-					t.Errorf("seed %d: only %.2f of the limit was used", seed, f.used)
+					t.Errorf("seed %d: only %.2f of the limit was used, want at least 0.8, or 0.6 if the limit varies", seed, f.used)
 				}
 			}
 		})
@@ -286,7 +287,7 @@
 				f := simulate(p, 0, w.build(p.demandBefore))
 				t.Logf("%-28s worst window %5.2f of what is tolerated, used %.2f", w.name, f.worst, f.used)
 				if w.name == algorithms[0].name && f.worst > 1 {
-					t.Errorf("%s: worst window %.2f of what is tolerated", w.name, f.worst)
+					t.Errorf("%s: worst window %.2f of what is tolerated, want at most 1", w.name, f.worst)
 				}
 			}
 		})
