--- a/internal/claims/abandon_test.go
+++ b/internal/claims/abandon_test.go
@@ -42,7 +42,7 @@
 		second := m.start(1, "a", outcome.Ran)
 		m.store.Drain()
 		if !second.ran || m.runs["a"] != 1 {
-			t.Fatalf("second try got %v, %d runs", second.reported, m.runs["a"])
+			t.Fatalf("second try got %v after %d runs of the call, want ran and 1 run", second.reported, m.runs["a"])
 		}
 	})
 }
@@ -51,7 +51,8 @@
 const resolveCalls = 3
 
 // TestLateUpdateOfAbandonedClaim does the same for a claim on a key whose previous
-// attempt had not run: its late update must not replace the released record.
+// attempt had not run: a late update by the abandoned attempt must not replace the
+// released record.
 func TestLateUpdateOfAbandonedClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &model{store: storetest.New(), runs: map[string]int{}}
@@ -72,7 +73,7 @@
 		third := m.start(2, "a", outcome.Ran)
 		m.store.Drain()
 		if !third.ran || m.runs["a"] != 1 {
-			t.Fatalf("third try got %v, %d runs", third.reported, m.runs["a"])
+			t.Fatalf("third try got %v after %d runs of the call, want ran and 1 run", third.reported, m.runs["a"])
 		}
 	})
 }
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims runs a non-idempotent call at most once, across the caller's
-// retries through any VM, crashes, pauses and lost store responses.
+// Package claims ensures that a non-idempotent call runs at most once, across the
+// caller's retries through any VM, crashes, pauses and lost store responses.
 //
 // # Protocol
 //
@@ -10,8 +10,8 @@
 //     if there is none, a conditional update if the last attempt is known not to
 //     have run (StateReleased).
 //  2. Only the goroutine that holds the attempt may dispatch it, once.
-//  3. After the attempt the holder settles the claim: Ran (with the response if
-//     the template keeps it), Released (it did not run) or Unknown.
+//  3. After the attempt the holder settles the claim: StateRan (with the response
+//     body if the template keeps it), StateReleased (it did not run) or StateUnknown.
 //
 // # Invariants
 //
@@ -19,8 +19,8 @@
 //     and settlement leaves the key claimed for good: duplicates of the call get
 //     the outcome "unknown" and never run.
 //   - Only the VM that wrote a claim moves it out of StateClaimed.
-//   - A VM that could not determine whether its claim was written refuses with
-//     not-run, which is correct since it never dispatches that attempt. It later
+//   - A VM that could not determine whether its claim was written refuses the call
+//     with not-run, which is correct since it never dispatches that attempt. It later
 //     settles the abandoned attempt as released, in a way that also defeats a write
 //     that is still in transit: see Settler.abandon.
 //
@@ -49,10 +49,10 @@
 type State string
 
 const (
-	StateClaimed  State = "claimed"  // it may run or have run
-	StateReleased State = "released" // it did not run and never will
+	StateClaimed  State = "claimed"  // the attempt may run or have run
+	StateReleased State = "released" // the attempt did not run and never will
 	StateRan      State = "ran"
-	StateUnknown  State = "unknown" // it may have run, and no VM is working on it
+	StateUnknown  State = "unknown" // the attempt may have run, and no VM is working on it
 )
 
 // Response is the recorded response of a service call.
@@ -69,18 +69,18 @@
 	BodyHash string      `json:"body_hash"` // of method, path and body, by HashCall
 	State    State       `json:"state"`
 	VM       ids.VM      `json:"vm"`
-	Deadline time.Time   `json:"deadline"` // of the attempt, by the clock of VM
-	KeyTime  time.Time   `json:"key_time"` // of a UUIDv7 key; zero: the claim is kept for good
-	Response *Response   `json:"answer,omitempty"`
+	Deadline time.Time   `json:"deadline"`         // of the attempt, by the clock of VM
+	KeyTime  time.Time   `json:"key_time"`         // of a UUIDv7 key; zero: the claim is kept for good
+	Response *Response   `json:"answer,omitempty"` // set if State is StateRan
 }
 
 // Call identifies the call of a caller.
 type Call struct {
 	Workspace ids.Workspace
-	Key       string // idempotency key
-	BodyHash  string // by HashCall
-	Deadline  time.Time
-	KeyTime   time.Time
+	Key       string    // idempotency key
+	BodyHash  string    // by HashCall
+	Deadline  time.Time // of the attempt; until then a duplicate is refused as in progress
+	KeyTime   time.Time // by KeyTime of Key
 }
 
 // Held is a held claim: the right to dispatch one attempt once.
@@ -121,7 +121,7 @@
 	return Prefix + string(ws) + "/" + hex.EncodeToString(sum[:16])
 }
 
-// HashCall returns the value for Call.BodyHash.
+// HashCall returns the value for Call.BodyHash: a hash of the call's method, path and body.
 func HashCall(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
@@ -151,7 +151,8 @@
 	return l.held(key, rec, obj, err)
 }
 
-// claimExisting decides by the stored claim of an earlier attempt.
+// claimExisting claims the call, or refuses it, depending on obj, the stored claim of an
+// earlier attempt.
 func (l *Ledger) claimExisting(ctx context.Context, key string, rec Record, obj objectapi.Object) (*Held, error) {
 	var old Record
 	if err := json.Unmarshal(obj.Value, &old); err != nil {
@@ -182,7 +183,8 @@
 	return outcome.New(outcome.Unknown, outcome.CodeInProgress, "claim", "", "a call with this idempotency key is running").After(retryInProgress)
 }
 
-// held turns the result of a claiming write into a Held, or into a not-run error if it failed.
+// held turns the result of a claiming write into a Held, or into a not-run error if the
+// write failed. If the write was ambiguous, held has the settler release the attempt.
 func (l *Ledger) held(key string, rec Record, obj objectapi.Object, err error) (*Held, error) {
 	if err == nil {
 		return &Held{Attempt: rec.Attempt, key: key, record: rec, version: obj.Version}, nil
@@ -194,10 +196,11 @@
 		"the call can't be recorded, so it was not run").After(retryStoreDown)
 }
 
-// Settle records how the attempt ended. It returns no error: the settler retries
-// a write that fails now, and until then the claim stays claimed, which is safe.
-func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, a *Response) {
-	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), response: a}
+// Settle records how the attempt ended, with its response if it ran. It returns no
+// error: if the write fails, the settler retries it, and until it succeeds the claim
+// stays in StateClaimed, which is safe.
+func (l *Ledger) Settle(ctx context.Context, h *Held, o outcome.Outcome, response *Response) {
+	s := settlement{key: h.key, record: h.record, version: h.version, state: stateOf(o), response: response}
 	if err := l.settler.settle(ctx, s); err != nil {
 		l.settler.put(s)
 	}
--- a/internal/claims/expiry.go
+++ b/internal/claims/expiry.go
@@ -42,8 +42,9 @@
 }
 
 // Sweep deletes at most limit claims under prefix that no call can refer to any
-// more, and returns how many it deleted. Several VMs may sweep at once: each delete
-// is conditional on the version that was read.
+// more, and returns how many it deleted. It stops at the first error of the store.
+// Several VMs may sweep at once: each delete is conditional on the version that was
+// read.
 func Sweep(ctx context.Context, s objectapi.Store, prefix string, now time.Time, retention time.Duration, limit int) (int, error) {
 	objects, _, err := s.List(ctx, prefix)
 	if err != nil {
--- a/internal/claims/fuzz_test.go
+++ b/internal/claims/fuzz_test.go
@@ -153,7 +153,7 @@
 	defer m.mu.Unlock()
 	for key, n := range m.runs {
 		if n > 1 {
-			rt.Fatalf("call %s ran %d times", key, n)
+			rt.Fatalf("call %s ran %d times, want at most once", key, n)
 		}
 	}
 	for i, x := range m.tries {
@@ -167,12 +167,12 @@
 }
 
 // finish checks, with a healthy store and all claims settled, that a key whose call
-// never ran can still be used unless a VM crashed with it: a refused call is not lost.
+// never ran can still be used unless a VM crashed during a try: a refused call is not lost.
 func (m *model) finish(rt *rapid.T) {
-	open := map[string]bool{}
+	crashed := map[string]bool{}
 	for _, x := range m.tries {
 		if x.crashed.Load() {
-			open[x.key] = true
+			crashed[x.key] = true
 		}
 	}
 	for _, key := range []string{"a", "b"} {
@@ -180,8 +180,8 @@
 		last := m.start(9, key, outcome.Ran)
 		m.store.Drain()
 		m.check(rt)
-		if before == 0 && !open[key] && !last.ran {
-			rt.Fatalf("key %s never ran and no try of it is open, but a new try got %v", key, last.reported)
+		if before == 0 && !crashed[key] && !last.ran {
+			rt.Fatalf("the call with key %s never ran and no VM crashed during a try, but a new try got %v, want ran", key, last.reported)
 		}
 	}
 }
--- a/internal/claims/settler.go
+++ b/internal/claims/settler.go
@@ -24,12 +24,13 @@
 }
 
 // Settler writes the final states of claims and retries during an outage of the
-// store. If the VM crashes, its pending settlements are lost: their claims stay
-// claimed, and duplicates of the calls get the outcome "unknown".
+// store. If the VM crashes, its pending settlements are lost: their claims stay in
+// StateClaimed, and duplicates of the calls get the outcome "unknown". A Settler is safe
+// for concurrent use.
 type Settler struct {
 	store   objectapi.Store
 	ring    *ring.Ring[settlement]
-	writing atomic.Int64 // taken off the ring and not yet written or put back
+	writing atomic.Int64 // settlements taken off the ring and not yet written or put back
 }
 
 // settlerQueue is the number of settlements that may wait for the store.
@@ -41,7 +42,8 @@
 	settleBackoffMax = 5 * time.Second
 )
 
-// NewSettler returns a settler. The caller must call Run once.
+// NewSettler returns a settler. Failed and abandoned settlements are written only while
+// Run runs; the caller must call it once.
 func NewSettler(store objectapi.Store) *Settler {
 	return &Settler{store: store, ring: ring.New[settlement](settlerQueue)}
 }
@@ -50,7 +52,8 @@
 // being written, which a graceful shutdown must not interrupt.
 func (s *Settler) Pending() int { return s.ring.Len() + int(s.writing.Load()) }
 
-// Dropped returns the number of settlements lost because the queue was full.
+// Dropped returns the number of settlements lost because the queue was full. Their claims
+// stay as they are stored.
 func (s *Settler) Dropped() uint64 { return s.ring.Dropped() }
 
 func (s *Settler) put(x settlement) { s.ring.TryPut(x) }
--- a/internal/claims/settler_test.go
+++ b/internal/claims/settler_test.go
@@ -23,7 +23,7 @@
 		}
 		store.Drain() // nothing is stored at that key: the claim is gone, so its state no longer matters
 		if s.Pending() != 0 {
-			t.Errorf("%d pending after the write", s.Pending())
+			t.Errorf("%d pending after the write, want none", s.Pending())
 		}
 		cancel()
 		synctest.Wait()
