--- a/internal/allowance/allowance.go
+++ b/internal/allowance/allowance.go
@@ -4,9 +4,10 @@
 // # Load
 //
 // A workspace suddenly sends several times its usual load, to all VMs at once, while the load of
-// the other workspaces stays as it was. Its calls cost thousands of tokens each and the longest tenth several
-// times that, so an even split of the limit over 90 VMs leaves each VM less than one prompt;
-// and within one round of reports between VMs the workspace sends as much as its whole burst.
+// the other workspaces stays as it was. Its calls cost thousands of tokens each and the longest
+// tenth several times that, so an even split of the limit over 90 VMs leaves each VM less than one
+// prompt; and within one round of reports between VMs the workspace sends as much as its whole
+// burst.
 //
 // # Algorithm
 //
--- a/internal/allowance/limiter.go
+++ b/internal/allowance/limiter.go
@@ -113,8 +113,8 @@
 }
 
 // Take admits and counts a call, or refuses it. Until this VM has read the list of VMs it
-// refuses every call of a limited workspace: without that, four VMs that were all killed and
-// restarted each assumed for some ms that they were the only one, and used the whole burst.
+// refuses every call of a limited workspace. Without that, each of four VMs that were all killed
+// and restarted assumed for some ms that it was the only one, and used the whole burst.
 func (l *Limiter) Take(c Call) Decision {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/allowance/peers.go
+++ b/internal/allowance/peers.go
@@ -86,9 +86,9 @@
 	return true
 }
 
-// RecordUse replaces all uses that a VM has reported before by uses. It ignores the report if the
-// VM is not listed, or if the report is not newer, by incarnation and then seq, than the last one.
-// Malformed elements of uses are ignored.
+// RecordUse records a VM's report; uses replaces all uses that the VM reported before. RecordUse
+// ignores the report if the VM is not listed, or if the report is not newer, by incarnation and
+// then seq, than the last one. It also ignores malformed elements of uses.
 func (l *Limiter) RecordUse(vm ids.VM, incarnation int64, seq uint64, uses []Use) {
 	if l == nil {
 		return
@@ -160,7 +160,7 @@
 }
 
 // RecordFleetUse records the total use of all other VMs, in place of the reports of single VMs.
-// Malformed elements of uses are ignored.
+// It ignores malformed elements of uses.
 func (l *Limiter) RecordFleetUse(uses []Use) {
 	if l == nil {
 		return
