--- a/internal/lease/fuzz_test.go
+++ b/internal/lease/fuzz_test.go
@@ -31,7 +31,7 @@
 // the result of every store call. Actions take up to WaitOut.
 type model struct {
 	store   *storetest.Store
-	weather storetest.FaultProfile
+	faults  storetest.FaultProfile
 	leases  []*Lease
 	busy    []atomic.Bool
 	actions []action
@@ -59,11 +59,11 @@
 	m.actions = append(m.actions, action{fence: token.Fence, began: now, end: now.Add(takes)})
 }
 
-// TestOneHolder checks that actions under different fencing numbers never overlap, and
-// that fencing numbers increase with time.
+// TestOneHolder checks that actions under different fencing tokens never overlap, and
+// that fencing tokens increase with time.
 func TestOneHolder(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
-		m := &model{store: storetest.New(), weather: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
+		m := &model{store: storetest.New(), faults: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
 		for i := range vms {
 			m.leases = append(m.leases, New(m.store.ForActor(i), "orders", ids.VM(fmt.Sprint("vm", i)), DefaultTuning, nil))
 		}
@@ -91,7 +91,7 @@
 		}
 	default:
 		if w := m.store.Waiting(); len(w) > 0 {
-			m.store.Resolve(w[rapid.IntRange(0, len(w)-1).Draw(rt, "call")], m.weather.Draw(rt))
+			m.store.Resolve(w[rapid.IntRange(0, len(w)-1).Draw(rt, "call")], m.faults.Draw(rt))
 		}
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,17 +1,17 @@
 // Package lease elects one VM at a time to act for its failure domain, by a record with
-// a fencing number in the platform's object API.
+// a fencing token in the platform's object API.
 //
 // # Protocol
 //
-// The record names a holder, a fencing number and a duration. VMs never compare their
+// The record names a holder, a fencing token and a duration. VMs never compare their
 // wall clocks:
 //
 //   - The holder counts the duration from before it sent the write that acquired or
-//     renewed the lease, on its own clock, which counts suspensions, and stops acting
-//     Margin before the end.
+//     renewed the lease, on its own clock, which also runs while the VM is suspended, and
+//     stops acting Margin before the end.
 //   - Another VM takes over only after it has seen the record unchanged for the duration
 //     plus WaitOut on its own clock. It does so by a write conditional on that record,
-//     with the next fencing number.
+//     with the next fencing token.
 //
 // # Notices
 //
@@ -27,7 +27,7 @@
 // A holder that is paused between its check of the lease and its action acts late.
 // WaitOut limits the damage: it must be at least as long as the longest action, so that
 // an action started in time ends before a successor acts. Targets that check fencing
-// numbers refuse an action started late, after a pause longer than Margin. Targets that
+// tokens refuse an action started late, after a pause longer than Margin. Targets that
 // ignore them may still carry it out; therefore an action must state the desired state
 // and not a step, and the successor must read back the actual state.
 //
@@ -56,21 +56,22 @@
 type Record struct {
 	Holder   ids.VM        `json:"holder"`
 	Instance string        `json:"instance"` // incarnation of the holder's process
-	Fence    uint64        `json:"fence"`    // increases with every new holder
-	Renewal  uint64        `json:"renewal"`
+	Fence    uint64        `json:"fence"`    // fencing token; increases with every new holder
+	Renewal  uint64        `json:"renewal"`  // number of renewals under this fencing token
 	Duration time.Duration `json:"duration_ns"`
 	// Released is set if the holder gave the lease up before its end.
 	Released bool `json:"released,omitempty"`
 }
 
-// Tuning holds the durations of the lease protocol.
+// Tuning holds the durations of the lease protocol. New uses them as they are; DefaultTuning
+// holds the defaults.
 type Tuning struct {
-	// Duration is how long a lease lasts without renewal. Default 10s.
+	// Duration is how long a lease lasts without renewal.
 	Duration time.Duration
-	// Margin is how long before the lease's end the holder stops acting. Default 2s.
+	// Margin is how long before the lease's end the holder stops acting.
 	Margin time.Duration
 	// WaitOut is how long after the lease's end a successor waits. It must be at least as
-	// long as the longest action. Default 10s.
+	// long as the longest action.
 	WaitOut time.Duration
 	// HandoverDelay is the minimum time between the end of a holder's last action, as
 	// reported by its notice, and a successor's first action. Zero disables notices.
@@ -93,20 +94,21 @@
 	now      func() time.Time
 
 	mu       sync.Mutex
-	held     Record
-	version  objectapi.Revision
-	inSync   bool      // the stored record is held, at version
-	until    time.Time // zero if not held
-	released bool      // this VM stops and never acquires the lease again
-	seen     objectapi.Revision
-	seenAt   time.Time // when the record was first seen at version seen
+	held     Record             // last one that this VM wrote; empty once another VM holds the lease
+	version  objectapi.Revision // of held in the store
+	inSync   bool               // the stored record is known to equal held
+	until    time.Time          // when this VM stops acting; zero if it has not acquired the lease, or lost or released it
+	released bool               // this VM has released the lease and never acquires it again
+	seen     objectapi.Revision // version of another holder's record as last read
+	seenAt   time.Time          // when the record was first seen at version seen
 	seenRec  Record
-	duration time.Duration
-	notice   Notice
-	idleAt   time.Time // when the last action of the notice's sender had ended
+	duration time.Duration // of seenRec; Margin if the holder has released the lease
+	notice   Notice        // latest notice of a peer
+	idleAt   time.Time     // when the last action of the notice's sender had ended
 }
 
-// New returns a lease that is not held. A nil now means clock.Now.
+// New returns a lease that this VM does not hold. VMs compete for the lease with the same name.
+// now returns the current time; nil means clock.Now.
 func New(store objectapi.Store, name string, vm ids.VM, t Tuning, now func() time.Time) *Lease {
 	if now == nil {
 		now = clock.Now
@@ -116,7 +118,7 @@
 
 // Token is the right to act until a point in time.
 type Token struct {
-	Fence uint64
+	Fence uint64    // fencing token, to be sent with each action
 	Until time.Time // by the clock of the VM that holds it
 }
 
@@ -130,9 +132,9 @@
 	return Token{Fence: l.held.Fence, Until: l.until}, true
 }
 
-// Try acquires, renews or watches the lease. The caller should call it a few times per
-// lease duration. An error comes from the store; a lease that is not renewed expires by
-// itself.
+// Try acquires, renews or watches the lease; Held returns the result. The caller should call
+// it a few times per lease duration. Try returns an error if the store fails or the record can't
+// be decoded; a lease that is not renewed expires by itself.
 func (l *Lease) Try(ctx context.Context) error {
 	if l.isReleased() {
 		return nil
@@ -208,13 +210,14 @@
 	defer l.mu.Unlock()
 	if l.seen != v {
 		l.seen, l.seenAt, l.seenRec, l.duration = v, l.now(), rec, rec.Duration
-		return l.noticed() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
+		return l.noticeApplies() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
 	}
-	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticed() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
+	return began.Sub(l.seenAt) > l.duration+l.tuning.WaitOut || l.noticeApplies() && began.Sub(l.idleAt) > l.tuning.HandoverDelay
 }
 
 // Takeover returns the time until this VM may take the lease over if the holder does not
-// renew it; false if this VM knows of no record of another VM.
+// renew it. It returns false if this VM has released the lease, was the last to hold it as
+// far as it knows, or has not seen a record of another VM.
 func (l *Lease) Takeover() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,7 +225,7 @@
 		return 0, false
 	}
 	due := l.seenAt.Add(l.duration + l.tuning.WaitOut)
-	if early := l.idleAt.Add(l.tuning.HandoverDelay); l.noticed() && early.Before(due) {
+	if early := l.idleAt.Add(l.tuning.HandoverDelay); l.noticeApplies() && early.Before(due) {
 		due = early
 	}
 	return max(due.Sub(l.now()), 0), true
@@ -270,7 +273,8 @@
 }
 
 // Release gives the lease up for good, so that a successor waits only for Margin and
-// WaitOut. This VM never acquires the lease again.
+// WaitOut. This VM never acquires the lease again. If Release returns an error, the record may
+// be unchanged, and the successor waits until the lease has expired.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	rec, version, held := l.held, l.version, !l.until.IsZero()
--- a/internal/lease/notice.go
+++ b/internal/lease/notice.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Notice states that a holder no longer acts under one state of the lease's record.
+// Notice states that a holder no longer acts under one state of the lease's record, which
+// Instance, Fence and Renewal identify.
 type Notice struct {
-	Instance string // of the holder, as in the record
+	Instance string
 	Fence    uint64
 	Renewal  uint64
 	IdleFor  time.Duration // time since the holder's last action ended
@@ -38,9 +39,9 @@
 	return isNew
 }
 
-// noticed reports whether the notice is about the record as last seen. The caller holds
+// noticeApplies reports whether the notice is about the record as last seen. The caller holds
 // the lock.
-func (l *Lease) noticed() bool {
+func (l *Lease) noticeApplies() bool {
 	n, r := &l.notice, &l.seenRec
 	return l.tuning.HandoverDelay > 0 && n.Instance != "" && n.Instance == r.Instance && n.Fence == r.Fence && n.Renewal == r.Renewal
 }
--- a/internal/lease/notice_test.go
+++ b/internal/lease/notice_test.go
@@ -21,10 +21,10 @@
 
 // TestOneHolderWithNotices is TestOneHolder with holders that send notices when they have
 // stopped. Notices arrive at once, late, twice or never. Actions under different fencing
-// numbers must be at least HandoverDelay apart.
+// tokens must be at least HandoverDelay apart.
 func TestOneHolderWithNotices(t *testing.T) {
 	storetest.Check(t, func(rt *rapid.T) {
-		m := &model{store: storetest.New(), weather: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
+		m := &model{store: storetest.New(), faults: storetest.DrawFaultProfile(rt), busy: make([]atomic.Bool, vms)}
 		for i := range vms {
 			m.leases = append(m.leases, New(m.store.ForActor(i), "orders", ids.VM(fmt.Sprint("vm", i)), noticeTuning, nil))
 		}
@@ -78,7 +78,7 @@
 		clock := func() time.Time { return now }
 		store := objectapi.NewMemory()
 		a, b := New(store, "orders", "a", noticeTuning, clock), New(store, "orders", "b", noticeTuning, clock)
-		took := func(l *Lease) bool {
+		acquires := func(l *Lease) bool {
 			t.Helper()
 			if err := l.Try(context.Background()); err != nil {
 				t.Fatal(err)
@@ -86,11 +86,11 @@
 			_, held := l.Held()
 			return held
 		}
-		if !took(a) || took(b) {
-			t.Fatal("a holds the lease from the start")
+		if !acquires(a) || acquires(b) {
+			t.Fatal("want a, and not b, to acquire the free lease")
 		}
 		began := now
-		for now.Sub(began) < time.Minute && !took(b) {
+		for now.Sub(began) < time.Minute && !acquires(b) {
 			now = now.Add(100 * time.Millisecond)
 			if n, lapsed := a.Lapsed(); lapsed && noticed {
 				n.IdleFor = now.Sub(began) // a has not acted at all
@@ -107,7 +107,7 @@
 		if n, lapsed := a.Lapsed(); noticed && !lapsed {
 			t.Errorf("a reports no lapsed lease: %+v", n)
 		}
-		if took(a) {
+		if acquires(a) {
 			t.Error("a took the lease back from b at once")
 		}
 		if _, lapsed := a.Lapsed(); lapsed {
--- a/internal/lease/release_test.go
+++ b/internal/lease/release_test.go
@@ -37,11 +37,11 @@
 	try(b) // reads the released record
 	now = now.Add(tuning.WaitOut + 100*time.Millisecond)
 	if try(b) {
-		t.Fatal("the successor did not wait for the margin")
+		t.Fatal("the successor did not wait for Margin")
 	}
 	now = now.Add(tuning.Margin)
 	if !try(b) {
-		t.Fatal("the successor waits longer than margin and WaitOut")
+		t.Fatal("the successor waits longer than Margin and WaitOut")
 	}
 }
 
--- a/internal/lease/slow_test.go
+++ b/internal/lease/slow_test.go
@@ -47,6 +47,6 @@
 		}
 	}
 	if gap := now.Sub(token.Until); gap < handover {
-		t.Errorf("b holds the lease %v after a stops, want %v", gap, handover)
+		t.Errorf("b holds the lease %v after a stops, want at least %v", gap, handover)
 	}
 }
