--- a/internal/orders/orders.go
+++ b/internal/orders/orders.go
@@ -3,7 +3,7 @@
 //
 // An operator records an intent by a conditional update. In each failure domain the VM
 // that holds the lease compares the intents with the state that engines report and
-// sends orders, each with the lease's fencing number. An order states the desired state
+// sends orders, each with the lease's fencing token. An order states the desired state
 // and not a step, so a repeated or late order can only set the state that its sender last
 // read as desired; the next lease holder reads the engine's state and corrects it.
 //
--- a/internal/orders/plan_test.go
+++ b/internal/orders/plan_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// oneIn returns a limit by share alone.
-func oneIn(share int) func(ids.Model) MaxUnavailable {
-	return func(ids.Model) MaxUnavailable { return MaxUnavailable{OneIn: share} }
+// oneIn returns a limit of one in n engines.
+func oneIn(n int) func(ids.Model) MaxUnavailable {
+	return func(ids.Model) MaxUnavailable { return MaxUnavailable{OneIn: n} }
 }
 
 // TestPlanWithEnginesDown checks how many slots live engines get when others are down.
--- a/internal/orders/reconcile.go
+++ b/internal/orders/reconcile.go
@@ -40,7 +40,8 @@
 	DesiredStates(ctx context.Context) (map[ids.Target]DesiredState, error)
 }
 
-// Sender sends an order. Send returns nil once the engine has carried it out.
+// Sender sends an order. Send returns nil once the engine has carried it out. Implementations
+// must be safe for concurrent use.
 type Sender interface {
 	Send(ctx context.Context, o Order, token lease.Token) error
 }
@@ -80,9 +81,9 @@
 	Lease   *lease.Lease
 	Engines Engines
 	Events  *timeline.Log
-	// LoadLimiter limits reads from the weight store for the whole failure domain, since
-	// only the lease holder orders loads. A new holder starts with an empty bucket. Nil
-	// means no limit.
+	// LoadLimiter limits loads from the weight store. Only the lease holder orders loads, so
+	// its limiter applies to the whole failure domain. Each VM has a limiter of its own, which
+	// also refills while the VM does not hold the lease. Nil means no limit.
 	LoadLimiter *rate.Limiter
 
 	// MaxUnavailable returns how many engines of a model may be out of service, given all
@@ -95,7 +96,7 @@
 }
 
 // NewReconciler returns a reconciler of the intents in s that orders at most
-// loadsPerMinute loads of weights.
+// loadsPerMinute loads of weights. Its rate limiter starts without tokens.
 func NewReconciler(s objectapi.Store, l *lease.Lease, e Engines, log *timeline.Log, loadsPerMinute float64) *Reconciler {
 	limiter := rate.NewLimiter(rate.Limit(loadsPerMinute/60), max(int(loadsPerMinute/60), 1))
 	limiter.AllowN(clock.Now(), limiter.Burst())
@@ -106,7 +107,8 @@
 }
 
 // Reconcile compares desired and reported states once and starts the orders that are due.
-// It does not wait for them; see Wait.
+// It does not wait for them; see Wait. Cancelling ctx cancels them. Reconcile does nothing
+// unless this VM holds the lease, and returns an error if the desired states can't be read.
 func (r *Reconciler) Reconcile(ctx context.Context) error {
 	if _, ok := r.Lease.Held(); !ok {
 		return nil
@@ -201,7 +203,7 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
-		return eris.New("order refused: the target has seen a newer fencing number")
+		return eris.New("order refused: the target has seen a newer fencing token")
 	default:
 		return eris.Errorf("order refused with status %d", resp.StatusCode)
 	}
