--- a/internal/rollout/duration.go
+++ b/internal/rollout/duration.go
@@ -7,14 +7,14 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// orderDuration estimates how long an engine occupies a slot until it has its weights,
-// including failed orders. Orders in progress count as soon as they take longer than the
+// orderDuration estimates how long an engine occupies a slot until it has its weights; the time
+// of failed orders counts, too. Orders in progress count as soon as they take longer than the
 // mean. Safe for concurrent use.
 type orderDuration struct {
 	mu    sync.Mutex
-	spent time.Duration
-	tries float64
-	done  float64
+	spent time.Duration            // total time of the recent orders that have ended
+	tries float64                  // number of these orders
+	done  float64                  // number of these orders that succeeded
 	since map[ids.Target]time.Time // start of each order in progress
 }
 
--- a/internal/rollout/rest_test.go
+++ b/internal/rollout/rest_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRestDuringRollout lets the last of few engines ask for a rest shortly before the others
-// get their orders. Except for the time of one drain, during which a rest may begin, at least
+// TestRestDuringRollout lets one of a few engines ask for a rest, that is, ask not to be sent
+// requests for some time, shortly before the others get their orders. Except for the time of one drain, during which a rest may begin, at least
 // one engine must accept requests.
 //
 // The test guards against this failure: two of three engines were drained for their orders when
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,4 +1,5 @@
-// Package rollout updates model replicas to the weights that operators want.
+// Package rollout updates model replicas to the weights that operators want. A replica's role is
+// platform.RoleEngine, so the code also calls replicas engines.
 //
 // One VM acts at a time, under a lease (package lease); package orders decides which
 // replicas get orders, a fraction of each model's replicas at a time. The VM sends an order
@@ -52,10 +53,10 @@
 	Incarnation ids.Incarnation // as listed when the update began
 	Addr        string
 	Model       ids.Model
-	Weights     ids.WeightsVersion
-	Holder      ids.VM
-	Fence       uint64
-	Expected    uint64 // State.Orders as last read
+	Weights     ids.WeightsVersion // to load
+	Holder      ids.VM             // VM that holds the lease and sends the order
+	Fence       uint64             // fencing token of the lease
+	Expected    uint64             // State.Orders as last read
 	Method      Method
 }
 
@@ -77,29 +78,32 @@
 func (m Method) String() string { return [...]string{"finish", "cut-off", "keep-on"}[m] }
 
 // ErrGone means that another incarnation responds at a replica's address: the replica has
-// ended and carries out no orders any more.
+// ended and no longer carries out orders.
 var ErrGone = errors.New("the replica has ended")
 
 // ErrRefused means that a replica will not carry out an order, however often it is sent.
 var ErrRefused = errors.New("the replica refuses the order")
 
-// EngineClient calls model replicas.
+// EngineClient calls model replicas. Implementations must be safe for concurrent use.
 type EngineClient interface {
+	// Read returns a replica's state. It returns ErrGone if another incarnation responds at addr.
 	Read(ctx context.Context, id ids.Target, addr string) (State, error)
 	// Order sends a command. After any error but ErrGone and ErrRefused the replica may or
 	// may not carry it out.
 	Order(ctx context.Context, c Command) error
 }
 
-// Replicas is the list of known replicas.
+// Replicas is the list of known replicas. Implementations must be safe for concurrent use.
 type Replicas interface {
 	// Records returns all replicas. Callers must not modify the result. The cost may be
 	// linear in the number of replicas.
 	Records() []platform.Record
 	// Deployed returns the models and versions of weights of the replicas.
 	Deployed() []platform.Deployed
+	// SetWeights records the weights of a replica as reported by a source other than its entry;
+	// from names that source.
 	SetWeights(id ids.Target, w ids.WeightsVersion, from string)
-	// Restarted records the current incarnation of a replica.
+	// Restarted records the current incarnation of a replica as reported by the source from.
 	Restarted(id ids.Target, inc ids.Incarnation, from string)
 }
 
@@ -109,7 +113,8 @@
 	StateOf(id ids.Target) routing.State
 	// Unresponsive reports whether a replica does not respond, as far as this VM and its peers know.
 	Unresponsive(id ids.Target) bool
-	// Declines reports whether a replica has asked not to be sent requests for now.
+	// Declines reports whether a replica has asked for a rest, that is, not to be sent requests
+	// for some time, or is leaving.
 	Declines(id ids.Target) bool
 	// WorkOf returns a replica's load, and how long a new request would wait there.
 	WorkOf(id ids.Target) (l loadview.PeerLoad, wait time.Duration)
@@ -125,7 +130,9 @@
 	Left(m ids.Model, has ids.WeightsVersion, now time.Time) (left time.Duration, behind bool)
 }
 
-// Rollout supplies package orders with desired states, engine states and a sender.
+// Rollout supplies package orders with desired states, engine states and a sender. The exported
+// fields must be set before its first use. Its methods are safe for concurrent use; it may call
+// the functions in its fields concurrently.
 type Rollout struct {
 	VM       ids.VM
 	Lease    *lease.Lease
@@ -206,8 +213,8 @@
 	return out
 }
 
-// announce records, and notifies the VMs, that a replica gets no requests because of an
-// order or, with done, gets them again.
+// announce records that a replica gets no requests because of an order or, with done, that it
+// gets requests again. It calls OnOrder, which notifies the other VMs.
 func (r *Rollout) announce(id ids.Target, w ids.WeightsVersion, done bool) {
 	r.mu.Lock()
 	r.setOutOfService(id, !done)
@@ -216,7 +223,7 @@
 }
 
 // setOutOfService records whether a replica gets no requests because of an order. The caller
-// holds the lock.
+// holds r.mu.
 func (r *Rollout) setOutOfService(id ids.Target, out bool) {
 	if r.outOfService == nil {
 		r.outOfService = map[ids.Target]bool{}
@@ -229,8 +236,8 @@
 }
 
 // lastServing reports whether a replica must keep accepting requests for now: another replica
-// of its model has asked for a rest, none of the others accepts requests, and there is time
-// to postpone the order. If so, the replica no longer counts as out of service.
+// of its model has asked for a rest or is leaving, none of the others accepts requests, and
+// there is time to postpone the order. If so, the replica no longer counts as out of service.
 func (r *Rollout) lastServing(c *Command, has ids.WeightsVersion) bool {
 	if left, _ := r.Weights.Left(c.Model, has, clock.Now()); left <= latestStart {
 		return false
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -40,7 +40,7 @@
 		OnOrder: func(id ids.Target, _ ids.WeightsVersion, _ bool) { announced = append(announced, string(id)) },
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != CutOff {
-		t.Fatalf("got %v, want the rest to be cut off", m)
+		t.Fatalf("got %v, want cut-off", m)
 	}
 	if len(announced) != 1 || announced[0] != "e1" {
 		t.Fatalf("announced %v, want e1 once", announced)
@@ -56,7 +56,7 @@
 		OnOrder: func(ids.Target, ids.WeightsVersion, bool) {},
 	}
 	if m := r.drain(context.Background(), &Command{Target: "e1"}, "1"); m != Finish {
-		t.Fatalf("got %v, want them to finish", m)
+		t.Fatalf("got %v, want finish", m)
 	}
 }
 
@@ -103,11 +103,11 @@
 	}
 	err := r.Send(t.Context(), orders.Order{Target: "e1", Desired: orders.DesiredState{Weights: "2"}}, lease.Token{})
 	if !errors.Is(err, ErrGone) || len(gone) != 1 || gone[0] != "e1" {
-		t.Fatalf("got %v, gone %v", err, gone)
+		t.Fatalf("got %v, reported as gone: %v, want ErrGone and e1 once", err, gone)
 	}
-	wants := map[ids.Target]orders.DesiredState{"e1": {Weights: "2"}}
-	if plan := orders.Plan(wants, r.Engines(), func(ids.Model) orders.MaxUnavailable { return orders.MaxUnavailable{OneIn: 1} }); len(plan) != 0 || calls.orders != 0 {
-		t.Fatalf("got the plan %v after %d orders", plan, calls.orders)
+	desired := map[ids.Target]orders.DesiredState{"e1": {Weights: "2"}}
+	if plan := orders.Plan(desired, r.Engines(), func(ids.Model) orders.MaxUnavailable { return orders.MaxUnavailable{OneIn: 1} }); len(plan) != 0 || calls.orders != 0 {
+		t.Fatalf("got the plan %v after %d orders, want no order", plan, calls.orders)
 	}
 }
 
--- a/internal/rollout/send.go
+++ b/internal/rollout/send.go
@@ -65,7 +65,7 @@
 	return !r.stopped
 }
 
-// endSend undoes beginSend. sent tells whether the order may have left this VM.
+// endSend counts an order as no longer in transit. sent reports whether it may have left this VM.
 func (r *Rollout) endSend(sent bool) {
 	r.mu.Lock()
 	r.inFlight--
--- a/internal/rollout/send_test.go
+++ b/internal/rollout/send_test.go
@@ -51,7 +51,7 @@
 			}
 			reads++
 			if reads == 2 || reads == 10 {
-				return State{}, errNoAnswer
+				return State{}, errNoResponse
 			}
 			if time.Since(at) > 4*time.Second {
 				return has("2"), nil
@@ -92,7 +92,7 @@
 		s.order = func(Command) error {
 			time.Sleep(400 * time.Millisecond)
 			arrived = true
-			return errNoAnswer
+			return errNoResponse
 		}
 		done := make(chan error)
 		go func() { done <- s.send(t, r) }()
@@ -116,18 +116,18 @@
 		var announced []bool
 		r.OnOrder = func(_ ids.Target, _ ids.WeightsVersion, done bool) { announced = append(announced, done) }
 		if err := s.send(t, r); !errors.Is(err, ErrRefused) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got %v, want ErrRefused", err)
 		}
 		if len(announced) == 0 || !announced[len(announced)-1] {
 			t.Errorf("announced %v, want the last one to return the replica to service", announced)
 		}
 		time.Sleep(2 * retryPause)
 		if state := r.stateOf("e1"); state != routing.Dead {
-			t.Errorf("2 s later its state is %v", state)
+			t.Errorf("2 s later its state is %v, want dead", state)
 		}
 		time.Sleep(refusedPause)
 		if state := r.stateOf("e1"); state != routing.Live {
-			t.Errorf("30 s later its state is %v", state)
+			t.Errorf("30 s after that its state is %v, want live", state)
 		}
 	})
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -43,7 +43,7 @@
 	late    time.Duration // delay after which lost orders are carried out; zero: never
 	gap     time.Duration // how long no VM holds the lease, from gapAt on
 	gapAt   time.Duration
-	// The last engine asks for a rest from rests.from to rests.to.
+	// The last engine asks to get no requests (a rest) from rests.from to rests.to.
 	rests struct{ from, to time.Duration }
 }
 
@@ -80,7 +80,7 @@
 	unannounced     int // checks that found an engine with an order that the VMs no longer know of
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 func newSimulation(s scenario) *simulation {
 	sim := &simulation{scenario: s, began: time.Now(), engines: map[ids.Target]*simEngine{}}
@@ -106,7 +106,7 @@
 	sim.mu.Unlock()
 	if down {
 		<-ctx.Done()
-		return State{}, errNoAnswer
+		return State{}, errNoResponse
 	}
 	return s, nil
 }
@@ -124,7 +124,7 @@
 			time.AfterFunc(sim.late, func() { _ = sim.apply(c) })
 		}
 		<-ctx.Done()
-		return errNoAnswer
+		return errNoResponse
 	}
 	sim.mu.Unlock()
 	return sim.apply(c)
--- a/internal/rollout/unavailable.go
+++ b/internal/rollout/unavailable.go
@@ -10,7 +10,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// Limits of a rollout: one in so many engines may be out of service.
+// Limits of a rollout: at most one in this many engines may be out of service.
 const (
 	// oneInIdle is the limit without load. An engine first finishes its requests and then
 	// loads weights. More than about a fifth of a model's engines loading at a time slow
@@ -20,7 +20,9 @@
 	// its engines would load at a time that they slow each other down, and too few would
 	// serve for too long.
 	oneInIdleLarge = 3
-	oneInBusy      = 4
+	// oneInBusy is the limit when requests wait for at least waitBusy. Once ThrottleFor has
+	// passed, it replaces oneInFull.
+	oneInBusy = 4
 	// oneInFull is the limit under full load: each engine out of service delays the
 	// requests at all others, and a late response costs more than one on old weights.
 	oneInFull = 9
@@ -101,13 +103,13 @@
 }
 
 // slotsNeeded returns how many slots it takes to start the updates of all waiting engines
-// in time. timesLeft holds their remaining times, busy is the number of updates in progress,
-// which take rest longer, and each is how long an update occupies a slot. An engine accepts
-// its order soon after its update starts, and only that must happen in time. If the window
-// is too short for one update after the other, half of the engines start now and the others
-// at its end: when nine engines got their orders together, all were out of service for
-// 2.7 s, since concurrent loads slow each other down.
-func slotsNeeded(timesLeft []time.Duration, busy int, each, rest time.Duration) int {
+// in time. timesLeft holds how much longer each of them may use its weights, busy is the number
+// of updates in progress, remaining is how much longer these take, and each is how long an update
+// occupies a slot. An engine accepts its order soon after its update starts, and only that must
+// happen in time. If the window is too short for one update after the other, half of the engines
+// start now and the others at the end of the window: when nine engines got their orders together,
+// all were out of service for 2.7 s, since concurrent loads slow each other down.
+func slotsNeeded(timesLeft []time.Duration, busy int, each, remaining time.Duration) int {
 	slices.Sort(timesLeft)
 	slots := 0
 	for i, left := range timesLeft {
@@ -116,7 +118,7 @@
 			slots = busy + i + 1 // all of them must start now
 			continue
 		}
-		need := i + 1 - busy*startsPerSlot(window-rest, each)
+		need := i + 1 - busy*startsPerSlot(window-remaining, each)
 		if need <= 0 {
 			continue
 		}
--- a/internal/rollout/update.go
+++ b/internal/rollout/update.go
@@ -134,9 +134,10 @@
 	return r.isBehind(c.Model, s.Weights[c.Model], clock.Now())
 }
 
-// await waits until the replica has the newest weights, or until it is clear that it
-// carries out no order. Meanwhile it announces to the VMs at intervals that the replica
-// accepts no requests.
+// await waits until the replica has the newest weights, or until maxIdleReads reads have found
+// the replica idle. Every notifyInterval it announces to the VMs that the replica accepts no
+// requests. It returns an error if the replica has ended, if maxFailedReads consecutive reads
+// fail, or if ctx ends.
 func (r *Rollout) await(ctx context.Context, c *Command) (State, error) {
 	idle, failed, notifiedAt := 0, 0, clock.Now()
 	if c.Fence == 0 {
--- a/internal/rollout/update_test.go
+++ b/internal/rollout/update_test.go
@@ -28,7 +28,7 @@
 
 	record platform.Record
 	newest ids.WeightsVersion
-	within time.Duration
+	within time.Duration // how long after began older weights may be used
 	began  time.Time
 
 	sent      []Command
@@ -162,8 +162,8 @@
 	s, r := newScripted(t)
 	for weights, want := range map[ids.WeightsVersion]int{"1": 1, "2": 0, "3": 0} {
 		s.record.Weights = weights
-		if wants, err := r.DesiredStates(t.Context()); err != nil || len(wants) != want {
-			t.Errorf("weights %s: got %v, %v, want %d desired states", weights, wants, err, want)
+		if desired, err := r.DesiredStates(t.Context()); err != nil || len(desired) != want {
+			t.Errorf("weights %s: got %v, %v, want %d desired states", weights, desired, err, want)
 		}
 	}
 }
@@ -173,13 +173,13 @@
 func TestResentOrderUsesNewestWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, r := newScripted(t)
-		take := s.order
+		accept := s.order
 		s.order = func(c Command) error {
 			if len(s.sent) > 1 {
-				return take(c)
+				return accept(c)
 			}
 			s.newest = "3"
-			return errNoAnswer
+			return errNoResponse
 		}
 		if err := s.send(t, r); err != nil || len(s.sent) != 2 || s.sent[0].Weights != "2" || s.sent[1].Weights != "3" {
 			t.Errorf("got %+v, %v", s.sent, err)
@@ -213,7 +213,7 @@
 			s.read = func() (State, error) {
 				reads++
 				if len(s.sent) > 0 && reads <= 1+missed {
-					return State{}, errNoAnswer
+					return State{}, errNoResponse
 				}
 				return read()
 			}
