--- a/internal/edge/admin.go
+++ b/internal/edge/admin.go
@@ -23,9 +23,9 @@
 	Ready         bool                      `json:"ready"`
 	Reason        string                    `json:"reason,omitempty"`
 	Catalog       uint64                    `json:"catalog"`
-	StoreSource   string                    `json:"store_source"` // "store", or the VM that this VM reads the store through
-	ProofAge      string                    `json:"proof_age"`
-	Fence         uint64                    `json:"fence,omitempty"` // fencing number, while this VM holds the lease
+	StoreSource   string                    `json:"store_source"`    // "store", or the VM that this VM reads the store through
+	ProofAge      string                    `json:"proof_age"`       // age of the proof that the configuration is the newest, as a Go duration
+	Fence         uint64                    `json:"fence,omitempty"` // fencing token, while this VM holds the lease
 	InFlight      int64                     `json:"in_flight"`
 	Targets       []membership.TargetStatus `json:"targets"`
 	Limits        []ratelimit.Status        `json:"limits,omitempty"` // rate limits that targets announced
@@ -70,7 +70,7 @@
 	Saves         int64                     `json:"kv_saves"`
 	Dials         int64                     `json:"target_dials"`
 	Reuses        int64                     `json:"target_conn_reuses"`
-	Strays        int64                     `json:"stray_answers"`
+	Strays        int64                     `json:"stray_answers"` // responses that belong to another request than the one in progress
 	ProofAgeMs    int64                     `json:"proof_age_ms"`
 	Latency       *forward.Histogram        `json:"latency"`
 	Prediction    *forward.PredictionErrors `json:"prediction"`
@@ -119,13 +119,13 @@
 	}
 }
 
-// RolloutMetrics shows the progress of engines towards the weights that operators set. All VMs
+// RolloutMetrics shows how far engines have been updated to the weights that operators set. All VMs
 // report the first three fields; only the lease holder counts orders.
 type RolloutMetrics struct {
 	Behind     int    `json:"behind"`      // engines without the newest weights
 	BehindDown int    `json:"behind_down"` // of these, unresponsive engines
-	LeftMs     int64  `json:"left_ms"`     // time until the oldest weights in use expire; zero: all are new
-	Fence      uint64 `json:"fence"`       // fencing number, while this VM holds the lease
+	LeftMs     int64  `json:"left_ms"`     // time until the oldest weights in use expire, negative afterwards; zero: all are new
+	Fence      uint64 `json:"fence"`       // fencing token, while this VM holds the lease
 	Orders     int64  `json:"orders"`
 	Done       int64  `json:"orders_done"`
 	Failed     int64  `json:"orders_failed"`
--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -29,10 +29,10 @@
 	// candidates are gone.
 	candidates   = 5
 	lowRankEvery = 20 * time.Second
-	// roundEvery is how often the lease holder compares the actual state with the desired one;
-	// otherRoundEvery is how often other VMs check whether they hold the lease. The pause after
-	// a round is at least roundIdleFactor times its duration, so that rounds take at most
-	// 1/(roundIdleFactor+1) of the time.
+	// roundEvery is how often the lease holder compares the actual state of all engines with the
+	// desired one, in one round; otherRoundEvery is how often other VMs check whether they hold
+	// the lease. The pause after a round is at least roundIdleFactor times the round's duration,
+	// so that rounds take at most 1/(roundIdleFactor+1) of the time.
 	roundEvery      = 100 * time.Millisecond
 	otherRoundEvery = 400 * time.Millisecond
 	roundIdleFactor = 9
@@ -54,7 +54,7 @@
 // handover.
 const handoverMargin = 200 * time.Millisecond
 
-// dutyTable returns all duties by name. Each runs in its own goroutine until its context ends.
+// dutyTable returns all duties, the daemon's background tasks, by the names in the log. Each runs in its own goroutine until its context ends.
 func (d *Daemon) dutyTable() map[string]func(context.Context) {
 	return map[string]func(context.Context){
 		"read-store":    d.reader.Run,
@@ -89,7 +89,7 @@
 		Int64("proof_age_ms", d.Catalog.ProofAge(clock.Now()).Milliseconds()).Send()
 }
 
-// every returns a duty that calls f once per period.
+// every returns a duty that calls f repeatedly, with a pause of period before each call.
 func every(period time.Duration, f func()) func(context.Context) {
 	return func(ctx context.Context) {
 		for timing.Sleep(ctx, period) {
@@ -115,9 +115,9 @@
 	}
 }
 
-// leasePause returns the time until this VM reads the lease again. If the lease may be taken over
-// before the next regular read, the pause ends then: each second without a holder shortens the
-// time in which engines must load new weights.
+// leasePause returns the time until this VM reads the lease again. If a takeover becomes possible
+// before the next regular read, the pause ends shortly after that moment: each second without a
+// holder shortens the time in which engines must load new weights.
 func (d *Daemon) leasePause(holds bool) time.Duration {
 	switch {
 	case holds:
@@ -132,8 +132,8 @@
 	return pause
 }
 
-// leaseSleep waits for pause. If a holder reports that it has stopped, it waits until the lease may
-// be taken over instead.
+// leaseSleep waits for pause. If the holder reports meanwhile that it has stopped sending orders,
+// leaseSleep waits until the lease may be taken over instead.
 func (d *Daemon) leaseSleep(ctx context.Context, pause time.Duration) {
 	wait, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
@@ -173,8 +173,8 @@
 	}
 }
 
-// takeoverSpread is the random delay that keeps VMs that read the same renewal from taking over at
-// the same time, which costs each of them a write.
+// takeoverSpread is the range of the random delay before a takeover. Without the delay, VMs that
+// read the same renewal try to take over at the same time, which costs each of them a write.
 const takeoverSpread = 200 * time.Millisecond
 
 // leaseName is the name of the lease for orders, in the store and for rendezvous hashing.
@@ -204,18 +204,18 @@
 // takes longer, the notice to the VMs is repeated.
 const orderTime = 1500 * time.Millisecond
 
-// onOwnOrder records that a replica executes an order of this VM, or has completed it, and notifies
-// the peers.
+// onOwnOrder records that a replica carries out an order of this VM, or has completed it, and
+// notifies the peers.
 func (d *Daemon) onOwnOrder(id ids.Target, w ids.WeightsVersion, done bool) {
 	o := news.Order{Target: id, Weights: w, Done: done, Incarnation: d.Fleet.Members.Incarnation(id)}
 	d.onOrder(o)
 	d.news.SendOrder(o)
 }
 
-// onOrder records that a replica executes an order, or has completed it.
+// onOrder records that a replica carries out an order, or has completed it.
 func (d *Daemon) onOrder(o news.Order) {
 	if o.Incarnation != 0 && o.Incarnation < d.Fleet.Members.Incarnation(o.Target) {
-		return // the engine has restarted since
+		return // the replica has restarted since
 	}
 	if o.Done {
 		d.Replicas.SetWeights(o.Target, o.Weights, "news")
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,7 @@
-// Package edge is the daemon of a VM that serves opaque requests for a platform: it follows the
-// platform's store, forwards calls (package forward) and, while it holds the lease, brings engines
-// to the weights that operators set (package rollout).
+// Package edge is the daemon of a VM that serves opaque requests for a platform, that is, requests
+// whose bodies it passes through unchanged. It follows the platform's store, forwards calls (package
+// forward) and, while it holds the lease, brings engines to the weights that operators set (package
+// rollout).
 //
 // # Sources of data
 //
@@ -14,7 +15,8 @@
 // # Readiness
 //
 // A VM is ready when it has a configuration, the replicas and the weights, and can prove that its
-// configuration is the newest. Until then it refuses calls as not run.
+// configuration is the newest. Until then it refuses calls, and tells the caller that the call has
+// not run.
 package edge
 
 import (
@@ -90,13 +92,14 @@
 type Options struct {
 	Adapter Adapter
 	LogTo   io.Writer
-	// Hangup delivers a signal for each reload, which reads the settings with Reload. Nil: no
-	// reloads.
+	// Hangup delivers one signal per reload of the settings; the daemon then reads them with
+	// Reload. Nil: no reloads.
 	Hangup <-chan os.Signal
 	Reload func() (settings.Settings, error)
 }
 
-// Daemon is the daemon of one VM.
+// Daemon is the daemon of one VM. Start and then Stop or Kill are called once each; Status and
+// Metrics are safe for concurrent use.
 type Daemon struct {
 	Settings settings.Settings
 	Log      *eventlog.Log
@@ -111,7 +114,7 @@
 
 	adapter    Adapter
 	options    Options
-	current    settings.Settings // as last reloaded; Settings are those at the start
+	current    settings.Settings // as last reloaded; Settings holds those at the start
 	store      *objectapi.CountingStore
 	feeds      *kvfeed.Feeds
 	budgets    *retry.ServiceBudgets
@@ -131,7 +134,7 @@
 	duties     sync.WaitGroup
 	failed     func()
 	started    time.Time
-	// leaseWakeUp wakes up keepLease when a holder has reported that it stopped.
+	// leaseWakeUp wakes up keepLease when the holder has reported that it stopped sending orders.
 	leaseWakeUp chan struct{}
 }
 
@@ -150,7 +153,7 @@
 	cacheViewCapacity = 64 << 10
 	// fetchRate is the rate at which engines fetch KV cache from each other, in tokens/s. It
 	// allows for failed transfers: fetching 3,800 tokens takes 1 to 50 ms, and sometimes the
-	// holder has just evicted them, so that they are computed again.
+	// engine that had them has just evicted them, so that they are computed again.
 	fetchRate = 40_000
 	// prefillRate is the assumed prefill rate of engines, in tokens/s. It is close to that of
 	// the engines that threadwall is built for.
@@ -166,13 +169,15 @@
 	// keyMargin is subtracted from the maximum age of a proof, for the network delay to the
 	// replica.
 	keyMargin = 300 * time.Millisecond
-	// weightsMargin is subtracted from the time in which older weights may be used.
+	// weightsMargin is subtracted from the time in which older weights may be used, for the
+	// network delay to the replica.
 	weightsMargin = time.Second
-	// throttleShare is the first fraction of the time in which older weights may be used. In it a
-	// rollout in a fully loaded fleet takes the fewest engines out of service at a time.
+	// throttleShare is a fraction of the time in which older weights may be used, counted from its
+	// start. During this fraction a rollout in a fully loaded fleet takes the fewest engines out of
+	// service at a time.
 	throttleShare = 0.3
-	// returnGrace is how long after an outage of the store replicas may register again whose
-	// entries expired during the outage.
+	// returnGrace is how long after an outage of the store a replica whose entry expired during the
+	// outage may take to register again.
 	returnGrace = 2 * time.Second
 	// noProbeGrace keeps membership from treating targets as unresponsive: this daemon does not
 	// probe targets.
@@ -181,7 +186,8 @@
 
 var errNoEdge = eris.New("the settings have no section edge")
 
-// New builds a daemon. Nothing runs before Start.
+// New builds a daemon. Nothing runs before Start. It returns an error if the settings have no
+// section edge.
 func New(s settings.Settings, o Options) (*Daemon, error) {
 	if s.Edge == nil {
 		return nil, errNoEdge
@@ -301,8 +307,8 @@
 	return c == nil || c.Service(name) != nil
 }
 
-// onContact records whether a replica or a KV store answers the calls that read its cache feed.
-// Peers are notified of a KV store that does not, since few VMs read its feed.
+// onContact records whether a replica or a KV store answers the calls that read its cache feed. If
+// a KV store does not, onContact notifies the peers, since few VMs read its feed.
 func (d *Daemon) onContact(s kvfeed.Source, alive bool) {
 	now := clock.Now()
 	if !s.Store {
@@ -327,7 +333,8 @@
 	d.Log.State("replica-ended").Str("target", string(id)).Str("reason", "another incarnation answers at its address").Send()
 }
 
-// Start opens the listeners and starts all duties.
+// Start opens the listeners and starts all duties, which run until Stop or Kill. It returns an error
+// if a listener can't be opened. It does not use its context.
 func (d *Daemon) Start(context.Context) error {
 	d.started = clock.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -371,8 +378,8 @@
 	return nil
 }
 
-// run starts a duty. If it fails, the daemon shuts down: a VM without one of its duties must not
-// appear healthy.
+// run starts a duty. If the duty fails, the daemon shuts down: a VM without one of its duties must
+// not appear healthy.
 func (d *Daemon) run(name string, f func() error) {
 	d.duties.Go(func() {
 		err := f()
@@ -399,7 +406,8 @@
 
 // Stop shuts down gracefully. The VM becomes not ready, and responses close their connections.
 // Once the load balancer has noticed, the VM stops accepting connections and finishes the calls in
-// flight, until the grace period of the settings ends.
+// flight, until the grace period of the settings ends. Stop does not use its context, and always
+// returns nil.
 func (d *Daemon) Stop(ctx context.Context) error {
 	began := clock.Now()
 	d.Forward.Draining.Store(true)
@@ -429,7 +437,8 @@
 	return nil
 }
 
-// Kill stops the daemon immediately, as a kill of its process would.
+// Kill stops the daemon immediately, as a kill of its process would: it cuts connections and does
+// not release the lease. It waits until all duties have ended.
 func (d *Daemon) Kill() {
 	d.cancel()
 	d.peerServer.Stop()
--- a/internal/edge/feeds.go
+++ b/internal/edge/feeds.go
@@ -17,11 +17,12 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// Cache feeds. Two VMs read the cache feed of each engine and KV store, from its own failure domain
-// as long as any VM is live there. The first of them reports the changes to the other VMs, in a few
-// bytes per entry (package news). When every VM read every feed, that took 43% of the bytes
-// between failure domains with 8 VMs and 47% with 82. With 82 VMs a feed also had too few
-// slots for all readers, so that most VMs knew of most caches only what they had sent.
+// Cache feeds. Two VMs read the cache feed of each engine and KV store: VMs of its own failure
+// domain, and VMs of other domains only if fewer than two are live there. The first of the two
+// reports the changes to the other VMs, in a few bytes per entry (package news). When every VM read
+// every feed, that took 43% of the bytes between failure domains with 8 VMs and 47% with 82. With
+// 82 VMs a feed also had too few slots for all readers, so that most VMs knew of most caches only
+// the prompts that they had sent there themselves.
 //
 // The readers also detect that a target is unresponsive. A target whose readers are all
 // unresponsive is suspect: its failure domain may be partitioned.
@@ -48,8 +49,8 @@
 	suspectAfter = time.Second
 	// suspectAfterRounds is the same limit in rounds of messages; the longer one applies.
 	suspectAfterRounds = 4
-	// suspectFor is how long a target stays suspect after the last check that found it so. In that
-	// time other VMs take over its feed and find out whether the target answers.
+	// suspectFor is how long a target stays suspect after the last check that marked it suspect. In
+	// that time other VMs take over its feed and find out whether the target answers.
 	suspectFor = 1500 * time.Millisecond
 )
 
@@ -65,7 +66,7 @@
 	}
 	alive := d.vms.live()
 	d.Replicas.Each(func(r *platform.Record) bool {
-		if r.Role != platform.RoleEngine || r.FailureDomain != d.Settings.FailureDomain && len(alive.in[r.FailureDomain]) >= readersPerFeed {
+		if r.Role != platform.RoleEngine || r.FailureDomain != d.Settings.FailureDomain && len(alive.byDomain[r.FailureDomain]) >= readersPerFeed {
 			return true // VMs of the target's failure domain read its feed
 		}
 		if id := ids.Target(r.ID); d.readsFeed(id, r.FailureDomain) {
--- a/internal/edge/living.go
+++ b/internal/edge/living.go
@@ -20,8 +20,8 @@
 // liveVMs is a snapshot of the live VMs, with a cache of the readers of each cache feed. Safe for
 // concurrent use.
 type liveVMs struct {
-	in     map[ids.FailureDomain][]liveVM
-	domain map[ids.VM]ids.FailureDomain
+	byDomain map[ids.FailureDomain][]liveVM
+	domain   map[ids.VM]ids.FailureDomain
 
 	mu      sync.Mutex
 	readers map[ids.Target][]ids.VM
@@ -54,16 +54,17 @@
 	if same && len(domain) == len(c.alive.domain) {
 		return c.alive
 	}
-	l := &liveVMs{in: map[ids.FailureDomain][]liveVM{}, domain: domain, readers: map[ids.Target][]ids.VM{}, ranks: map[ids.Target]int{}}
+	l := &liveVMs{byDomain: map[ids.FailureDomain][]liveVM{}, domain: domain, readers: map[ids.Target][]ids.VM{}, ranks: map[ids.Target]int{}}
 	for vm, d := range domain {
-		l.in[d] = append(l.in[d], liveVM{vm, d, routing.HashTarget(ids.Target(vm))})
+		l.byDomain[d] = append(l.byDomain[d], liveVM{vm, d, routing.HashTarget(ids.Target(vm))})
 	}
 	c.alive = l
 	return l
 }
 
 // feedReaders returns the VMs that read the cache feed of a target, as far as this VM knows; the
-// first reports its content to the others. All VMs that see the same VMs as live agree on them.
+// first reports its content to the others. All VMs that see the same VMs as live choose the same
+// readers.
 func (c *vmList) feedReaders(id ids.Target, domain ids.FailureDomain) []ids.VM {
 	return c.live().readersOf(id, domain)
 }
@@ -84,12 +85,12 @@
 // chooseReaders chooses VMs of the target's failure domain by rendezvous hashing, and VMs of other
 // domains only if that domain has too few.
 func (l *liveVMs) chooseReaders(id ids.Target, domain ids.FailureDomain) []ids.VM {
-	out := l.topRanked(id, l.in[domain], readersPerFeed)
+	out := l.topRanked(id, l.byDomain[domain], readersPerFeed)
 	if len(out) == readersPerFeed {
 		return out
 	}
 	var others []liveVM
-	for d, vms := range l.in {
+	for d, vms := range l.byDomain {
 		if d != domain {
 			others = append(others, vms...)
 		}
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -11,9 +11,9 @@
 	"github.com/threadwall/threadwall/internal/settings"
 )
 
-// liveSettings are the settings that a reload applies. Changes of other settings take effect at
-// the next start.
-var liveSettings = []string{"key_ttl", "weights_within", "retry_ratio", "retry_burst"}
+// reloadableSettings are the settings that a reload applies. Changes of other settings take effect
+// at the next start.
+var reloadableSettings = []string{"key_ttl", "weights_within", "retry_ratio", "retry_burst"}
 
 // watchReload reloads the settings at each signal.
 func (d *Daemon) watchReload(ctx context.Context) {
@@ -40,7 +40,7 @@
 	}
 	var live, later []string
 	for _, name := range differences(d.current, s) {
-		if slices.Contains(liveSettings, name) {
+		if slices.Contains(reloadableSettings, name) {
 			live = append(live, name)
 		} else {
 			later = append(later, name)
@@ -51,7 +51,7 @@
 	d.Log.State("reload").Strs("in_force", live).Strs("at_next_start", later).Send()
 }
 
-// apply applies the live settings.
+// apply applies the reloadable settings.
 func (d *Daemon) apply(e *settings.Edge) {
 	d.Forward.KeyTTL.Store(maxProofAge(e.KeyTTL.D()))
 	d.Weights.SetWithin(e.WeightsWithin.D() - weightsMargin)
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -12,7 +12,7 @@
 	"github.com/threadwall/threadwall/internal/clock"
 )
 
-// headerTimeout bounds the time to read a request's head. It is a little longer than what
+// headerTimeout bounds the time to read a request's headers. It is a little longer than what
 // operators promise to callers.
 const headerTimeout = 10 * time.Second
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// notReadyReason returns why this VM may not serve yet; empty: it may.
+// notReadyReason returns why this VM may not serve now, or an empty string if it may.
 func (d *Daemon) notReadyReason() string {
 	ttl := time.Duration(d.Forward.KeyTTL.Load())
 	switch {
--- a/internal/edge/store.go
+++ b/internal/edge/store.go
@@ -26,9 +26,10 @@
 
 const (
 	// relayWait is the longest wait of the configuration watch at a VM that reads the store for
-	// others, since they stop using a VM whose last contact with the store is a second old. A
-	// proof gets as old as two waits at the store reader and two requests more at the other VMs;
-	// all four together stay within twice ProofEvery, the general limit.
+	// others: the others stop using a VM whose last contact with the store is a second old. A
+	// proof gets as old as two of these waits, and two waits of reads from a peer (mirror.Reader.Wait)
+	// at each of up to two further VMs. Together these stay within twice ProofEvery, the limit that
+	// also holds where each VM reads the store itself.
 	relayWait = 600 * time.Millisecond
 	// watchWait is the wait of watches that serve no proof. It bounds how long a dead watch stays
 	// undetected.
@@ -102,7 +103,7 @@
 // those of its failure domain that rank before it, then the first VMs of the domains that rank
 // before its own. One VM thus reads the store for the whole fleet, one VM of each other domain
 // reads from another domain, and the others read from the reader of their domain; a partitioned
-// domain has a reader of its own. With a store reader in each of six domains, these made 14 calls
+// domain has a reader of its own. With a store reader in each of six domains, the six made 14 calls
 // per second.
 func (c *vmList) upstreamPeers() []mirror.Peer {
 	c.mu.Lock()
@@ -127,8 +128,8 @@
 	return append(out, c.crossDomainReaders(domain)...)
 }
 
-// readersPerDomain is the number of VMs of another failure domain to try; the second one is for the
-// case that the first is gone.
+// readersPerDomain is the number of VMs of another failure domain to try: the first, and a second in
+// case the first is gone.
 const readersPerDomain = 2
 
 // crossDomainReaders returns the first VMs of the failure domains that rank before domain, in rank
@@ -160,7 +161,7 @@
 
 // Attempts of a starting VM to list its peers.
 const (
-	// listAttempts is the number of attempts after which the VM reads all of the store itself.
+	// listAttempts is the number of failed attempts after which the VM reads the whole store itself.
 	listAttempts = 4
 	// listPause is the mean pause between attempts.
 	listPause = 200 * time.Millisecond
--- a/internal/edge/vms.go
+++ b/internal/edge/vms.go
@@ -20,7 +20,8 @@
 )
 
 // prefixVMs is the key prefix under which entry VMs register. Entries do not expire: the entry of a
-// VM that is gone only makes the other VMs' shares of common budgets smaller.
+// VM that is gone only makes the other VMs' shares of the limits for the whole fleet smaller, such
+// as the retry budgets.
 const prefixVMs = "entry-vms/"
 
 // vmRecord is the stored entry of a VM.
