--- a/internal/edge/duties.go
+++ b/internal/edge/duties.go
@@ -54,7 +54,8 @@
 // handover.
 const handoverMargin = 200 * time.Millisecond
 
-// dutyTable returns all duties, the daemon's background tasks, by the names in the log. Each runs in its own goroutine until its context ends.
+// dutyTable returns all duties, the daemon's background tasks, by the names in the log. Each runs in
+// its own goroutine until its context ends.
 func (d *Daemon) dutyTable() map[string]func(context.Context) {
 	return map[string]func(context.Context){
 		"read-store":    d.reader.Run,
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,7 +1,7 @@
-// Package edge is the daemon of a VM that serves opaque requests for a platform, that is, requests
-// whose bodies it passes through unchanged. It follows the platform's store, forwards calls (package
-// forward) and, while it holds the lease, brings engines to the weights that operators set (package
-// rollout).
+// Package edge is the daemon of an entry VM: a VM that serves opaque requests for a platform, that
+// is, requests whose bodies it passes through unchanged. It follows the platform's store, forwards
+// calls (package forward) and, while it holds the lease, brings engines to the weights that
+// operators set (package rollout).
 //
 // # Sources of data
 //
@@ -14,9 +14,10 @@
 //
 // # Readiness
 //
-// A VM is ready when it has a configuration, the replicas and the weights, and can prove that its
-// configuration is the newest. Until then it refuses calls, and tells the caller that the call has
-// not run.
+// A VM is ready when it has a configuration and the list of replicas. If the setting KeyTTL limits
+// the age of proofs and the configuration requires API keys, it must also be able to prove that its
+// configuration is the newest. A VM refuses the calls that it can't serve for lack of one of these,
+// and tells the caller that the call has not run.
 package edge
 
 import (
@@ -98,8 +99,8 @@
 	Reload func() (settings.Settings, error)
 }
 
-// Daemon is the daemon of one VM. Start and then Stop or Kill are called once each; Status and
-// Metrics are safe for concurrent use.
+// Daemon is the daemon of one VM. The caller calls Start once, and then either Stop or Kill once.
+// Status and Metrics are safe for concurrent use.
 type Daemon struct {
 	Settings settings.Settings
 	Log      *eventlog.Log
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -94,10 +94,10 @@
 	now      func() time.Time
 
 	mu       sync.Mutex
-	held     Record             // last one that this VM wrote; empty once another VM holds the lease
+	held     Record             // the record that this VM last wrote; empty after lose
 	version  objectapi.Revision // of held in the store
 	inSync   bool               // the stored record is known to equal held
-	until    time.Time          // when this VM stops acting; zero if it has not acquired the lease, or lost or released it
+	until    time.Time          // when this VM stops acting; zero before write and after lose or Release
 	released bool               // this VM has released the lease and never acquires it again
 	seen     objectapi.Revision // version of another holder's record as last read
 	seenAt   time.Time          // when the record was first seen at version seen
@@ -107,8 +107,8 @@
 	idleAt   time.Time     // when the last action of the notice's sender had ended
 }
 
-// New returns a lease that this VM does not hold. VMs compete for the lease with the same name.
-// now returns the current time; nil means clock.Now.
+// New returns a lease that this VM does not hold yet. All VMs that pass the same name compete for
+// one lease. now returns the current time; nil means clock.Now.
 func New(store objectapi.Store, name string, vm ids.VM, t Tuning, now func() time.Time) *Lease {
 	if now == nil {
 		now = clock.Now
--- a/internal/rollout/rest_test.go
+++ b/internal/rollout/rest_test.go
@@ -7,8 +7,8 @@
 )
 
 // TestRestDuringRollout lets one of a few engines ask for a rest, that is, ask not to be sent
-// requests for some time, shortly before the others get their orders. Except for the time of one drain, during which a rest may begin, at least
-// one engine must accept requests.
+// requests for some time, shortly before the others get their orders. Except for the time of one
+// drain, during which a rest may begin, at least one engine must accept requests.
 //
 // The test guards against this failure: two of three engines were drained for their orders when
 // the third asked all VMs for a rest of 2 s. Every call was refused for the 0.6 s of the orders,
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -122,8 +122,9 @@
 
 // DesiredWeights returns the weights that operators want.
 type DesiredWeights interface {
+	// Newest returns the newest version, or an empty string if this VM knows of none.
 	Newest(m ids.Model) ids.WeightsVersion
-	// Since returns the time since operators set the newest version.
+	// Since returns the time since operators set the newest version, or zero if there is none.
 	Since(m ids.Model, now time.Time) time.Duration
 	// Left reports whether weights are older than the newest, and how much longer they may
 	// be used; left is negative once that time is over.
