--- a/internal/news/bound_test.go
+++ b/internal/news/bound_test.go
@@ -12,9 +12,9 @@
 // VM lists 128 unresponsive targets, all of 9,756 and 20,000 targets have work, and there are as
 // many events as one round carries.
 //
-// 986 VMs that start at the same time each miss the first answers of the feeds that they read. The
-// list of these targets was longer than a datagram, so no total was sent, no VM got the state of
-// any other, and each went on reading feeds as if it were alone.
+// If 986 VMs start at the same time, each lists the targets whose cache feeds have not answered it
+// yet. The total of these lists was larger than a datagram, so it was not sent, no VM got the state
+// of any other, and each went on reading feeds as if it were alone.
 func TestTotalFitsInDatagram(t *testing.T) {
 	for _, size := range []struct{ vms, targets int }{{986, 9_756}, {2_000, 20_000}} {
 		now := time.Now()
@@ -34,7 +34,7 @@
 			parts = append(parts, receivedDigest{d, now})
 		}
 		total := sum(parts, now)
-		for range maxEvents / 90 {
+		for range maxDigestCacheChanges / 90 {
 			held := make([]uint64, 90)
 			for i := range held {
 				held[i] = uint64(i) * 0x9E3779B97F4A7C15
@@ -47,10 +47,10 @@
 		}
 		t.Logf("%d VMs, %d targets: %d bytes, %d loads, %d members", size.vms, size.targets, len(data), len(total.Loads), len(total.members()))
 		if len(data) > maxDatagram {
-			t.Errorf("%d VMs, %d targets: %d bytes, more than the %d of a datagram", size.vms, size.targets, len(data), maxDatagram)
+			t.Errorf("%d VMs, %d targets: got a total of %d bytes, want at most %d", size.vms, size.targets, len(data), maxDatagram)
 		}
 		if len(parts[0].Unresponsive[0].Targets) != 128 {
-			t.Error("sum has changed a received digest")
+			t.Error("sum has truncated the unresponsive targets of a received digest")
 		}
 	}
 }
--- a/internal/news/crashes_test.go
+++ b/internal/news/crashes_test.go
@@ -8,8 +8,9 @@
 	"github.com/threadwall/threadwall/internal/quarantine"
 )
 
-// TestCrashesOnTheWire checks that reports of requests under which replicas crashed pass the wire
-// unchanged, and that a VM handles a message that contains nothing else.
+// TestCrashesOnTheWire checks that reports of requests that were in progress when replicas crashed
+// are the same after encoding and decoding, and that a VM handles a message that contains nothing
+// else.
 func TestCrashesOnTheWire(t *testing.T) {
 	sender := quarantine.NewLedger(nil, nil)
 	request := (&quarantine.Request{Body: []byte("fatal")}).Fingerprint()
@@ -54,11 +55,11 @@
 		x.Crashes.DueReports(100) // the rounds in which the report is sent
 	}
 	if n := len(x.Crashes.DueReports(100)); n != 0 {
-		t.Fatalf("%d reports are sent again before they are due", n)
+		t.Fatalf("%d reports are sent again before they are due, want 0", n)
 	}
 	x.handleMessage(t, Message{VM: "vm1", Incarnation: 1})
 	if n := len(x.Crashes.DueReports(100)); n != 0 {
-		t.Errorf("%d reports are sent again to a peer that has not restarted", n)
+		t.Errorf("%d reports are sent again to a peer that has not restarted, want 0", n)
 	}
 	x.handleMessage(t, Message{VM: "vm1", Incarnation: 2})
 	if n := len(x.Crashes.DueReports(100)); n != 1 {
--- a/internal/news/digest.go
+++ b/internal/news/digest.go
@@ -17,8 +17,8 @@
 // per target and 6 per VM, whatever the number of requests.
 type digest struct {
 	Loads []wireLoad `cbor:"1,keyasint,omitempty"`
-	// Members lists the VMs whose loads are included, with the round of each one, in members of
-	// 6 bytes.
+	// Members holds the VMs whose loads are included and the round of each, as encoded by
+	// addMember.
 	Members       []byte             `cbor:"2,keyasint,omitempty"`
 	Unresponsive  []wireUnresponsive `cbor:"3,keyasint,omitempty"`
 	RecentWeights []RecentWeights    `cbor:"4,keyasint,omitempty"`
@@ -37,7 +37,8 @@
 	Targets []shortID
 }
 
-// event is state that its VM sends once, rather than in every round.
+// event is state that its sender, VM, does not repeat in every round: orders, KV cache stores that
+// do not answer, and cache changes.
 type event struct {
 	_            struct{} `cbor:",toarray"`
 	VM           shortVM
@@ -109,14 +110,14 @@
 		d.Unresponsive = d.Unresponsive[:maxDigestUnresponsive]
 	}
 	each := max(maxDigestUnresponsive/len(d.Unresponsive), 1)
-	d.Unresponsive = slices.Clone(d.Unresponsive) // shared with the received digests
+	d.Unresponsive = slices.Clone(d.Unresponsive) // other digests may share it
 	for i := range d.Unresponsive {
 		d.Unresponsive[i].Targets = d.Unresponsive[i].Targets[:min(each, len(d.Unresponsive[i].Targets))]
 	}
 }
 
 // sum adds digests up. Ages in a digest grow by the time since it was received. sum leaves events
-// out, since each event is forwarded once.
+// out: receive queues each one for forwarding when it arrives.
 func sum(parts []receivedDigest, now time.Time) digest {
 	var out digest
 	loads, uses := map[shortID]wireLoad{}, map[uint32]allowance.Use{}
--- a/internal/news/limits_test.go
+++ b/internal/news/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/threadwall/threadwall/internal/ratelimit"
 )
 
-// TestLimitsInMessages checks that rate limits and their ends pass a message unchanged, except
-// those of unknown targets.
+// TestLimitsInMessages checks that the receiver of a message gets the rate limits and ends of
+// limits that it contains, except those of unknown targets.
 func TestLimitsInMessages(t *testing.T) {
 	x := newExchange()
 	x.SetPeers([]Peer{{VM: "vm1", Addr: "a:2"}})
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -8,8 +8,8 @@
 // and no order, and a partitioned VM blocks no other VM.
 //
 // The cost is bounded: the interval between two rounds grows with the number of peers, so
-// that a VM receives at most messagesPerSecond. Beyond Exchange.TreeFrom peers a tree of VMs
-// aggregates the messages (tree.go).
+// that a VM receives at most messagesPerSecond messages with loads. Beyond Exchange.TreeFrom
+// peers a tree of VMs aggregates the messages (tree.go).
 //
 // Traffic between failure domains is expensive, so a message crosses the boundary once for
 // each remote domain of more than relayThreshold VMs: one VM there forwards it (relay.go).
@@ -48,10 +48,10 @@
 // Message is one datagram. Incarnation and Seq order the loads of one VM.
 type Message struct {
 	VM          ids.VM
-	Seq         uint64 // number of the loads within one incarnation of the VM; zero: the message carries none
+	Seq         uint64 // number of the round within one incarnation of the VM; zero: the message carries no loads
 	Incarnation int64  // start of the VM's process, in milliseconds of its wall clock
 	Loads       []Load // all targets with work; the others have none
-	// Unresponsive are engines that do not answer, or have not yet answered, the calls by which
+	// Unresponsive are targets that do not answer, or have not yet answered, the calls by which
 	// this VM reads their cache feeds.
 	Unresponsive []ids.Target
 	Order        *Order
@@ -64,13 +64,14 @@
 	// LeaseLapse is set if this VM held the lease for orders, could not renew it and has
 	// stopped sending orders. Nil: it has not held the lease, or still holds it.
 	LeaseLapse *LeaseLapse
-	// Crashes are requests under which replicas crashed.
+	// Crashes are requests that were in progress when replicas crashed.
 	Crashes []quarantine.Report
-	// Uses are the amounts that this VM lets workspaces use, ordered by Seq.
+	// Uses are what this VM has admitted of each workspace and the demand on it. They belong to
+	// the round Seq.
 	Uses []allowance.Use
 	// Limits are rate limits that targets reported, and ends of such limits.
 	Limits []ratelimit.Report
-	// Canaries are the counts of this VM for versions that are being brought into service.
+	// Canaries are the counts of this VM for versions that are being rolled out.
 	Canaries []canary.Report
 	// Report and Total carry the state of several VMs in large fleets (tree.go).
 	Report, Total *digest
@@ -125,10 +126,10 @@
 	messagesPerSecond = 200
 	// maxDatagram bounds the size of a message, in bytes.
 	maxDatagram = 48 << 10
-	// orderCopies is the number of times an order is sent, since datagrams get lost.
+	// orderCopies is the number of times that SendOrder sends an order, since datagrams get lost.
 	orderCopies = 2
-	// maxSkippedRounds is the number of rounds with nothing to send that a VM skips before it
-	// sends an empty message: peers take a VM that sends nothing for unresponsive.
+	// maxSkippedRounds is the number of consecutive rounds with nothing to send that a VM skips
+	// before it sends an empty message: peers take a VM that sends nothing for unresponsive.
 	maxSkippedRounds = 1
 	// maxCacheChanges bounds the cache changes in one message, in entries of about 9 bytes, so that
 	// the message fits in one packet. maxCacheMessages bounds the messages of one round.
@@ -149,8 +150,8 @@
 	Load     *loadview.Tracker
 	// OnOrder is called for each order that a peer reports.
 	OnOrder func(o Order)
-	// Unresponsive returns the engines that do not answer this VM. OnUnresponsive is called with
-	// all engines that do not answer a peer.
+	// Unresponsive returns the targets that do not answer this VM. OnUnresponsive is called with
+	// all targets that do not answer a peer.
 	Unresponsive   func() []ids.Target
 	OnUnresponsive func(peer ids.VM, unresponsive []ids.Target)
 	// RecentWeights returns the weights versions that the configuration set a short while ago.
@@ -169,8 +170,8 @@
 	// otherwise. OnLeaseLapse is called for each lapse that a peer reports.
 	LeaseLapse   func() *LeaseLapse
 	OnLeaseLapse func(l LeaseLapse)
-	// Crashes stores the requests under which replicas crashed. Nil: the exchange sends and
-	// receives none.
+	// Crashes stores the requests that were in progress when replicas crashed. Nil: the exchange
+	// sends and receives none.
 	Crashes *quarantine.Ledger
 	// Allowances limits the use of workspaces over all VMs. Nil: the use is not limited.
 	Allowances *allowance.Limiter
@@ -178,7 +179,8 @@
 	// that a peer reports.
 	Limits  func() []ratelimit.Report
 	OnLimit func(w ratelimit.Report)
-	// OnCanaryReports is called with the counts of a VM for canaries.
+	// OnCanaryReports is called with the canary counts of a VM. Nil: the
+	// exchange ignores those that it receives.
 	OnCanaryReports func(vm ids.VM, incarnation int64, r []canary.Report)
 	// Meter counts the bytes sent. Nil: they are not counted.
 	Meter *traffic.Meter
@@ -194,13 +196,15 @@
 	lastLoads     int // number of loads in the last round
 	skippedRounds int // rounds since this VM last sent a message
 
-	// Datagrams sent by this VM and forwarded for others, messages received, failures to read,
-	// decode, encode or send, and cache changes that were not sent because there were too many.
+	// Sent counts the datagrams of this VM, Forwarded those that it forwarded for others, Received
+	// the messages received, Rejected the failures to read, decode, encode or send a message, and
+	// Dropped the cache changes that were not sent because there were too many.
 	Sent, Forwarded, Received, Rejected, Dropped atomic.Int64
 }
 
-// SetPeers replaces the list of peers. all may include this VM and VMs without an address, which
-// SetPeers leaves out. It is safe to call while the exchange runs.
+// SetPeers replaces the list of peers. all may include VMs without an address, to which this VM
+// sends no loads. It must include this VM if the fleet is large enough for the tree, since the
+// position of a VM in the tree depends on its own entry. It is safe to call while the exchange runs.
 func (x *Exchange) SetPeers(all []Peer) {
 	var sameDomain, crossDomain []Peer
 	for _, p := range all {
@@ -397,8 +401,9 @@
 	return time.Duration(len(x.peerList())) * time.Second / messagesPerSecond
 }
 
-// sendOwnLoads sends one round of loads, unresponsive engines, recent weights and so on. It
-// skips up to maxSkippedRounds rounds that have nothing to send.
+// sendOwnLoads sends one round of all state that is repeated in every round: loads, unresponsive
+// targets, recent weights, a lapse of the lease, crashes, uses and rate limits. It skips up to
+// maxSkippedRounds consecutive rounds that have nothing to send.
 func (x *Exchange) sendOwnLoads() {
 	var loads []Load
 	x.Load.Own(func(t ids.Target, l loadview.PeerLoad) {
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -12,6 +12,8 @@
 	"github.com/threadwall/threadwall/internal/ratelimit"
 )
 
+// newExchange returns an exchange of vm0 that knows the targets e1 and e2, has nothing to report
+// and ignores what peers report.
 func newExchange() *Exchange {
 	return &Exchange{
 		VM: "vm0", FailureDomain: "z", TreeFrom: 100, Load: loadview.New(), OnOrder: func(Order) {}, OnUnresponsive: func(ids.VM, []ids.Target) {},
@@ -58,12 +60,13 @@
 		}
 		time.Sleep(time.Second)
 		if x.SeenWithin("vm1", 2*time.Second) {
-			t.Error("vm1 still counts as seen 2 s after its last message")
+			t.Error("vm1 counts as seen within 2 s although its last message is 2 s old")
 		}
 	})
 }
 
-// TestRecentWeightsReceived checks that a message with recent weights and loads delivers both.
+// TestRecentWeightsReceived checks that a VM applies both the recent weights and the loads of one
+// message.
 func TestRecentWeightsReceived(t *testing.T) {
 	x := newExchange()
 	var received []RecentWeights
--- a/internal/news/relay.go
+++ b/internal/news/relay.go
@@ -17,8 +17,9 @@
 // differs from sender to sender, which spreads the load. Measured with 82 VMs in 4 domains over
 // 48 s: without relays, 225 MB of these messages crossed domain boundaries.
 //
-// A relay that has failed costs a sender its messages to that domain until the sender notices.
-// Messages that must not be lost are sent twice, by different relays.
+// If a relay fails, the messages that a VM sends through it are lost until the VM has seen no
+// message from the relay for relayTimeout. Messages that must not be lost are sent twice, through
+// different relays.
 
 const (
 	// relayThreshold is the number of VMs of another domain beyond which a relay is used. In
@@ -28,8 +29,9 @@
 	relayTimeout = 3 * time.Second
 )
 
-// send sends a message to all peers. Copies of one message go through different relays. A failed
-// send counts as a lost datagram.
+// send sends a message to all peers. copy is the number of the copy if a message is sent several
+// times: the copies go through different relays. send counts datagrams that cannot be sent in
+// Rejected and does not retry them.
 func (x *Exchange) send(m Message, copy int) {
 	data, err := Encode(&m)
 	if err != nil || len(data) > maxDatagram {
@@ -74,7 +76,7 @@
 	relay bool // it forwards the message within its domain
 }
 
-// receivers returns the peers to which this VM sends a message.
+// receivers returns the peers to which this VM sends a copy of a message.
 func (x *Exchange) receivers(copy int) []receiver {
 	var out []receiver
 	domains := map[ids.FailureDomain][]Peer{}
--- a/internal/news/relay_test.go
+++ b/internal/news/relay_test.go
@@ -53,7 +53,7 @@
 		held, dropped int
 	}{{[]cacheview.Change{held, gone}, 0, 1}, {[]cacheview.Change{gone, held}, 1, 0}} {
 		if g := groupChanges(c.changes); len(g) != 1 || len(g[0].Held) != c.held || len(g[0].Dropped) != c.dropped {
-			t.Errorf("%v became %+v", c.changes, g)
+			t.Errorf("%v became %+v, want one entry with only the last change", c.changes, g)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// fleetOf starts n VMs in each of the domains and lists them all as peers of each other.
+// fleetOf starts n VMs in each of the domains and makes all of them peers of each other.
 func fleetOf(t *testing.T, n int, domains ...ids.FailureDomain) []*Exchange {
 	t.Helper()
 	var all []*Exchange
--- a/internal/news/tree.go
+++ b/internal/news/tree.go
@@ -12,9 +12,9 @@
 )
 
 // In fleets of more than Exchange.TreeFrom VMs messages are aggregated over a tree, so that the
-// cost per VM does not grow with the number of VMs. Without it, messages went one by one to the
-// VMs of the own failure domain: each of 195 VMs received 200 datagrams per second (computed from
-// the round interval) and knew of no load outside its domain. Each domain also read the cache
+// cost per VM does not grow with the number of VMs. Without a tree, each VM sent its messages to
+// every VM of its own failure domain: each of 195 VMs received 200 datagrams per second (computed
+// from the round interval) and knew of no load outside its domain. Each domain also read the cache
 // feeds of all others, so that a feed had more readers than slots.
 //
 // The VMs of a failure domain are sorted, widest links first. Each VM reports to the first one
@@ -25,13 +25,15 @@
 //	VM <── total ─── root <── report ── roots of other domains
 //
 // A VM subtracts its own share from the total: the total lists the round of each VM that it
-// includes. A VM skips a parent that sends no total for parentTimeout until that parent announces
-// itself. A parent always precedes its children in the order, so parents cannot form a cycle. A
-// VM that has children and is not a root forwards between the two. Domains on different
-// sides of a partition have separate trees, each without the sums of the other side.
+// includes. If a parent sends no total for parentTimeout, its children skip it for
+// avoidUnannounced, or for avoidAnnounced if it announces itself in that time. A parent always
+// precedes its children in the order, so parents cannot form a cycle. A VM that has children and
+// is not a root adds their reports to its own and sends them the total of its parent. Domains on
+// different sides of a partition have separate trees, each without the sums of the other side.
 //
-// State that is sent once (orders, cache changes) travels as events of the VM that sent it;
-// events that must not be lost are sent twice.
+// State that is not repeated in every round (orders, KV cache stores that do not answer, cache
+// changes) travels as events. The VM that issues an order sends the event in two rounds, since
+// datagrams get lost.
 
 const (
 	// treeRoundInterval is the longest interval between two rounds of the tree. treeOrderDelay is
@@ -58,11 +60,11 @@
 	// ownRoundHistory is the number of its own rounds that a VM stores, to subtract them from
 	// totals.
 	ownRoundHistory = 32
-	// maxEvents bounds the cache changes in a digest, in entries of about 9 bytes. Together with
-	// the other kinds of events, a datagram then stays within maxDatagram.
-	maxEvents = 900
-	// maxQueued bounds the cache changes that wait to be forwarded.
-	maxQueued = 4 * maxEvents
+	// maxDigestCacheChanges bounds the cache changes in a digest, in entries of about 9 bytes each,
+	// so that a digest with all other kinds of state stays within maxDatagram.
+	maxDigestCacheChanges = 900
+	// maxQueuedCacheChanges bounds the cache changes that wait to be forwarded.
+	maxQueuedCacheChanges = 4 * maxDigestCacheChanges
 )
 
 // tree is this VM's state in the tree. It is safe for concurrent use.
@@ -71,9 +73,9 @@
 	parentCandidates      []Peer                       // VMs of the own domain that precede this one
 	otherDomains          map[ids.FailureDomain][]Peer // VMs of the other domains, sorted
 	peers                 map[shortVM]Peer
-	children              map[ids.VM]receivedDigest
-	roots                 map[ids.VM]receivedDigest
-	total                 receivedDigest // last total of the parent
+	children              map[ids.VM]receivedDigest // last report of each child
+	roots                 map[ids.VM]receivedDigest // last report of each root of another domain
+	total                 receivedDigest            // last total of the parent
 	parent                ids.VM
 	parentSince           time.Time // time at which this VM chose its parent
 	avoided               map[ids.VM]avoidance
@@ -81,14 +83,14 @@
 	own                   [ownRoundHistory][]Load          // loads by round
 	ownUses               [ownRoundHistory][]allowance.Use // uses by round
 	eventsUp, eventsDown  []event                          // to be sent to the parent or the other roots, and to the children
-	repeatEvents          []event                          // sent in the last round, to be sent once more
+	repeatEvents          []event                          // own orders that dueEvents queues again for a second round
 	rootUnknownSince      map[ids.FailureDomain]uint64     // round since which the root of a domain is unknown
 	unresponsiveReporters map[ids.VM]bool                  // VMs whose last report listed unresponsive targets
 	dropped               int64                            // cache changes dropped since the last takeDropped
-	wake                  chan struct{}
+	wake                  chan struct{}                    // receives a value if the next round must start early
 }
 
-// avoidance is the state of a parent that sent no total. The zero value avoids nothing.
+// avoidance is the state of a skipped parent. The zero value is not active.
 type avoidance struct {
 	since     time.Time
 	announced bool // it has announced itself since
@@ -113,7 +115,7 @@
 // treeKey is the rendezvous key that ranks VMs with equal links.
 const treeKey ids.Target = "news tree"
 
-// setPeers replaces the list of VMs, which includes this one.
+// setPeers replaces the list of VMs, which must include this one.
 func (t *tree) setPeers(self ids.VM, domain ids.FailureDomain, all []Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -166,7 +168,7 @@
 // exceed maxQueued: a missing cache entry costs one computation at most. The caller holds the
 // lock.
 func (t *tree) appendEvent(q []event, e event) []event {
-	if n := cacheEntries([]event{e}); n > 0 && cacheEntries(q)+n > maxQueued {
+	if n := cacheEntries([]event{e}); n > 0 && cacheEntries(q)+n > maxQueuedCacheChanges {
 		t.dropped += int64(n)
 		e.CacheChanges = nil
 	}
@@ -196,7 +198,7 @@
 func splitEvents(q []event) (now, later []event) {
 	n := 0
 	for i := range q {
-		if n += cacheEntries(q[i : i+1]); n > maxEvents && i > 0 {
+		if n += cacheEntries(q[i : i+1]); n > maxDigestCacheChanges && i > 0 {
 			return q[:i], slices.Clone(q[i:])
 		}
 	}
@@ -235,8 +237,8 @@
 	return m
 }
 
-// forwardEvents queues received events: those of children for the parent or the other roots, and
-// all for the children. The caller holds the lock.
+// forwardEvents queues received events for the children and, if up is set, for the parent or the
+// other roots. The caller holds the lock.
 func (t *tree) forwardEvents(events []event, up bool) {
 	for _, e := range events {
 		if up {
@@ -277,9 +279,9 @@
 	return b
 }
 
-// peerAnnounced records that a VM has announced itself. It may become the parent again
-// once it has been skipped for avoidAnnounced: a VM that can send but not receive announces
-// itself, too.
+// peerAnnounced records that a VM has announced itself. If this VM skips it as a parent, the skip
+// then ends avoidAnnounced after it began. It does not end at once, since a VM that can send but
+// not receive announces itself, too.
 func (t *tree) peerAnnounced(vm ids.VM) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -323,8 +325,8 @@
 	return out
 }
 
-// dueEvents returns the events to send in this round, and queues those that are sent twice for
-// the next one. The caller holds the lock.
+// dueEvents returns the events to send in this round, and queues the remaining ones and those that
+// are sent twice for the next round. The caller holds the lock.
 func (t *tree) dueEvents() (up, down []event) {
 	up, moreUp := splitEvents(t.eventsUp)
 	down, moreDown := splitEvents(t.eventsDown)
@@ -354,7 +356,7 @@
 	return &total
 }
 
-// unexpired returns the digests that are still valid, and deletes the others.
+// unexpired returns the digests that are not older than reportTTL, and deletes the others.
 func unexpired(m map[ids.VM]receivedDigest, now time.Time) []receivedDigest {
 	var out []receivedDigest
 	for vm, h := range m {
@@ -396,7 +398,8 @@
 	return out
 }
 
-// subtractOwn subtracts this VM's own loads and uses from a total.
+// subtractOwn subtracts from a total what it includes of this VM: the loads and uses of the round
+// that members lists for it. It changes total in place.
 func (t *tree) subtractOwn(self ids.VM, total []Load, uses []allowance.Use, members []member) ([]Load, []allowance.Use) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -433,7 +436,7 @@
 	return p, ok && p.VM == vm
 }
 
-// peerByShort returns the peer with the given short name; false: it is not listed.
+// peerByShort returns the peer whose name has the given hash; false: it is not listed.
 func (t *tree) peerByShort(vm shortVM) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/news/tree_exchange.go
+++ b/internal/news/tree_exchange.go
@@ -32,7 +32,7 @@
 	x.sendTreeRound(clock.Now())
 }
 
-// sendTreeRound sends one round.
+// sendTreeRound sends one round: a report, and a total if there is one.
 func (x *Exchange) sendTreeRound(now time.Time) {
 	x.enqueueCacheChanges()
 	x.Dropped.Add(x.tree.takeDropped())
@@ -56,7 +56,7 @@
 // enqueueCacheChanges queues this VM's cache changes as events.
 func (x *Exchange) enqueueCacheChanges() {
 	for changes := x.CacheChanges(); len(changes) > 0; {
-		n := min(len(changes), maxEvents/2)
+		n := min(len(changes), maxDigestCacheChanges/2)
 		x.tree.enqueue(event{VM: shortenVM(x.VM), CacheChanges: groupChanges(changes[:n])})
 		changes = changes[n:]
 	}
--- a/internal/news/tree_exchange_test.go
+++ b/internal/news/tree_exchange_test.go
@@ -73,6 +73,6 @@
 		t.Errorf("unresponsive targets of otherA0: %v, want e2", s)
 	}
 	if !x.SeenWithin("far0", time.Second) || x.SeenWithin("otherA1", time.Second) {
-		t.Error("the VMs seen are not the members of the total")
+		t.Error("want far0, a member of the total, to be seen and otherA1, not a member, not to be seen")
 	}
 }
--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -207,7 +207,7 @@
 	f := newTreeFleet(t, 6, 33, 0)
 	f.all = f.all[:195]
 	f.run(2 * time.Second)
-	f.expect("at rest", 0)
+	f.expect("without faults", 0)
 
 	clear(f.sent)
 	f.run(2 * time.Second)
@@ -256,8 +256,8 @@
 	}
 }
 
-// TestTreeAfterAllStart starts all VMs at the same time, except the first two of each domain. The VMs
-// skip each of the two after 0.6 s, and the remaining roots find each other within 0.6 s more.
+// TestTreeAfterAllStart starts all VMs at the same time, except the first two of each domain. The
+// others skip each of the two after 0.6 s, and the new roots find each other within 0.6 s more.
 func TestTreeAfterAllStart(t *testing.T) {
 	f := newTreeFleet(t, 17, 22, 0)
 	for i, p := range f.all {
@@ -288,15 +288,15 @@
 // them: the order must stay queued, and the dropped changes must be counted.
 func TestTreeCountsDroppedChanges(t *testing.T) {
 	tr := &tree{}
-	for range maxQueued/100 + 5 {
+	for range maxQueuedCacheChanges/100 + 5 {
 		tr.enqueue(event{VM: 1, CacheChanges: []wireCache{{Target: 7, Held: make([]uint64, 99)}}})
 	}
 	tr.enqueue(event{VM: 1, Orders: []Order{{Target: "e1"}}})
 	if n := tr.takeDropped(); n < 5*100 || tr.takeDropped() != 0 {
-		t.Errorf("%d changes count as dropped", n)
+		t.Errorf("%d changes count as dropped, want at least 500, and none in a second call", n)
 	}
-	if last := tr.eventsUp[len(tr.eventsUp)-1]; len(last.Orders) != 1 || cacheEntries(tr.eventsUp) > maxQueued {
-		t.Errorf("%d changes are queued, and the last event is %+v", cacheEntries(tr.eventsUp), last)
+	if last := tr.eventsUp[len(tr.eventsUp)-1]; len(last.Orders) != 1 || cacheEntries(tr.eventsUp) > maxQueuedCacheChanges {
+		t.Errorf("%d changes are queued, want at most maxQueued, and the last event is %+v, want the order", cacheEntries(tr.eventsUp), last)
 	}
 }
 
@@ -315,8 +315,9 @@
 	}
 }
 
-// TestTreeRootThatReceivesNothing cuts a root off in one direction: it announces itself, but receives
-// nothing. The other VMs must reconnect and retry it only now and then.
+// TestTreeRootThatReceivesNothing partitions a root in one direction: it announces itself, but
+// receives nothing. The other VMs must choose another root, and retry this one so rarely that their
+// loads are wrong in at most 40% of the checks.
 func TestTreeRootThatReceivesNothing(t *testing.T) {
 	f := newTreeFleet(t, 6, 33, 0)
 	f.run(2 * time.Second)
--- a/internal/news/wire.go
+++ b/internal/news/wire.go
@@ -15,10 +15,11 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// A datagram is CBOR with numbered fields. Targets are identified by 32 bits of their hash: a
-// load takes 10 bytes and a cache entry 9, against 42 and 70 as JSON with full names. Two
-// targets in the view of one VM that have the same 32 bits (0.08% of fleets of 2,600) would
-// share their reports; loads and cache entries only bias a choice.
+// A datagram is CBOR with numbered fields. Except in orders, targets are identified by 32 bits of
+// their hash: a load takes 10 bytes and a cache entry 9, against 42 and 70 as JSON with full
+// names. If two targets in the view of one VM have the same 32 bits (in 0.08% of fleets of 2,600
+// targets), a report on one may count for the other. Loads and cache entries only bias the choice
+// of a target, so this makes a choice worse but not wrong.
 
 // shortID identifies a target in a datagram by the low 32 bits of its hash.
 type shortID uint32
@@ -64,14 +65,13 @@
 	Dropped    []uint64
 }
 
-// The first byte of a datagram is the action of its receiver.
+// The first byte of a datagram says what its receiver does with it.
 const (
 	actionDeliver = 0 // handle it
-	actionForward = 1 // handle it and forward it, as actionDeliver, to the other VMs of the failure domain
+	actionForward = 1 // handle it and forward it, as actionDeliver, to the other VMs of its failure domain
 )
 
-// Encode returns the datagram for m, marked as not to be forwarded. Encode does not check that it
-// fits in a datagram.
+// Encode returns the datagram for m, marked as not to be forwarded. It does not check the size.
 func Encode(m *Message) ([]byte, error) {
 	w := wireMessage{
 		VM: m.VM, Seq: m.Seq, Incarnation: m.Incarnation, Order: m.Order, RecentWeights: m.RecentWeights,
@@ -88,7 +88,8 @@
 	return append([]byte{actionDeliver}, data...), eris.Wrap(err, "encode peer message")
 }
 
-// decode parses a datagram and leaves out state of targets that resolve does not know.
+// decode parses a datagram. It leaves out loads, rate limits, unresponsive targets and cache
+// changes of targets that resolve does not know.
 func decode(data []byte, resolve func(short uint32) (ids.Target, bool)) (Message, error) {
 	if len(data) == 0 || data[0] > actionForward {
 		return Message{}, errMalformed
