--- a/internal/peers/node.go
+++ b/internal/peers/node.go
@@ -1,6 +1,6 @@
 // Package peers implements the communication between entry VMs: heartbeats and updates within
-// the failure domain, exchange of configuration by revision, and transfer of state to a
-// starting VM.
+// the failure domain (in small fleets between all VMs), summaries between failure domains,
+// exchange of configuration by revision, and transfer of state to a starting VM.
 package peers
 
 import (
@@ -41,7 +41,9 @@
 )
 
 // Node exchanges heartbeats, updates and configuration with the peers of this VM. The exported
-// fields are set before Init.
+// fields are set before Init, except Leaving and the counters. AdvanceHeartbeat and
+// CollectDispatches must be called by one goroutine; all other methods are safe for concurrent use
+// after Init.
 type Node struct {
 	VM          ids.VM
 	Domain      ids.FailureDomain
@@ -51,14 +53,15 @@
 	Platform    *confsync.Store
 	Allowances  *allowance.Limiter
 	Events      *timeline.Log
-	// Crashes are the requests during which targets crashed. If nil, none are reported to peers.
+	// Crashes stores the requests that were in progress when targets crashed. Nil: the node sends
+	// and receives none.
 	Crashes *quarantine.Ledger
 
-	Leaving     atomic.Bool
+	Leaving     atomic.Bool // set once this VM shuts down; sent in its heartbeats
 	outbox      *gossip.Outbox
 	urgent      chan struct{}
-	counter     atomic.Uint64
-	sentBeat    atomic.Uint64
+	counter     atomic.Uint64 // of the heartbeat
+	sentBeat    atomic.Uint64 // counter of the heartbeat that Broadcast sent last
 	byHash      atomic.Pointer[map[uint32]ids.Target]
 	reportedUse map[uint32]bool // workspaces whose demand was sent with the last heartbeat
 
@@ -68,6 +71,8 @@
 	wanted     *ring.Ring[wantedRevision]
 	stateCalls *semaphore.Weighted // bounds concurrent FetchState calls
 
+	// BytesOut and BytesIn count the bytes of the control traffic, Messages the updates sent, and
+	// Failures the broken streams, failed exchanges of summaries and failed fetches of revisions.
 	BytesOut, BytesIn, Messages, Failures atomic.Int64
 }
 
@@ -96,7 +101,8 @@
 	n.stateCalls = semaphore.NewWeighted(maxStateCalls)
 }
 
-// AdoptPlatform applies a revision of the platform's list; it is a confsync.AdoptFunc.
+// AdoptPlatform applies a revision of the platform's list and skips malformed records. It is a
+// confsync.AdoptFunc.
 func (n *Node) AdoptPlatform(_ objectapi.Revision, objects []objectapi.Object) {
 	records, _ := platform.Decode(objects)
 	n.Fleet.Members.ApplyPlatform(records, clock.Now())
@@ -121,7 +127,8 @@
 
 // targetHash identifies a target in messages. Among a few thousand targets, two share a hash with
 // a probability of one in a thousand; an update about one then counts for the other. That
-// only makes a routing decision worse, since the generations of the two differ as well.
+// only makes a routing decision worse; cache entries are ignored, since the generations of the two
+// differ.
 func targetHash(t ids.Target) uint32 { return uint32(routing.HashTarget(t)) }
 
 // beat returns this VM's heartbeat.
@@ -139,7 +146,7 @@
 	for _, u := range n.Allowances.OwnUse() {
 		sent[u.Workspace] = true
 		n.outbox.Demand(&peerpb.Demand{
-			Workspace: u.Workspace, Decirequests: uint32(allowance.Rate(u.Used) * decisPerUnit), Decioffered: uint32(allowance.Rate(u.Offered) * decisPerUnit),
+			Workspace: u.Workspace, Decirequests: uint32(allowance.Rate(u.Used) * decirequestsPerRequest), Decioffered: uint32(allowance.Rate(u.Offered) * decirequestsPerRequest),
 		})
 	}
 	for ws := range n.reportedUse {
@@ -150,11 +157,12 @@
 	n.reportedUse = sent
 }
 
-// decisPerUnit is the resolution of demand in messages: tenths of a request per second.
-const decisPerUnit = 10
+// decirequestsPerRequest is the resolution of demand in messages: tenths of a request per second.
+const decirequestsPerRequest = 10
 
-// CollectDispatches queues this VM's own dispatches for the next update and reports whether
-// anything is pending.
+// CollectDispatches queues this VM's own dispatches since the last call for the next update: the
+// cache entries and the work that its requests have added to targets. It reports whether anything
+// is pending.
 func (n *Node) CollectDispatches() bool {
 	var last *peerpb.Dispatch
 	for _, e := range n.Fleet.Cache.TakeNewEntries() {
@@ -169,8 +177,9 @@
 	return n.outbox.Pending() || n.Crashes.Pending()
 }
 
-// Broadcast sends the pending updates to every peer of the domain. It includes the heartbeat once
-// per counter value; an urgent update increments the counter.
+// Broadcast sends the pending updates to every peer of the domain, in a small fleet to every peer.
+// It includes the heartbeat once per counter value; an urgent update increments the counter. A
+// sender that Broadcast starts runs until ctx ends or the peer is removed.
 func (n *Node) Broadcast(ctx context.Context, urgent bool) {
 	if urgent {
 		n.counter.Add(1) // peers ignore a heartbeat whose counter they have seen
@@ -200,7 +209,8 @@
 const maxPeersAtShortest = 4
 
 // ExchangeCrossDomain exchanges summaries with a random VM of another domain if this VM is one of
-// its domain's relays.
+// its domain's relays, the live or joining VMs with the lowest names. It counts a failed exchange
+// in Failures.
 func (n *Node) ExchangeCrossDomain(ctx context.Context) {
 	now := clock.Now()
 	var remote []string
@@ -264,13 +274,13 @@
 	}
 	for _, d := range m.Demands {
 		n.Allowances.RecordWorkspaceUse(vm, allowance.Use{
-			Workspace: d.Workspace, Used: allowance.Sum(float64(d.Decirequests) / decisPerUnit), Offered: allowance.Sum(float64(d.Decioffered) / decisPerUnit),
+			Workspace: d.Workspace, Used: allowance.Sum(float64(d.Decirequests) / decirequestsPerRequest), Offered: allowance.Sum(float64(d.Decioffered) / decirequestsPerRequest),
 		})
 	}
 }
 
-// applyBeat applies a heartbeat. addr is where a newer configuration can be fetched from the VM;
-// if empty, it is looked up.
+// applyBeat applies a heartbeat and queues the fetch of newer revisions that it announces. addr is
+// the address from which to fetch them; if empty, fetch looks it up.
 func (n *Node) applyBeat(vm ids.VM, incarnation uint64, b *peerpb.Beat, addr string) {
 	if b == nil || !n.Fleet.Members.Heartbeat(vm, ids.Incarnation(incarnation), b.Counter, b.ConfigRevision, b.Leaving, clock.Now()) {
 		return
@@ -333,5 +343,6 @@
 	}
 }
 
-// DroppedUpdates returns how many items were dropped because they did not fit in a message.
+// DroppedUpdates returns how many dispatches and loads were dropped because they did not fit in
+// the queue or in a message.
 func (n *Node) DroppedUpdates() uint64 { return n.outbox.Dropped() }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -28,8 +28,8 @@
 }
 
 // Publish applies this VM's own report on a target, r, and queues it for the peers if it differs
-// enough from sent, the last report sent to them, or if sentAt, the time of that report, is too
-// long ago. It reports whether r was queued.
+// enough from sent, the last report sent to them, or if sentAt, the time of that report, is more
+// than reportInterval ago. It reports whether r was queued.
 func (n *Node) Publish(id ids.Target, r, sent membership.Report, sentAt, now time.Time) bool {
 	before := n.Fleet.Members.State(id, now)
 	if !n.Fleet.Members.ApplyReport(id, r, now) {
--- a/internal/peers/sender.go
+++ b/internal/peers/sender.go
@@ -13,7 +13,7 @@
 )
 
 // sender keeps a stream to one peer open. A peer that does not read blocks only its
-// own sender; updates for it are then dropped and counted.
+// own sender; updates for it are then dropped.
 type sender struct {
 	n    *Node
 	vm   ids.VM
@@ -33,9 +33,10 @@
 // routed over all targets.
 const smallFleetPeers = 24
 
-// updateSenders returns the senders to all peers of the domain, and starts and stops senders as
-// VMs are added and removed. A dead VM keeps its sender as long as it is listed: a heartbeat
-// through it is how the VM recovers from a false suspicion.
+// updateSenders returns the senders to all peers of the domain, in a small fleet to all peers, and
+// starts and stops senders as VMs are added and removed. A dead VM keeps its sender until
+// membership drops the VM: otherwise two VMs that wrongly take each other for dead would get no
+// heartbeat by which to recover.
 func (n *Node) updateSenders(ctx context.Context) []*sender {
 	wanted := map[ids.VM]string{}
 	peers := n.Fleet.Members.Peers(clock.Now())
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -17,13 +17,14 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Server implements the gRPC service that peers call.
+// Server implements the gRPC service that peers call. It is safe for concurrent use.
 type Server struct {
 	peerpb.UnimplementedPeerServer
 	Node *Node
 }
 
-// Tell implements peerpb.PeerServer.
+// Tell applies the updates that a peer sends on a stream, until the stream ends. The first one must
+// name the sending VM. Tell implements peerpb.PeerServer.
 func (s *Server) Tell(in grpc.ClientStreamingServer[peerpb.News, peerpb.TellEnd]) error {
 	first, err := in.Recv()
 	if err != nil {
@@ -40,13 +41,15 @@
 	}
 }
 
-// Exchange implements peerpb.PeerServer.
+// Exchange applies the summary of a VM of another domain and returns this VM's own. It implements
+// peerpb.PeerServer.
 func (s *Server) Exchange(_ context.Context, m *peerpb.Summary) (*peerpb.Summary, error) {
 	s.Node.applySummary(m, "")
 	return s.Node.summary(), nil
 }
 
-// FetchConfig implements peerpb.PeerServer.
+// FetchConfig returns the changes of a key space since a revision, or all of it if the changes
+// cannot be computed. It implements peerpb.PeerServer.
 func (s *Server) FetchConfig(_ context.Context, r *peerpb.ConfigRequest) (*peerpb.ConfigSnapshot, error) {
 	return snapshotProto(s.Node.space(r.KeySpace).Since(objectapi.Revision(r.Have))), nil
 }
@@ -55,7 +58,8 @@
 // VM's table holds, 8 bytes each.
 const maxStateEntries = 128 << 10
 
-// FetchState implements peerpb.PeerServer.
+// FetchState returns the state that a starting VM needs. It fails with ResourceExhausted if
+// maxStateCalls calls are running. It implements peerpb.PeerServer.
 func (s *Server) FetchState(_ context.Context, r *peerpb.StateRequest) (*peerpb.StateSnapshot, error) {
 	n := s.Node
 	if !n.stateCalls.TryAcquire(1) {
@@ -98,7 +102,8 @@
 	return out
 }
 
-// FetchState fetches the state that a starting VM needs from one peer and applies it.
+// FetchState fetches the state that a starting VM needs from the peer at addr and applies it. It
+// has no timeout other than ctx, and applies nothing if it returns an error.
 func (n *Node) FetchState(ctx context.Context, addr string) error {
 	c, err := n.client(addr)
 	if err != nil {
@@ -137,8 +142,8 @@
 	return n.Config
 }
 
-// Adopt offers a revision of a key space to its store, records an adoption in the timeline and
-// returns the result of the offer.
+// Adopt offers a revision of a key space to its store, records an adoption in the timeline with
+// its source, from, and returns the result of the offer.
 func (n *Node) Adopt(k peerpb.KeySpace, s confsync.Snapshot, from string) confsync.OfferResult {
 	result := n.space(k).Offer(s)
 	if result == confsync.Adopted {
@@ -157,7 +162,8 @@
 	Deleted  int                `json:"deleted,omitempty"`
 }
 
-// FetchWanted fetches newer revisions that peers have announced, until ctx ends.
+// FetchWanted fetches newer revisions that peers have announced, one after the other, until ctx
+// ends. It counts failed calls in Failures.
 func (n *Node) FetchWanted(ctx context.Context) {
 	for {
 		select {
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -8,7 +8,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// suspectsProto encodes reports on requests during which targets crashed.
+// suspectsProto encodes reports on requests that were in progress when targets crashed.
 func suspectsProto(reports []quarantine.Report) []*peerpb.Suspect {
 	out := make([]*peerpb.Suspect, 0, len(reports))
 	for i := range reports {
@@ -22,8 +22,9 @@
 	return out
 }
 
-// applySuspects applies a peer's reports on requests during which targets crashed. It skips
-// reports whose fingerprint has the wrong length.
+// applySuspects applies a peer's reports on requests that were in progress when targets crashed. It
+// skips reports whose fingerprint is too short. forward is set if this VM passes the reports on to
+// its own domain.
 func (n *Node) applySuspects(from ids.VM, suspects []*peerpb.Suspect, forward bool) {
 	if n.Crashes == nil || len(suspects) == 0 {
 		return
@@ -44,9 +45,9 @@
 	n.Crashes.Receive(from, reports, forward)
 }
 
-// FleetRank returns how many VMs rank before this one, by rendezvous weight, for a task that one
-// VM of the fleet does. VMs of other domains count as alive: waiting for one that is dead only
-// costs time.
+// FleetRank returns how many VMs rank before this one, by rendezvous weight of name, for a task
+// that one VM of the fleet does. VMs of other domains count as alive: waiting for one that is dead
+// only costs time.
 func (n *Node) FleetRank(name ids.Target) int {
 	own, before := routing.VMWeight(name, n.VM), 0
 	for _, p := range n.Fleet.Members.Peers(clock.Now()) {
