--- a/internal/membership/contact.go
+++ b/internal/membership/contact.go
@@ -45,8 +45,8 @@
 	return now.Before(m.suspectUntil) && now.Sub(m.seenAt) >= ownContactPrecedence
 }
 
-// SetLostByPeer records all targets to which a peer's long-lived calls fail. It replaces what
-// was recorded for that peer.
+// SetLostByPeer records that the given targets are all those to which a peer's long-lived calls
+// fail. It replaces what was recorded for that peer.
 func (t *Table) SetLostByPeer(peer ids.VM, lost []ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,9 +101,10 @@
 }
 
 // TimedOut records that a request of this VM, sent at the given time, got nothing from
-// the target for too long. If the target was seen since, it is slow or hangs some requests:
-// that raises its failure rate, and with it its cost, but does not count toward the breaker.
-// Under load all targets are slow, and taking some out makes the others slower still.
+// the target for too long. This raises the target's failure rate, and with it its cost. If this VM
+// has seen the target since it sent the request, the target is slow or does not answer some
+// requests, and the time-out does not count toward the breaker: under load all targets are slow,
+// and taking some out makes the others slower still.
 func (t *Table) TimedOut(id ids.Target, sent, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/failrate.go
+++ b/internal/membership/failrate.go
@@ -8,15 +8,15 @@
 // failRate is the recent fraction of attempts that failed. It decays over time, so that
 // a target which gets no requests because of it is tried again.
 type failRate struct {
-	value float64
+	value float64   // without the decay since at
 	at    time.Time // of the last failure
 }
 
 const (
 	// failGain is the weight of one attempt: three failures of ten show as 0.4.
 	failGain = 0.25
-	// failedCallGain is the weight of a failure that was returned to the caller: the call may
-	// be at fault as well as the target.
+	// failedCallGain is the weight of a failure that was returned to the caller. It is smaller,
+	// since the call may be at fault as well as the target.
 	failedCallGain = 0.1
 	// failHalfLife is the half-life of the rate while nothing fails.
 	failHalfLife = 3 * time.Second
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -5,18 +5,20 @@
 // Rules:
 //
 //   - No source alone declares a target dead. One source against it makes it
-//     suspect: it gets work only when nothing better is left. Two make it dead.
-//     Any later proof of life from the same source reverses this.
+//     suspect: it gets work only if no better target is available. Two make it
+//     dead. Later evidence from the same source that the target is up reverses
+//     this.
 //   - Leaving is accepted from any source and holds for that incarnation: a
 //     target that was asked to leave must get no new work, also while the platform
-//     can't be reached.
+//     cannot be reached.
 //   - A larger incarnation means that the target has restarted: it begins as
 //     joining, without the load and failures of the previous incarnation.
-//   - The state of a VM follows from the counter in its heartbeats alone. The
-//     platform's list says which VMs to expect; it can't revive a VM that sends no
-//     heartbeats.
+//   - Whether a VM is live follows from the counter in its heartbeats. The
+//     platform's list says which VMs to expect and which are leaving; it cannot
+//     make a VM live that sends no heartbeats.
 //
-// Table is a plain state machine over explicit times; it starts no goroutine.
+// Table is a plain state machine; it starts no goroutine. Callers pass the current
+// time, except to MarkLeaving.
 package membership
 
 import (
@@ -32,16 +34,17 @@
 
 // Tuning holds the delays of the state machine.
 type Tuning struct {
-	// SuspectAfter is the time without a message after which a member is suspect. Default 3s.
+	// SuspectAfter is the time without a heartbeat after which a VM is suspect, or dead if the
+	// platform does not list it. Default 3s.
 	SuspectAfter time.Duration
 	// DeadAfter is the time without a heartbeat after which a VM is dead. Default 10s.
 	DeadAfter time.Duration
 	// SlowStart is how long a new incarnation of a target is joining. Default 10s.
 	SlowStart time.Duration
-	// Failures is how many failures in a row open a target's breaker. Default 3.
+	// Failures is how many consecutive failures open a target's breaker. Default 3.
 	Failures int
 	// BreakerOpen is how long a failing target gets no work from this VM before
-	// one trial request is allowed. Default 2s.
+	// one trial request is allowed. It doubles with each further failure. Default 2s.
 	BreakerOpen time.Duration
 	// Grace is how long a listed VM is joining before its first heartbeat, and how long a
 	// target without a report is not suspect. Default 5s.
@@ -59,11 +62,11 @@
 	Incarnation  ids.Incarnation
 	Seq          uint64 // orders reports of one incarnation
 	QueuedTokens int
-	Running      int
-	Slots        int
+	Running      int     // requests in progress
+	Slots        int     // most requests in progress at the same time; zero: not known
 	PrefillRate  float64 // tokens/s
 	Leaving      bool
-	Silent       bool // the prober got no response for SuspectAfter
+	Silent       bool // the prober got no response to several consecutive probes
 	Weights      ids.WeightsVersion
 }
 
@@ -76,8 +79,8 @@
 	startedAt    time.Time
 	leaving      bool
 	firstSeen    time.Time
-	fails        int
-	lastFail     time.Time
+	fails        int       // consecutive failures, for the breaker
+	lastFail     time.Time // when the latest failure or trial was
 	failRate     failRate
 	seenAt       time.Time            // when this VM last received an event, a response or its feed
 	unreachable  bool                 // a long-lived call of this VM to it has failed
@@ -96,12 +99,12 @@
 	firstSeen   time.Time
 	incarnation ids.Incarnation
 	counter     uint64
-	advancedAt  time.Time
+	advancedAt  time.Time // when this VM received counter
 	leaving     bool
-	revision    uint64
+	revision    uint64 // of its configuration
 }
 
-// Table holds all members. Safe for concurrent use.
+// Table holds all targets and entry VMs. It is safe for concurrent use.
 type Table struct {
 	// Limits are the rate limits that targets announce.
 	Limits *ratelimit.Limiter
@@ -113,7 +116,7 @@
 	targets map[ids.Target]*target
 	signals map[ids.Target]*signalState
 	peers   map[ids.VM]*peer
-	version uint64 // increases when the set of targets or a descriptor changes
+	version uint64 // see Version
 }
 
 // New returns an empty table for this VM.
@@ -121,8 +124,8 @@
 	return &Table{Limits: ratelimit.New(nil), self: self, tuning: tuning, targets: map[ids.Target]*target{}, signals: map[ids.Target]*signalState{}, peers: map[ids.VM]*peer{}}
 }
 
-// ApplyPlatform applies the platform's complete list. Members that are missing from it become
-// unlisted, which counts as one source against a target.
+// ApplyPlatform applies the platform's complete list. Targets and VMs that are missing from it
+// become unlisted, which counts as one source against a target.
 func (t *Table) ApplyPlatform(records []platform.Record, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,7 +166,8 @@
 	m.applySignals(t.signals[ids.Target(r.ID)])
 }
 
-// restart begins a new incarnation if inc is larger than the known one.
+// restart begins a new incarnation if inc is larger than the known one. If inc is the known one,
+// it only sets the weights, unless w is empty.
 func (m *target) restart(inc ids.Incarnation, w ids.WeightsVersion, now time.Time) {
 	if inc == m.incarnation && w != "" {
 		m.weights = w
@@ -196,9 +200,9 @@
 	return p
 }
 
-// Heartbeat applies a VM's heartbeat, received directly or forwarded. Only a
-// counter that advances within the latest incarnation is proof of life. It
-// returns whether the heartbeat was new.
+// Heartbeat applies a VM's heartbeat, received directly or forwarded. It ignores a heartbeat of
+// an earlier incarnation, or of the latest one if its counter has not advanced: a late copy is no
+// evidence that the VM is alive. It returns whether the heartbeat was new.
 func (t *Table) Heartbeat(id ids.VM, inc ids.Incarnation, counter, revision uint64, leaving bool, now time.Time) bool {
 	if id == t.self {
 		return false
@@ -219,7 +223,7 @@
 }
 
 // ApplyReport applies a report on a target, from this VM's probe or from a peer. It returns
-// whether the report was new.
+// whether the report was new and the target known.
 func (t *Table) ApplyReport(id ids.Target, r Report, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -266,7 +270,8 @@
 }
 
 // FailedCall records that the target answered a request of this VM with a failure that was
-// returned to the caller. The target is alive and may be healthy, so this opens no breaker.
+// returned to the caller. The target is alive and may be healthy, so this raises its failure rate
+// but closes its breaker.
 func (t *Table) FailedCall(id ids.Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,7 +281,7 @@
 	}
 }
 
-// Remove drops a target that is known to be gone.
+// Remove drops a target that is known to be gone. Its signals stay.
 func (t *Table) Remove(id ids.Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -304,7 +309,8 @@
 	}
 }
 
-// MarkLeaving records that the target itself refused work because it is leaving, or has ended.
+// MarkLeaving records that an incarnation of the target is leaving or has ended, as a response of
+// the target or of another one at its address has shown.
 func (t *Table) MarkLeaving(id ids.Target, inc ids.Incarnation) {
 	now := clock.Now()
 	t.mu.Lock()
@@ -316,9 +322,10 @@
 	}
 }
 
-// Trying records that a request is sent to the target. If the target's breaker time has just
-// ended, the request is its trial: the breaker stays open for other requests until the trial
-// ends or another breaker time is over. It returns whether the request is a trial.
+// Trying records that a request is sent to the target. If the target has failed Tuning.Failures
+// times in a row, the request is a trial: the breaker stays open for other requests until the
+// trial succeeds or the time of the breaker has passed again. It returns whether the request is a
+// trial.
 func (t *Table) Trying(id ids.Target, now time.Time) (trial bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -330,11 +337,12 @@
 	return true
 }
 
-// maxBreakerDoublings bounds the breaker's growth: 16 times BreakerOpen.
+// maxBreakerDoublings bounds the time for which a breaker is open to 16 times BreakerOpen.
 const maxBreakerDoublings = 4
 
-// breakerOpen reports whether the target gets no work from this VM for now. The
-// time doubles with each failure beyond the first that opened the breaker.
+// breakerOpen reports whether the target gets no work from this VM for now, because it is busy
+// or has failed. The time after a failure doubles with each failure beyond the one that opened
+// the breaker.
 func (m *target) breakerOpen(tu Tuning, now time.Time) bool {
 	if now.Before(m.busyUntil) {
 		return true
@@ -372,9 +380,9 @@
 	}
 }
 
-// unresponsive reports whether the target counts as unresponsive. The VM that probes a target
-// sends a report when the target stops answering, so that a hundred healthy targets cost no
-// messages.
+// unresponsive reports whether the target counts as unresponsive. The age of its latest report does
+// not matter: the VM that probes a target sends a report when the target stops answering, so that
+// a hundred healthy targets cost no messages.
 func (m *target) unresponsive(tu Tuning, now time.Time) bool {
 	if m.unreachable || m.lostByPeers(now) || m.suspected(now) {
 		return true
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestScenarios runs the scenarios in testdata. Each command is one event, and "wait" advances
-// the time; the output is the state of all members after the command.
+// the time; the output is the state of all targets and VMs after the command.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		table := New("vm0", DefaultTuning)
--- a/internal/membership/signals.go
+++ b/internal/membership/signals.go
@@ -10,7 +10,7 @@
 // Signals are what a target reports about itself in a response.
 type Signals struct {
 	Leaving bool            // it takes no new work for the rest of its incarnation
-	Rest    time.Duration   // how long this VM shall send it nothing; zero: not given
+	Rest    time.Duration   // how long this VM must send it nothing; zero: not given
 	Limit   ratelimit.Limit // the rate limit for all VMs together
 }
 
@@ -20,7 +20,7 @@
 	incarnation ids.Incarnation
 	leaving     bool
 	restUntil   time.Time
-	at          time.Time
+	at          time.Time // of the latest use, see signalsOf
 }
 
 // SignalChange says which signals of a target a response has changed.
@@ -69,8 +69,8 @@
 	signalsTTL = 10 * time.Minute
 )
 
-// signalsOf returns the signals of an incarnation, or nil if a later incarnation is known. The
-// caller holds the lock.
+// signalsOf returns the signals of an incarnation, or nil if a later incarnation is known. If none
+// are stored, it stores and returns empty ones. The caller holds the lock.
 func (t *Table) signalsOf(id ids.Target, inc ids.Incarnation, now time.Time) *signalState {
 	k := t.signals[id]
 	if k != nil && inc < k.incarnation {
@@ -87,7 +87,7 @@
 	return k
 }
 
-// leave records that the target leaves. A nil receiver is an incarnation that has ended.
+// leave records that the target leaves. A nil receiver stands for an incarnation that has ended.
 func (k *signalState) leave() {
 	if k != nil {
 		k.leaving = true
--- a/internal/membership/signals_test.go
+++ b/internal/membership/signals_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestLeavingPersists checks that a target that announced that it leaves stays leaving for the
-// rest of its incarnation, whichever source reported it and whatever its entry says later. A new
-// incarnation ends that.
+// rest of its incarnation, whichever source reported it and whatever its entry in the platform's
+// list says later. A new incarnation ends that.
 func TestLeavingPersists(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	list := func(table *Table, state platform.State, inc ids.Incarnation) routing.State {
@@ -39,12 +39,12 @@
 		}
 		table.ApplySignals("t", 2, Signals{Leaving: true}, now, now)
 		if got := list(table, platform.StateLive, 3); got == routing.Leaving {
-			t.Errorf("%s: a response of the previous incarnation was applied", name)
+			t.Errorf("%s: a response of the previous incarnation has made the target leaving", name)
 		}
 	}
 }
 
-// TestSignalsExpire checks that the signals of targets that are gone are bounded in number.
+// TestSignalsExpire checks that the table keeps the signals of a bounded number of unlisted targets.
 func TestSignalsExpire(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
 	for i := range 10 * maxSignals {
@@ -52,37 +52,37 @@
 		now = now.Add(signalsTTL / maxSignals)
 	}
 	if n := len(table.signals); n > 2*maxSignals {
-		t.Errorf("signals of %d targets are kept", n)
+		t.Errorf("signals of %d targets are kept, want at most 2*maxSignals", n)
 	}
 }
 
-// TestRest checks that a target rests for the longest time that it asked this VM for. Neither
-// Ready nor the removal of its entry ends the rest; a new incarnation does.
+// TestRest checks that this VM sends a target nothing for the longest time that the target asked
+// for. Neither Ready nor the removal of its entry ends the rest; a new incarnation does.
 func TestRest(t *testing.T) {
 	now, table := time.Unix(1_000_000, 0), New("vm", DefaultTuning)
 	list := func() {
 		table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 1}}, now)
 	}
-	left := func() time.Duration { return table.Targets(now)[0].Rest }
+	remaining := func() time.Duration { return table.Targets(now)[0].Rest }
 	list()
 	for _, asked := range []time.Duration{3 * time.Second, time.Second} {
 		table.ApplySignals("t", 1, Signals{Rest: asked}, now, now)
 		now = now.Add(time.Second)
 	}
 	table.Ready("t")
-	if got := left(); got != time.Second {
+	if got := remaining(); got != time.Second {
 		t.Errorf("%v of the rest remains, want 1s", got)
 	}
 	table.Remove("t")
-	if list(); left() != time.Second {
+	if list(); remaining() != time.Second {
 		t.Error("the rest was lost when the entry was removed")
 	}
-	if now = now.Add(time.Second); left() != 0 {
+	if now = now.Add(time.Second); remaining() != 0 {
 		t.Error("the rest does not end after its time")
 	}
 	table.ApplySignals("t", 1, Signals{Rest: time.Hour}, now, now)
 	table.ApplyPlatform([]platform.Record{{ID: "t", Role: platform.RoleService, State: platform.StateLive, Incarnation: 2}}, now)
-	if left() != 0 {
+	if remaining() != 0 {
 		t.Error("a restarted target has the rest of the previous incarnation")
 	}
 }
--- a/internal/membership/views.go
+++ b/internal/membership/views.go
@@ -21,7 +21,7 @@
 	Report      Report             `json:"report"`
 	ReportAge   time.Duration      `json:"report_age_ns"`
 	BreakerOpen bool               `json:"breaker_open"`
-	Rest        time.Duration      `json:"rest_ns,omitempty"` // how long this VM shall still send it nothing
+	Rest        time.Duration      `json:"rest_ns,omitempty"` // how long this VM must still send it nothing
 	SlowStart   float32            `json:"slow_start"`
 	FailRate    float32            `json:"fail_rate"`
 }
@@ -40,8 +40,8 @@
 	Leaving        bool              `json:"leaving"`
 }
 
-// Version returns a number that changes whenever the set of targets or their descriptors may
-// have changed.
+// Version returns a number that increases whenever the set of targets, or the record, incarnation
+// or weights of a target, may have changed.
 func (t *Table) Version() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -60,8 +60,9 @@
 	return out
 }
 
-// maxReportAge caps the age of a report, also of one that never arrived: the difference to the
-// zero time would be the largest duration, and any sum with it would overflow to a negative value.
+// maxReportAge bounds ReportAge. Without it, the age of a report that never arrived, which is the
+// difference to the zero time, would be the largest duration, and any sum with it would overflow to
+// a negative value.
 const maxReportAge = time.Hour
 
 func (m *target) status(id ids.Target, tu Tuning, now time.Time) TargetStatus {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// Forget drops members that are unlisted and have long been unresponsive, and returns how many
-// it dropped.
+// Forget drops unlisted targets that are unresponsive, and unlisted VMs, after six times
+// Tuning.DeadAfter without a report or a heartbeat. It returns how many it dropped.
 func (t *Table) Forget(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
