--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -2,9 +2,9 @@
 //
 // A VM may stop running for seconds: the hypervisor suspends it, migrates it, or resumes it
 // late. The monotonic clock that time.Now reads does not count that time, so an age computed
-// with it is too small, and proof of life or of a lease from before the suspension is trusted
-// for too long. The wall clock counts that time, but may be set. CLOCK_BOOTTIME counts it and
-// only goes forward.
+// with it is too small, and a heartbeat or the renewal of a lease from before the suspension is
+// trusted for too long. The wall clock counts that time, but may be set. CLOCK_BOOTTIME counts it
+// and only goes forward.
 //
 // The times that this package returns have no monotonic reading: Sub, Before and After
 // compare readings of CLOCK_BOOTTIME. They are offset to the wall time at the start of the
@@ -44,15 +44,16 @@
 }
 
 // CheckSupport returns an error if the system has no clock that counts suspended time. Now
-// then falls back to time.Now, and proof of life or of a lease may be trusted for longer than
-// it is valid, by the length of a suspension.
+// then falls back to time.Now, and a heartbeat or a lease may be trusted for longer than it is
+// valid, by the length of a suspension.
 func CheckSupport() error {
 	_, err := bootTime()
 	return err
 }
 
-// Now returns the current time. Each call is a system call of about 60 ns (BenchmarkNow): at
-// about ten calls per request, 10 requests/s take 0.0006% of a core.
+// Now returns the current time of this clock. It is safe for concurrent use. Each call is a system
+// call of about 60 ns (BenchmarkNow): at about ten calls per request, 10 requests/s take 0.0006%
+// of a core.
 func Now() time.Time {
 	boot, err := bootTime()
 	if err != nil || virtual.Load() {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNowGoesForward compares this clock with the one of timers: they agree while the system
-// runs, and only this one counts a suspension.
+// TestNowGoesForward compares the clock of this package with the one of timers: they agree while
+// the system runs, and only the clock of this package counts a suspension.
 func TestNowGoesForward(t *testing.T) {
 	if err := CheckSupport(); err != nil {
 		t.Fatalf("the system has no clock that counts suspended time: %v", err)
@@ -15,13 +15,13 @@
 	before, ran := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
 	if d := Since(before) - time.Since(ran); d.Abs() > 5*time.Millisecond {
-		t.Errorf("the clocks differ by %v", d)
+		t.Errorf("the clocks differ by %v, want at most 5ms", d)
 	}
 	const pause = 2 * time.Second
 	Skip(pause)
 	defer Skip(-pause)
 	if d := Since(before) - time.Since(ran) - pause; d.Abs() > 5*time.Millisecond {
-		t.Errorf("after a suspension of %v the clock is off by %v", pause, d)
+		t.Errorf("after a suspension of %v the clock is off by %v, want at most 5ms", pause, d)
 	}
 }
 
@@ -29,11 +29,11 @@
 func TestWatch(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	woke := make(chan time.Duration, 10)
+	reported := make(chan time.Duration, 10)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		Watch(ctx, func(length time.Duration) { woke <- length })
+		Watch(ctx, func(length time.Duration) { reported <- length })
 	}()
 	time.Sleep(2 * checkInterval)
 	const short, long = 100 * time.Millisecond, 20 * time.Second
@@ -42,7 +42,7 @@
 	time.Sleep(3 * checkInterval)
 	Skip(long)
 	select {
-	case length := <-woke:
+	case length := <-reported:
 		if (length - long).Abs() > 100*time.Millisecond {
 			t.Errorf("a suspension of %v was reported as %v", long, length)
 		}
@@ -52,8 +52,8 @@
 	time.Sleep(3 * checkInterval)
 	cancel()
 	<-done
-	if len(woke) > 0 {
-		t.Errorf("the suspension was reported again: %v", <-woke)
+	if len(reported) > 0 {
+		t.Errorf("the suspension was reported again: %v", <-reported)
 	}
 }
 
--- a/internal/clock/rule_test.go
+++ b/internal/clock/rule_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// timersOnly lists the files and directories that may call time.Now, Since and Until, with the
-// reason. All others decide how long something is trusted, or return times that such decisions
-// use.
-var timersOnly = map[string]string{
+// allowedFiles lists the files and directories that may call time.Now, Since and Until, with the
+// reason. All others decide how long to trust a heartbeat, a lease or other information, or return
+// times that such decisions use.
+var allowedFiles = map[string]string{
 	"clock/":               "this clock itself",
 	"lab/":                 "simulated components, not VMs of the product",
 	"soak/":                "the soak test runs outside of the VMs",
@@ -43,7 +43,7 @@
 			return err
 		}
 		name, _ := strings.CutPrefix(filepath.ToSlash(path), "../")
-		for allowed := range timersOnly {
+		for allowed := range allowedFiles {
 			if name == allowed || strings.HasSuffix(allowed, "/") && strings.HasPrefix(name, allowed) {
 				return nil
 			}
@@ -65,7 +65,7 @@
 	for n := 1; lines.Scan(); n++ {
 		code, _, _ := strings.Cut(lines.Text(), "//")
 		if timeCalls.MatchString(code) {
-			t.Errorf("%s:%d: %s: use package clock, or give the reason in timersOnly", path, n, strings.TrimSpace(code))
+			t.Errorf("%s:%d: %s: use package clock, or give the reason in allowedFiles", path, n, strings.TrimSpace(code))
 		}
 	}
 	return lines.Err()
--- a/internal/clock/watch.go
+++ b/internal/clock/watch.go
@@ -20,7 +20,8 @@
 )
 
 // Watch calls resumed with the length of each suspension, within about checkInterval of its end,
-// until ctx ends. It ignores suspensions shorter than minSuspension.
+// until ctx ends. It makes no checks while resumed runs. It ignores suspensions shorter than
+// minSuspension.
 func Watch(ctx context.Context, resumed func(length time.Duration)) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -2,8 +2,8 @@
 // with them: the most urgent updates first, within a byte budget per message.
 //
 // A VM sends its own updates to every peer of its failure domain on an open stream;
-// peers do not forward them. At 22 VMs that costs fewer bytes than any relaying scheme
-// (docs/design/gossip.md), takes one hop, and depends on no third VM.
+// peers do not forward them. At 22 VMs that costs fewer bytes than any scheme in which peers
+// forward updates (docs/design/gossip.md), takes one hop, and depends on no third VM.
 package gossip
 
 import (
@@ -23,12 +23,12 @@
 // Outbox holds updates until Fill puts them into a message. It is safe for concurrent use.
 type Outbox struct {
 	mu         sync.Mutex
-	urgent     map[uint32]*peerpb.TargetReport // a target is leaving, has stopped responding or has restarted
-	loads      map[uint32]*peerpb.TargetReport
-	dispatches []*peerpb.Dispatch // newest last
+	urgent     map[uint32]*peerpb.TargetReport // by target: it is leaving, has stopped responding or has restarted
+	loads      map[uint32]*peerpb.TargetReport // all other reports, by target
+	dispatches []*peerpb.Dispatch              // newest last
 	demands    map[uint32]*peerpb.Demand
 	sent       map[uint32]*peerpb.Demand // demands as last sent
-	dropped    uint64
+	dropped    uint64                    // see Dropped
 }
 
 // New returns an empty outbox.
@@ -39,8 +39,8 @@
 	}
 }
 
-// Report queues a report on a target and replaces an earlier one. Fill sends an urgent
-// report regardless of the budget.
+// Report queues a report on a target and replaces earlier ones, but not an urgent one by one
+// that is not urgent. Fill sends an urgent report regardless of the budget.
 func (o *Outbox) Report(r *peerpb.TargetReport, urgent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,7 +52,7 @@
 	o.loads[r.Target] = r
 }
 
-// Dispatch queues a dispatch.
+// Dispatch queues a dispatch. If maxDispatches are queued, it drops the oldest.
 func (o *Outbox) Dispatch(d *peerpb.Dispatch) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,8 +66,8 @@
 // demandChange is the relative change beyond which a demand is sent again.
 const demandChange = 0.25
 
-// Demand queues a workspace's demand if it differs from the one last sent by more than a
-// quarter.
+// Demand queues a workspace's demand if it differs from the one last sent by more than
+// demandChange.
 func (o *Outbox) Demand(d *peerpb.Demand) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -84,7 +84,7 @@
 	return max(diff, -diff) > demandChange*float64(sent)
 }
 
-// Pending reports whether any update is queued. Heartbeats are not queued here.
+// Pending reports whether any update is queued. Heartbeats are not queued in an Outbox.
 func (o *Outbox) Pending() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -41,7 +41,7 @@
 		sent := map[uint32]bool{}
 		for round := 0; o.Pending(); round++ {
 			if round > 200 {
-				rt.Fatalf("the outbox does not empty within a budget of %d bytes", budget)
+				rt.Fatalf("the outbox is not empty after 200 messages; the budget is now %d bytes", budget)
 			}
 			n := &peerpb.News{}
 			o.Fill(n, budget)
@@ -55,12 +55,12 @@
 				}
 			}
 			if size := proto.Size(rest); size > budget {
-				rt.Fatalf("%d bytes exceed the budget of %d", size, budget)
+				rt.Fatalf("updates other than urgent reports take %d bytes, want at most %d", size, budget)
 			}
 			for _, d := range n.Demands {
 				sent[d.Workspace] = true
 			}
-			budget += 20 // an update that was too large for one round fits in a later one
+			budget += 20 // an update that was too large for one message fits in a later one
 		}
 		if len(urgent) > 0 {
 			rt.Fatalf("urgent reports were lost: %v", urgent)
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -1,6 +1,6 @@
 // Package hlc implements a hybrid logical clock. A stamp combines wall time with a logical
-// counter, which takes over where the wall clocks of VMs disagree: an event that was caused
-// by another one carries the larger stamp, on whichever VM it happened.
+// counter, which keeps the order of events where the wall clocks of VMs disagree: an event that
+// was caused by another one has the larger stamp, on whichever VM it happened.
 package hlc
 
 import (
@@ -33,7 +33,8 @@
 	now  func() time.Time
 }
 
-// New returns a clock that reads wall time from now; nil means time.Now.
+// New returns a clock that reads wall time from now; nil means time.Now. now must be safe for
+// concurrent use.
 func New(now func() time.Time) *Clock {
 	if now == nil {
 		now = time.Now
--- a/internal/relay/fuzz_test.go
+++ b/internal/relay/fuzz_test.go
@@ -61,22 +61,22 @@
 }
 
 // readAll verifies the stream of one connection and returns the data of the forwarded events.
-func readAll(v *Verifier, text string) (passed []string, err error) {
+func readAll(v *Verifier, text string) (forwarded []string, err error) {
 	r := NewReader(strings.NewReader(text))
 	for {
 		ev, err := r.Next()
 		if err != nil {
-			return passed, err
+			return forwarded, err
 		}
 		verdict, err := v.Accept(ev)
 		if err != nil {
-			return passed, err
+			return forwarded, err
 		}
 		if verdict == Forward {
-			passed = append(passed, string(ev.Data))
+			forwarded = append(forwarded, string(ev.Data))
 		}
 		if verdict == Done {
-			return passed, nil
+			return forwarded, nil
 		}
 	}
 }
@@ -93,8 +93,8 @@
 			if v.Complete() {
 				break
 			}
-			passed, err := readAll(v, damage(rt, validStream(n)[v.Last():]))
-			got = append(got, passed...)
+			forwarded, err := readAll(v, damage(rt, validStream(n)[v.Last():]))
+			got = append(got, forwarded...)
 			if (err == nil) != v.Complete() {
 				rt.Fatalf("error %v, complete %v", err, v.Complete())
 			}
@@ -120,7 +120,7 @@
 	}
 	v = NewVerifier(attempt)
 	if _, err := readAll(v, strings.Replace(text, `"stop"`, "null", 1)); err == nil {
-		t.Fatal("a stream that ended without a finish reason was accepted as complete")
+		t.Fatal("a stream that ended without a finish reason was accepted, want an error")
 	}
 }
 
@@ -149,7 +149,7 @@
 func TestReaderLimits(t *testing.T) {
 	long := "data: " + strings.Repeat("x", maxEventBytes+10) + "\n\n"
 	if _, err := NewReader(strings.NewReader(long)).Next(); err == nil {
-		t.Fatal("an event over the size limit was read")
+		t.Fatal("an event that is longer than maxEventBytes was read, want an error")
 	}
 	line := "data: " + strings.Repeat("y", 3*readBuffer) + "\n\n"
 	ev, err := NewReader(strings.NewReader(line)).Next()
@@ -157,7 +157,7 @@
 		t.Fatalf("%d bytes, %v", len(ev.Data), err)
 	}
 	if _, err := NewReader(strings.NewReader("data: half")).Next(); err != io.ErrUnexpectedEOF {
-		t.Fatalf("the input ended within a line: got %v", err)
+		t.Fatalf("the input ended within a line: got %v, want io.ErrUnexpectedEOF", err)
 	}
 }
 
--- a/internal/relay/raw.go
+++ b/internal/relay/raw.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// RawEvent is one server-sent event, byte for byte as received, with the blank line that
-// ends it. Raw is valid until the next call of Next. ID is set if Numbered is true.
+// RawEvent is one server-sent event. Raw holds its bytes as received, with the blank line that
+// ends it, and is valid until the next call of Next. ID is set if Numbered is true.
 type RawEvent struct {
 	Raw      []byte
 	ID       uint64
@@ -36,8 +36,9 @@
 // Buffered reports whether a complete event is buffered, as Reader.Buffered does.
 func (r *RawReader) Buffered() bool { return holdsEvent(r.r) }
 
-// Next returns the next complete event. It returns io.EOF only between events, and
-// io.ErrUnexpectedEOF if the input ends within an event.
+// Next returns the next complete event. It returns io.EOF only between events,
+// io.ErrUnexpectedEOF if the input ends within an event, and another error if an event is longer
+// than maxEventBytes or its id is not a number.
 func (r *RawReader) Next() (RawEvent, error) {
 	r.raw = r.raw[:0]
 	var ev RawEvent
--- a/internal/relay/sse.go
+++ b/internal/relay/sse.go
@@ -15,7 +15,7 @@
 // caller, so a slow caller applies back-pressure to the target.
 const readBuffer = 16 << 10
 
-// maxEventBytes bounds the size of one event.
+// maxEventBytes bounds the size of one event, in bytes.
 const maxEventBytes = 1 << 20
 
 // Event is one server-sent event. Data is valid until the next call of Next.
@@ -39,8 +39,8 @@
 // long to arrive.
 func (r *Reader) Buffered() bool { return holdsEvent(r.r) }
 
-// holdsEvent reports whether r has a complete event in its buffer. It never does for an event
-// that is longer than the buffer.
+// holdsEvent reports whether r has a complete event in its buffer. It returns false if the next
+// event is longer than the buffer.
 func holdsEvent(r *bufio.Reader) bool {
 	held, _ := r.Peek(r.Buffered())
 	held = bytes.TrimLeft(held, "\r\n") // blank lines before an event
@@ -58,8 +58,9 @@
 
 var newline, crlf = []byte("\n"), []byte("\r\n")
 
-// Next returns the next event. It returns io.EOF only between events, and
-// io.ErrUnexpectedEOF if the input ends within an event.
+// Next returns the next event. It returns io.EOF only between events, io.ErrUnexpectedEOF if the
+// input ends within an event, and another error if an event is longer than maxEventBytes or its id
+// is not a number.
 func (r *Reader) Next() (Event, error) {
 	r.data = r.data[:0]
 	var ev Event
--- a/internal/relay/verify.go
+++ b/internal/relay/verify.go
@@ -7,18 +7,19 @@
 	"github.com/threadwall/threadwall/internal/ids"
 )
 
-// Verdict is what the caller of Accept must do with an event.
+// Verdict says what to do with an event that Accept has checked.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Forward   Verdict = iota // send it to the caller
+	Forward   Verdict = iota // send it to the caller, the API client
 	Duplicate                // drop it: it was forwarded before
 	Done                     // the stream is complete
 )
 
-// BrokenError reports how a stream is broken. The events that were forwarded before it are a
-// correct prefix of the response, and the stream can be resumed after event Last.
+// BrokenError reports how a stream is broken. The events that were forwarded before the error are a
+// correct prefix of the response. If the target numbers its events, the stream can be resumed after
+// event Last.
 type BrokenError struct {
 	Reason string
 	Last   uint64 // number of the last forwarded event
@@ -62,7 +63,8 @@
 
 func (v *Verifier) broken(reason string) error { return &BrokenError{Reason: reason, Last: v.last} }
 
-// Accept checks the next event. It returns a *BrokenError if the stream is broken.
+// Accept checks the next event. It returns a *BrokenError if the stream is broken. After the end of
+// the response it returns Duplicate for any event.
 func (v *Verifier) Accept(ev Event) (Verdict, error) {
 	if v.done {
 		return Duplicate, nil
@@ -88,7 +90,7 @@
 	return Forward, nil
 }
 
-// number checks the number of an event. Numbers start at 1 and have no gaps.
+// number checks the number of an event; zero: it has none. Numbers start at 1 and have no gaps.
 func (v *Verifier) number(id uint64) (duplicate bool, err error) {
 	if id == 0 {
 		if v.numbered {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -18,23 +18,24 @@
 
 // The kinds of event.
 const (
-	KindReceived   Kind = "received" // a caller's request was read
-	KindDecision   Kind = "decision" // a target was picked; detail is the recorded input and choice
-	KindAttempt    Kind = "attempt"  // an attempt began
-	KindAttemptEnd Kind = "attempt-end"
-	KindClaim      Kind = "claim"
-	KindRefusal    Kind = "refusal"
-	KindDone       Kind = "done"
-	KindMember     Kind = "membership"
-	KindConfig     Kind = "config"
-	KindLease      Kind = "lease"
-	KindOrder      Kind = "order"
-	KindCache      Kind = "cache"
-	KindLifecycle  Kind = "lifecycle"
+	KindReceived   Kind = "received"    // a caller's request was read
+	KindDecision   Kind = "decision"    // a target was picked; detail is the recorded input and choice
+	KindAttempt    Kind = "attempt"     // an attempt began, is to be retried, or was resumed
+	KindAttemptEnd Kind = "attempt-end" // an attempt ended
+	KindClaim      Kind = "claim"       // an idempotency key was claimed or settled, or expired claims were deleted
+	KindRefusal    Kind = "refusal"     // the caller got an error from this VM
+	KindDone       Kind = "done"        // the caller's request ended
+	KindMember     Kind = "membership"  // the state of a target changed, or dead members were removed
+	KindConfig     Kind = "config"      // a revision of the configuration or of the platform's list was adopted
+	KindLease      Kind = "lease"       // this VM acquired or lost the lease for orders
+	KindOrder      Kind = "order"       // an order was sent to a target
+	KindCache      Kind = "cache"       // cache events of a target were lost
+	KindLifecycle  Kind = "lifecycle"   // this VM started, got ready or is leaving
 )
 
-// Event is one entry of a Log. Record sets At, VM and Detail. Detail is the JSON form of a
-// struct of the package that recorded the event.
+// Event is one entry of a Log. Record sets At, VM and Detail. Peer names the target, VM or
+// other source that the event is about, if any. Detail is the JSON form of a value of the package
+// that recorded the event.
 type Event struct {
 	At      hlc.Stamp       `json:"at"`
 	VM      ids.VM          `json:"vm"`
@@ -63,7 +64,7 @@
 	return &Log{clock: clock, vm: vm, events: make([]Event, size)}
 }
 
-// Clock returns the clock that stamps the log's events, for stamps on calls to peers.
+// Clock returns the clock that stamps the log's events. Messages to peers carry its stamps too.
 func (l *Log) Clock() *hlc.Clock { return l.clock }
 
 // Record stamps e and stores it, with detail encoded as JSON. It omits a detail that cannot be
