--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// Report queues a report on a target and replaces earlier ones, but not an urgent one by one
-// that is not urgent. Fill sends an urgent report regardless of the budget.
+// Report queues a report on a target. An urgent report replaces all earlier ones on the target,
+// any other report only those that are not urgent. Fill sends an urgent report regardless of the
+// budget.
 func (o *Outbox) Report(r *peerpb.TargetReport, urgent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/relay/raw.go
+++ b/internal/relay/raw.go
@@ -37,8 +37,8 @@
 func (r *RawReader) Buffered() bool { return holdsEvent(r.r) }
 
 // Next returns the next complete event. It returns io.EOF only between events,
-// io.ErrUnexpectedEOF if the input ends within an event, and another error if an event is longer
-// than maxEventBytes or its id is not a number.
+// io.ErrUnexpectedEOF if the input ends within an event, and another error if reading fails, an
+// event is longer than maxEventBytes or its id is not a number.
 func (r *RawReader) Next() (RawEvent, error) {
 	r.raw = r.raw[:0]
 	var ev RawEvent
--- a/internal/relay/sse.go
+++ b/internal/relay/sse.go
@@ -59,8 +59,8 @@
 var newline, crlf = []byte("\n"), []byte("\r\n")
 
 // Next returns the next event. It returns io.EOF only between events, io.ErrUnexpectedEOF if the
-// input ends within an event, and another error if an event is longer than maxEventBytes or its id
-// is not a number.
+// input ends within an event, and another error if reading fails, an event is longer than
+// maxEventBytes or its id is not a number.
 func (r *Reader) Next() (Event, error) {
 	r.data = r.data[:0]
 	var ev Event
