--- a/internal/news/tree_test.go
+++ b/internal/news/tree_test.go
@@ -296,7 +296,7 @@
 		t.Errorf("%d changes count as dropped, want at least 500, and none in a second call", n)
 	}
 	if last := tr.eventsUp[len(tr.eventsUp)-1]; len(last.Orders) != 1 || cacheEntries(tr.eventsUp) > maxQueuedCacheChanges {
-		t.Errorf("%d changes are queued, want at most maxQueued, and the last event is %+v, want the order", cacheEntries(tr.eventsUp), last)
+		t.Errorf("%d changes are queued, want at most maxQueuedCacheChanges, and the last event is %+v, want the order", cacheEntries(tr.eventsUp), last)
 	}
 }
 
