--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -121,8 +121,9 @@
 	// minCacheInterval is the shortest interval between two rounds of cache changes, so that a
 	// prefix that was just computed is known before the next request for it is routed.
 	minCacheInterval = 50 * time.Millisecond
-	// messagesPerSecond bounds the messages that a VM receives. With fewer messages, loads get so
-	// old that all VMs send to the engines that last looked idle.
+	// messagesPerSecond bounds the messages with loads that a VM receives. With fewer messages, loads
+	// get so old that all VMs send to the engines that last looked idle. The messages with cache
+	// changes have the same interval between rounds, with up to maxCacheMessages in a round.
 	messagesPerSecond = 200
 	// maxDatagram bounds the size of a message, in bytes.
 	maxDatagram = 48 << 10
@@ -179,8 +180,8 @@
 	// that a peer reports.
 	Limits  func() []ratelimit.Report
 	OnLimit func(w ratelimit.Report)
-	// OnCanaryReports is called with the canary counts of a VM. Nil: the
-	// exchange ignores those that it receives.
+	// OnCanaryReports is called with the canary counts of a VM. Nil: the exchange ignores those that
+	// it receives.
 	OnCanaryReports func(vm ids.VM, incarnation int64, r []canary.Report)
 	// Meter counts the bytes sent. Nil: they are not counted.
 	Meter *traffic.Meter
@@ -204,7 +205,8 @@
 
 // SetPeers replaces the list of peers. all may include VMs without an address, to which this VM
 // sends no loads. It must include this VM if the fleet is large enough for the tree, since the
-// position of a VM in the tree depends on its own entry. It is safe to call while the exchange runs.
+// position of a VM in the tree depends on its own entry. SetPeers may be called while the exchange
+// runs.
 func (x *Exchange) SetPeers(all []Peer) {
 	var sameDomain, crossDomain []Peer
 	for _, p := range all {
