--- a/internal/upstream/check.go
+++ b/internal/upstream/check.go
@@ -19,13 +19,16 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// checkDelays are the delays before the checks of a replica whose connection broke. A dying
-// process may close its connections some milliseconds before its listener; only a process that
-// still listens at the second check counts as alive.
+// checkDelays are the delays before the two checks of a replica whose connection broke. A
+// terminating process may close its connections some milliseconds before its listener, so a
+// replica that still listens at the first check is checked again.
 var checkDelays = []time.Duration{5 * time.Millisecond, 100 * time.Millisecond}
 
 // Check finds out whether a replica still listens. An idle connection that is still open
-// suffices as proof; otherwise Check dials. A live replica costs at most two dials.
+// suffices as proof; otherwise Check dials, with DialTimeout for each dial. A live replica costs
+// at most two dials. Check blocks until both checks are done or the replica is found to have
+// ended. If ctx ends before that, Check returns the result of the last check, or
+// quarantine.Unknown if there was none.
 func (c *Client) Check(ctx context.Context, to Replica) quarantine.Liveness {
 	return check(ctx, func() quarantine.Liveness {
 		if c.pool(to.ID).anyOpen() {
@@ -35,13 +38,13 @@
 	})
 }
 
-// CheckAddr finds out whether a replica still listens, by dialing only. timeout bounds each
-// dial.
+// CheckAddr does the same as Client.Check, by dialing only. timeout bounds each dial.
 func CheckAddr(ctx context.Context, timeout time.Duration, addr string) quarantine.Liveness {
 	return check(ctx, func() quarantine.Liveness { return dial(ctx, timeout, addr) })
 }
 
-// check calls probe after each of checkDelays, until the replica is found to have ended.
+// check calls probe after each of checkDelays, until the replica is found to have ended or ctx
+// ends, and returns the last result.
 func check(ctx context.Context, probe func() quarantine.Liveness) quarantine.Liveness {
 	state := quarantine.Unknown
 	for _, delay := range checkDelays {
@@ -55,7 +58,7 @@
 	return state
 }
 
-// dial reports a replica as ended only if it refuses the connection.
+// dial reports a replica as ended only if the connection is refused.
 func dial(ctx context.Context, timeout time.Duration, addr string) quarantine.Liveness {
 	conn, err := sockets.Dialer(timeout).DialContext(ctx, "tcp", addr)
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -10,8 +10,8 @@
 const (
 	// maxIdle is the longest idle time of a connection.
 	maxIdle = 10 * time.Second
-	// idleMargin is subtracted from the idle timeout that a replica announces, in whole
-	// seconds, so that no request is sent while the replica closes the connection.
+	// idleMargin is subtracted from the idle timeout that a replica announces (a number of
+	// whole seconds), so that no request is sent while the replica closes the connection.
 	idleMargin = 700 * time.Millisecond
 )
 
@@ -63,7 +63,7 @@
 	p.idle = append(p.idle, cn)
 }
 
-// trim closes the connections that have been idle for too long.
+// trim closes the connections that have reached their idle time limit.
 func (p *pool) trim(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -8,11 +8,12 @@
 //     again.
 //   - A failure is NotRun only if no byte of the request was written. If a persistent connection
 //     breaks after the write, the outcome is Unknown.
-//   - A connection belongs to one incarnation of a replica and is closed with it.
+//   - Connections are pooled by target ID. The caller must call Drop when an incarnation of the
+//     target has ended, so that no request is sent over a connection to that incarnation.
 //   - A response that does not belong to the request (late or extra) is discarded, and the next
 //     response on the connection is read.
-//   - A connection returns to the pool only if the request was written completely, the response
-//     was read completely, and no further bytes follow.
+//   - After an exchange, a connection returns to the pool only if the request was written
+//     completely, the response was read completely, and no further bytes follow.
 package upstream
 
 import (
@@ -37,20 +38,21 @@
 	"github.com/threadwall/threadwall/internal/traffic"
 )
 
-// Replica is one incarnation of a target and its address.
+// Replica is a target and the address of its current incarnation.
 type Replica struct {
 	ID   ids.Target
 	Addr string // ip:port
 }
 
-// Request is an outgoing request. It must not change while it is sent.
+// Request is an outgoing request. It must not change after Send is called: a goroutine may still
+// be writing Body when Send returns.
 type Request struct {
 	Method string
 	URI    string // path and query, exactly as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether a response belongs to this request.
+	// Matches reports whether a response belongs to this request. It must be set.
 	Matches func(status int, h http.Header) bool
 	// BeforeWrite is called right before the first byte is written, since the permission for
 	// the request may have expired while the connection was established. If it returns an
@@ -58,7 +60,8 @@
 	BeforeWrite func() *outcome.Error
 }
 
-// Response is the head of a response and its body. The caller must call Close.
+// Response is the head of a response and its body. The caller must call Close. Not safe for
+// concurrent use.
 type Response struct {
 	Status int
 	Header http.Header
@@ -78,8 +81,8 @@
 	mu    sync.Mutex
 	pools map[ids.Target]*pool
 
-	// Counts of dials, of reused connections, and of stray responses: those that belong to
-	// another request than the one in progress.
+	// Counts of the dials and of the reused connections of Send, and of stray responses: those
+	// that belong to another request than the one in progress.
 	Dials, Reuses, Strays atomic.Int64
 }
 
@@ -88,8 +91,8 @@
 	return &Client{DialTimeout: dialTimeout, pools: map[ids.Target]*pool{}}
 }
 
-// Drop closes the idle connections to a replica that is gone. Connections in use are closed
-// when their responses end.
+// Drop closes the idle connections to a replica whose incarnation has ended. Connections in use
+// are closed when their responses end.
 func (c *Client) Drop(id ids.Target) {
 	c.mu.Lock()
 	p := c.pools[id]
@@ -112,7 +115,8 @@
 	return p
 }
 
-// DropIdle closes all idle connections.
+// DropIdle closes the idle connections to all replicas. Connections in use are closed when their
+// responses end.
 func (c *Client) DropIdle() {
 	c.mu.Lock()
 	pools := c.pools
@@ -123,7 +127,8 @@
 	}
 }
 
-// Trim closes the connections that have been idle for too long.
+// Trim closes the connections that have reached their idle time limit: maxIdle, or less if the
+// replica announced a shorter idle timeout. now must come from clock.Now.
 func (c *Client) Trim(now time.Time) {
 	c.mu.Lock()
 	pools := make([]*pool, 0, len(c.pools))
@@ -172,19 +177,19 @@
 		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeUpstream, "dial", string(to.ID), "could not connect to the replica")
 	}
 	if tcp, ok := nc.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(receiveBuffer) // on failure the kernel's default applies
+		_ = tcp.SetReadBuffer(receiveBufferSize) // on failure the kernel's default applies
 	}
 	nc = c.Meter.Conn(nc, traffic.Requests, traffic.Responses)
-	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), pool: p}, nil
+	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), pool: p}, nil
 }
 
-// readBuffer is the size of the buffered reader of a connection, in bytes. It holds a response
+// readBufferSize is the size of the buffered reader of a connection, in bytes. It holds a response
 // head and some events; a few hundred connections take a few MB.
-const readBuffer = 8 << 10
+const readBufferSize = 8 << 10
 
-// receiveBuffer is the size of the kernel's receive buffer of a connection, in bytes. Data that a
-// replica sends while the caller does not read counts towards the VM's memory.
-const receiveBuffer = 128 << 10
+// receiveBufferSize is the size of the kernel's receive buffer of a connection, in bytes. Data that
+// a replica sends while the caller does not read counts towards the VM's memory.
+const receiveBufferSize = 128 << 10
 
 // conn is one connection to a replica.
 type conn struct {
@@ -242,8 +247,8 @@
 // requestWrite is the write of one request, in progress or done.
 type requestWrite struct {
 	done    chan struct{}
-	written atomic.Int64
-	err     error // valid once done is closed
+	written atomic.Int64 // bytes
+	err     error        // valid once done is closed
 }
 
 // write sends the request. A long body is sent in a goroutine of its own, since a replica may
@@ -251,7 +256,7 @@
 func (cn *conn) write(r *Request) *requestWrite {
 	w := &requestWrite{done: make(chan struct{})}
 	head := r.head()
-	if len(r.Body) <= directBody {
+	if len(r.Body) <= maxInlineBody {
 		w.send(cn.nc, append(head, r.Body...))
 		return w
 	}
@@ -259,9 +264,9 @@
 	return w
 }
 
-// directBody is the longest body that is written without a goroutine, in bytes. It fits a
+// maxInlineBody is the longest body that is written without a goroutine, in bytes. It fits a
 // socket's send buffer, so the write does not block on the replica.
-const directBody = 16 << 10
+const maxInlineBody = 16 << 10
 
 func (w *requestWrite) send(to io.Writer, parts ...[]byte) {
 	defer close(w.done)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -105,7 +105,7 @@
 	r.Method = http.MethodGet
 	_, err := c.Send(t.Context(), to, r)
 	if outcome.Of(err).Outcome != outcome.Unknown {
-		t.Fatalf("got %v, want unknown", err)
+		t.Fatalf("got error %v, want one with outcome unknown", err)
 	}
 	time.Sleep(50 * time.Millisecond)
 	if len(got) != 2 {
@@ -123,7 +123,7 @@
 	})
 	body, err := roundTrip(t, client(), to, request("a", nil))
 	if err != nil || body != "new" {
-		t.Fatalf("got %q, %v", body, err)
+		t.Fatalf("got body %q, error %v; want \"new\" and no error", body, err)
 	}
 }
 
@@ -142,7 +142,7 @@
 	c := client()
 	for _, id := range []string{"a", "b"} {
 		if body, err := roundTrip(t, c, to, request(id, nil)); err != nil || body != "ok" {
-			t.Fatalf("got %q, %v", body, err)
+			t.Fatalf("got body %q, error %v; want \"ok\" and no error", body, err)
 		}
 		time.Sleep(60 * time.Millisecond)
 	}
@@ -179,13 +179,13 @@
 		})
 		body, err := roundTrip(t, client(), to, request("a", nil))
 		if reset == (err == nil) {
-			t.Fatalf("reset %v: got %q, %v", reset, body, err)
+			t.Fatalf("reset %v: got body %q, error %v; want an error only after a reset", reset, body, err)
 		}
 	}
 }
 
-// TestEarlyResponse responds before a long request body is read. The response is valid, and no
-// other request may use the connection on which the rest of the body is still due.
+// TestEarlyResponse responds before a long request body is read. The client must accept the
+// response, and must not reuse the connection, since the body has not been written completely.
 func TestEarlyResponse(t *testing.T) {
 	conns := make(chan int, 10)
 	to := replica(t, func(n int, c net.Conn, in *bufio.Reader) {
@@ -202,7 +202,7 @@
 	c := client()
 	for _, id := range []string{"a", "b"} {
 		if body, err := roundTrip(t, c, to, request(id, make([]byte, 8<<20))); err != nil || body != "early" {
-			t.Fatalf("got %q, %v", body, err)
+			t.Fatalf("got body %q, error %v; want \"early\" and no error", body, err)
 		}
 	}
 	if len(conns) != 2 {
@@ -222,12 +222,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
 	if _, err := client().Send(ctx, to, request("a", nil)); !errors.Is(err, context.Canceled) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want context.Canceled", err)
 	}
 	select {
 	case <-closed:
 	case <-time.After(time.Second):
-		t.Fatal("the connection stayed open")
+		t.Fatal("the connection was still open 1 s after the call was cancelled")
 	}
 }
 
