--- a/internal/dispatch/conn.go
+++ b/internal/dispatch/conn.go
@@ -16,20 +16,22 @@
 //   - Before the first event, a target may be busy with its queue, so the lack of
 //     data alone does not close the connection. It is closed when membership has
 //     declared the target dead, or when the target is suspect (it does not answer
-//     probes) and the idle time-out has passed since the request began.
-//   - Between events, the idle time-out closes it. Time that the caller takes to read
+//     probes) and the idle timeout has passed since the attempt or resume began.
+//   - Between events, the idle timeout closes it. Time that the caller takes to read
 //     events does not count.
 type conn struct {
-	response *engine.Response
-	cancel   context.CancelFunc
-	timer    *time.Timer // membership checks, until startIdle is first called
-	idle     *time.Timer // between events
+	response   *engine.Response
+	cancel     context.CancelFunc
+	stateTimer *time.Timer // membership checks, until startIdle is first called
+	idleTimer  *time.Timer // between events
 }
 
 // stateCheckInterval is how often a connection that awaits its first event reads the
 // target's membership state.
 const stateCheckInterval = 500 * time.Millisecond
 
+// opener sends a call, or asks for the rest of its response, and returns the response
+// once the head has arrived.
 type opener func(context.Context, *engine.Call) (*engine.Response, error)
 
 // open sends the call and waits for the head of the response.
@@ -37,14 +39,14 @@
 	ctx, cancel := context.WithCancel(ctx)
 	began := clock.Now()
 	c := &conn{cancel: cancel}
-	ready := make(chan struct{})
-	c.timer = time.AfterFunc(stateCheckInterval, func() {
+	ready := make(chan struct{}) // closed once c.stateTimer is set
+	c.stateTimer = time.AfterFunc(stateCheckInterval, func() {
 		<-ready
 		if r.unresponsive(call.Target, clock.Since(began)) {
 			cancel()
 			return
 		}
-		c.timer.Reset(stateCheckInterval)
+		c.stateTimer.Reset(stateCheckInterval)
 	})
 	close(ready)
 	response, err := start(ctx, call)
@@ -71,19 +73,19 @@
 
 // pauseIdle stops the idle timer while events are written to the caller.
 func (c *conn) pauseIdle() {
-	if c.idle != nil {
-		c.idle.Stop()
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 }
 
 // startIdle ends the connection unless pauseIdle is called within d.
 func (c *conn) startIdle(d time.Duration) {
-	if c.idle != nil {
-		c.idle.Reset(d)
+	if c.idleTimer != nil {
+		c.idleTimer.Reset(d)
 		return
 	}
-	c.timer.Stop()
-	c.idle = time.AfterFunc(d, c.cancel)
+	c.stateTimer.Stop()
+	c.idleTimer = time.AfterFunc(d, c.cancel)
 }
 
 // finishTimeout bounds the wait for the end of a body whose stream is complete.
@@ -98,7 +100,7 @@
 }
 
 func (c *conn) close() {
-	c.timer.Stop()
+	c.stateTimer.Stop()
 	c.pauseIdle()
 	c.cancel()
 	if c.response != nil {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -31,12 +31,12 @@
 	"github.com/threadwall/threadwall/internal/timeline"
 )
 
-// Sink writes the response to the caller. A Sink is used by one goroutine at a time.
+// Sink writes the response to the caller. A Sink is used by one goroutine at a time. An
+// error of any method means that the caller has disconnected or stopped reading.
 type Sink interface {
-	// Start is called once, before the first event, with the target that responds.
+	// Start is called once, before the first event, with the target that sends it.
 	Start(t ids.Target)
-	// Event adds the data of one event, which Flush may send later. An error means
-	// that the caller has disconnected.
+	// Event adds the data of one event. It may buffer the event until Flush.
 	Event(data []byte) error
 	// Flush sends the events that are buffered.
 	Flush() error
@@ -44,10 +44,10 @@
 	Response(t ids.Target, body []byte) error
 }
 
-// Limits of one request.
+// Limits on attempts and resumes.
 const (
-	maxAttempts = 4
-	maxResumes  = 2
+	maxAttempts = 4 // of a request
+	maxResumes  = 2 // of an attempt
 )
 
 // Dispatcher runs prompts. It is safe for concurrent use.
@@ -61,15 +61,15 @@
 	// Guard quarantines prompts that crash targets. If nil, no prompt is quarantined.
 	Guard       *quarantine.Guard
 	VM          ids.VM
-	Domain      ids.FailureDomain
-	IdleTimeout time.Duration // longest time between two events of a target
+	Domain      ids.FailureDomain // of the VM
+	IdleTimeout time.Duration     // longest time between two events of a target
 	Stats       *Stats
 }
 
 // Gate refuses a request that would wait too long. Package admission implements it.
 type Gate interface {
-	// Check returns a refusal, or nil if the request may proceed with this
-	// predicted wait.
+	// Check returns a refusal, or nil if the request may proceed. tokens is the
+	// estimated length of the prompt, predicted the time to first token.
 	Check(ws ids.Workspace, priority int, tokens int32, predicted time.Duration) *outcome.Error
 }
 
@@ -80,7 +80,7 @@
 	sink           Sink
 	tried          []ids.Target
 	attempts       int
-	started        bool // a part of the response was delivered
+	started        bool // the sink has received a part of the response
 	mayHaveRun     bool // an attempt had an outcome other than not-run
 	guard          quarantine.Call
 	closedByTarget bool // the target of the current attempt closed the connection
@@ -107,8 +107,8 @@
 	}
 }
 
-// mayRetry reports whether another target may be tried after a failed attempt. It
-// takes the retry out of the retry budget.
+// mayRetry reports whether another target may be tried after a failed attempt. If so,
+// it has taken the retry out of the retry budget.
 func (r *run) mayRetry(ctx context.Context, err error) bool {
 	e := outcome.Of(err)
 	var caller *engine.CallerError
@@ -132,7 +132,7 @@
 	return true
 }
 
-// finalError returns the error of a failed request, given that of its last attempt.
+// finalError returns the error of a failed request. err is that of its last attempt.
 func (r *run) finalError(ctx context.Context, err error) error {
 	e := outcome.Of(err)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -200,10 +200,10 @@
 	}
 }
 
-// choice is the target of an attempt, and the estimate of the prompt's tokens in its cache.
+// choice is the target of an attempt.
 type choice struct {
 	target routing.Target
-	cached int32
+	cached int32 // estimated number of the prompt's tokens in the target's cache
 }
 
 func (r *run) decide() (choice, error) {
@@ -228,8 +228,9 @@
 	return choice{target: snap.View.Targets[dec.Index], cached: dec.Cached}, nil
 }
 
-// noTargetRetryAfter is the time after which a caller may retry if no target can take
-// the request.
+// noTargetRetryAfter is the shortest time after which a caller may retry if no target
+// can take the request. It is also the default for other requests that did not run,
+// except quarantined ones.
 const noTargetRetryAfter = 2 * time.Second
 
 func (r *run) noTargetError(req *routing.Request, snap *fleet.Snapshot, sc *fleet.Scratch) error {
@@ -265,7 +266,8 @@
 }
 
 // observeUsage updates the cache view, the load view and the statistics with the usage
-// of a response.
+// of a response. It does not update the cache view if the attempt may be a
+// continuation, whose prompt also holds the delivered text.
 func (r *run) observeUsage(call *engine.Call, a *engine.Response, u engine.Usage) {
 	generation := cacheview.GenerationOf(a.Incarnation, a.Weights)
 	if r.text.Len() == 0 || r.attempts == 1 {
--- a/internal/dispatch/prompt.go
+++ b/internal/dispatch/prompt.go
@@ -11,7 +11,8 @@
 	"github.com/threadwall/threadwall/internal/prefix"
 )
 
-// Prompt is one request to a model, with its template rendered.
+// Prompt is one request to a model, with its template rendered. It is not safe for
+// concurrent use.
 type Prompt struct {
 	Request   ids.Request
 	Workspace ids.Workspace
@@ -19,8 +20,8 @@
 	Path      string // of the API, the same for callers and targets
 	Stream    bool
 	Template  config.Prompt
-	Levels    []prefix.Level
-	Tokens    int32
+	Levels    []prefix.Level // the longest prefixes, at most maxLevels
+	Tokens    int32          // estimated length of the prompt
 
 	body      []byte                     // as received from the caller
 	fields    map[string]json.RawMessage // of the body that the target gets
@@ -83,18 +84,19 @@
 func (e *UnknownTemplateError) Error() string { return "there is no template " + e.Name }
 
 // ReadPrompt parses a caller's body and renders its template. An error means that the
-// request is invalid. It is an *UnknownTemplateError if the template is unknown.
+// request is invalid. It is an *UnknownTemplateError if the template is unknown. The
+// Prompt keeps body, which must not change afterwards.
 func ReadPrompt(req ids.Request, ws ids.Workspace, path string, body []byte, cfg *config.Config) (*Prompt, error) {
 	var head requestHead
 	if err := json.Unmarshal(body, &head); err != nil {
-		return nil, eris.Errorf("the body is not valid JSON: %v", err)
+		return nil, eris.Errorf("the body can't be decoded as a JSON request: %v", err)
 	}
 	p := &Prompt{
 		Request: req, Workspace: ws, Path: path, Stream: head.Stream, body: body,
 		wantUsage: head.StreamOptions.IncludeUsage,
 	}
 	if err := json.Unmarshal(body, &p.fields); err != nil {
-		return nil, eris.Errorf("the body is not valid JSON: %v", err)
+		return nil, eris.Errorf("the body can't be decoded as a JSON request: %v", err)
 	}
 	if head.Model == "" {
 		return nil, eris.New("\"model\" is missing")
@@ -131,8 +133,8 @@
 	return cfg.Render(p.Workspace, p.Template, head.Metadata)
 }
 
-// compose puts the template's shared levels before the caller's prompt and returns
-// the texts of all levels.
+// compose puts the template's shared levels before the caller's prompt in the body for
+// the target, and returns the texts of all levels.
 func (p *Prompt) compose(head *requestHead, shared []string) ([]string, error) {
 	if p.Path == PathCompletions {
 		return p.composeText(head, shared)
--- a/internal/dispatch/stats.go
+++ b/internal/dispatch/stats.go
@@ -7,17 +7,18 @@
 	"sync/atomic"
 )
 
-// Stats counts the work of a dispatcher, for the metrics.
+// Stats counts the work of a dispatcher, for the metrics. BudgetEmpty counts the retries
+// that were not made because the retry budget was empty. Safe for concurrent use.
 type Stats struct {
 	Attempts, Retries, Resumes, Continued, BudgetEmpty atomic.Int64
 	PromptTokens, CachedTokens, OutputTokens, Events   atomic.Int64
 }
 
 // deliveredText collects the text delivered to the caller, for templates that let another
-// target continue it.
+// target continue the response.
 type deliveredText struct{ b strings.Builder }
 
-// add appends the text of one stream event.
+// add appends the text of the first choice in one stream event.
 func (t *deliveredText) add(data []byte) {
 	if !bytes.Contains(data, []byte(`"choices"`)) {
 		return
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -72,12 +72,12 @@
 	return outcome.Wrap(errors.Join(errCallerGone, err), outcome.Ran, outcome.CodeStreamBroken, "deliver", "caller", "the caller has disconnected or stopped reading")
 }
 
-// relay forwards events until the stream is complete or broken. Before it waits for the
-// next event, it flushes the earlier ones and starts the idle timer.
+// relay forwards events until the stream is complete or broken. Before it waits for a
+// further event, it flushes the earlier ones and starts the idle timer.
 func (s *stream) relay() error {
 	defer s.conn.close()
 	in := relay.NewReader(s.conn.response.Body)
-	received := false // an event has arrived since the last wait
+	received := false // an event has arrived since the last flush
 	for {
 		if received && !in.Buffered() {
 			received = false
@@ -110,8 +110,8 @@
 	}
 }
 
-// forward sends a verified event to the caller. It replaces the attempt's id with the
-// request's, so that the ids stay the same over all attempts.
+// forward passes a verified event to the sink. It replaces the attempt's id with the
+// request's, so that the response's id stays the same over all attempts.
 func (s *stream) forward(ev relay.Event, v relay.Verdict) error {
 	r := s.r
 	if !s.begun {
@@ -126,7 +126,7 @@
 		if u, ok := engine.UsageOf(ev.Data); ok {
 			r.observeUsage(s.call, s.conn.response, u)
 			if !r.p.wantUsage && bytes.Contains(ev.Data, []byte(`"choices":[]`)) {
-				return nil
+				return nil // this event has only the usage, which the caller did not ask for
 			}
 		}
 		if r.p.Template.Continue {
@@ -152,8 +152,8 @@
 	return outcome.Wrap(err, outcome.Unknown, outcome.CodeUpstream, "relay", string(s.call.Target), "the target's response is incomplete or invalid")
 }
 
-// mayResume reports whether the same target may be asked for the rest of the stream. It
-// takes the resume out of the retry budget.
+// mayResume reports whether the same target may be asked for the rest of the stream. If
+// so, it has taken the resume out of the retry budget.
 func (s *stream) mayResume(ctx context.Context, err error, c choice) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerGone) {
 		return false
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -23,7 +23,7 @@
 
 // TestIdleTimeoutAfterDuplicateEvent has a target send an event, then nothing, the same event
 // again or a part of the next one, and then stall. The caller must get the event at once, and
-// the stream must end after the idle time-out. It guards against a fault in which a duplicate
+// the stream must end after the idle timeout. It guards against a fault in which a duplicate
 // event stopped the idle timer for good.
 func TestIdleTimeoutAfterDuplicateEvent(t *testing.T) {
 	const idle = 2 * time.Second
@@ -37,8 +37,8 @@
 					r:    &run{d: &Dispatcher{IdleTimeout: idle, Stats: &Stats{}}, p: &Prompt{}, sink: sink},
 					call: &engine.Call{Target: "e1", Attempt: "a1"},
 					conn: &conn{
-						response: &engine.Response{Body: body}, timer: time.AfterFunc(time.Hour, func() {}),
-						cancel: func() { _ = body.CloseWithError(errors.New("idle time-out")) },
+						response: &engine.Response{Body: body}, stateTimer: time.AfterFunc(time.Hour, func() {}),
+						cancel: func() { _ = body.CloseWithError(errors.New("idle timeout")) },
 					},
 					verifier: relay.NewVerifier("a1"), work: loadview.New().Sent("e1", 0, time.Now()),
 				}
@@ -58,12 +58,12 @@
 				time.Sleep(idle / 2)
 				synctest.Wait()
 				if sink.events != 1 || sink.flushed != 1 {
-					t.Errorf("%d events, %d flushed", sink.events, sink.flushed)
+					t.Errorf("the sink got %d events, %d of them flushed; want one, flushed", sink.events, sink.flushed)
 				}
 				time.Sleep(idle)
 				synctest.Wait()
 				if err == nil || took != idle {
-					t.Errorf("ended after %v with %v, want %v", took, err, idle)
+					t.Errorf("the stream ended after %v with error %v, want an error after %v", took, err, idle)
 				}
 				_ = body.Close()
 				synctest.Wait()
