--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -1,6 +1,6 @@
-// Package services runs calls of plain services. A call that is not repeatable is
-// claimed before its first byte is sent, and is sent again only after an attempt that
-// certainly did not run.
+// Package services runs calls of plain services, that is, services other than model
+// engines. A call that must not run twice is claimed (see package claims) before its
+// first byte is sent, and is sent again only after an attempt that certainly did not run.
 package services
 
 import (
@@ -34,10 +34,10 @@
 
 const (
 	maxAttempts        = 3
-	maxResponseBody    = 512 << 10 // leaves room for the rest of a claim in one stored object
-	maxHeaders         = 32 << 10
+	maxResponseBody    = 512 << 10 // bytes; leaves room for the rest of a claim in one stored object
+	maxHeaders         = 32 << 10  // bytes, of a response
 	settleTimeout      = 3 * time.Second
-	noTargetRetryAfter = time.Second
+	noTargetRetryAfter = time.Second // shortest time after which a caller may retry
 )
 
 // Call is one call of a plain service.
@@ -49,7 +49,7 @@
 	Path        string // the part after the service's name, with the query
 	ContentType string
 	Body        []byte
-	Key         string
+	Key         string // idempotency key; may be empty if Template.Repeatable is set
 
 	guard quarantine.Call
 }
@@ -81,8 +81,10 @@
 	}
 }
 
-// Run runs a call and returns its response. The error is an *outcome.Error with the
-// outcome of the whole call, not of the last attempt alone.
+// Run runs a call and returns its response, or the recorded response if the call ran
+// before. The error is an *outcome.Error with the outcome of the whole call, not of the
+// last attempt alone. A claimed call continues up to its deadline even if ctx is
+// cancelled.
 func (r *Runner) Run(ctx context.Context, c *Call) (*claims.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Template.Deadline.D())
 	defer cancel()
@@ -92,13 +94,14 @@
 		return nil, refusal // before the claim, since the call will not run
 	}
 	if c.Template.Repeatable {
-		return r.repeatable(ctx, c)
+		return r.runRepeatable(ctx, c)
 	}
-	return r.once(ctx, c)
+	return r.runOnce(ctx, c)
 }
 
-// repeatable tries up to maxAttempts targets until one responds.
-func (r *Runner) repeatable(ctx context.Context, c *Call) (*claims.Response, error) {
+// runRepeatable runs a call that may run more than once. It tries up to maxAttempts
+// targets until one responds.
+func (r *Runner) runRepeatable(ctx context.Context, c *Call) (*claims.Response, error) {
 	var tried []ids.Target
 	mayHaveRun := false
 	for {
@@ -118,9 +121,9 @@
 	}
 }
 
-// once claims the call, sends it and settles the claim. If the call ran before, it
-// returns the recorded response.
-func (r *Runner) once(ctx context.Context, c *Call) (*claims.Response, error) {
+// runOnce claims the call, sends it and settles the claim. If the call ran before,
+// runOnce returns the recorded response.
+func (r *Runner) runOnce(ctx context.Context, c *Call) (*claims.Response, error) {
 	keyTime := claims.KeyTime(c.Key)
 	if claims.Expired(keyTime, time.Now(), c.Template.ClaimRetention.D()) {
 		return nil, outcome.New(outcome.NotRun, outcome.CodeKeyExpired, "claim", "", "the idempotency key's time is in the future or beyond the claim retention of its template")
@@ -150,7 +153,7 @@
 }
 
 // sendHeld sends a claimed call. It tries another target only if the last one certainly
-// did not run the call, and under the same attempt id, which is then still unused.
+// did not run the call. It then uses the same attempt id, under which nothing has run.
 func (r *Runner) sendHeld(ctx context.Context, c *Call, held *claims.Held) (*claims.Response, error) {
 	var tried []ids.Target
 	for {
@@ -166,6 +169,8 @@
 	}
 }
 
+// settle records in the claim how the call ended, with the target's response if the call
+// ran. It records the body only if the template says so.
 func (r *Runner) settle(ctx context.Context, c *Call, held *claims.Held, a *claims.Response, err error) {
 	o := outcome.Ran
 	if err != nil {
@@ -237,7 +242,7 @@
 	if err != nil {
 		return nil, outcome.Wrap(err, outcome.NotRun, outcome.CodeBadRequest, "build", string(t.ID), "the call's path is not valid")
 	}
-	req.GetBody = nil
+	req.GetBody = nil // so that net/http can't resend the body by itself
 	if c.ContentType != "" {
 		req.Header.Set("Content-Type", c.ContentType)
 	}
