--- a/internal/gateway/answers.go
+++ b/internal/gateway/answers.go
@@ -93,12 +93,12 @@
 		kind = "server_error"
 	}
 	return errorBody{Error: errorDetail{
-		Message: e.Message + callerDetail(e), Type: kind, Code: e.Code, Outcome: e.Outcome.String(), RequestID: req,
+		Message: e.Message + targetDetail(e), Type: kind, Code: e.Code, Outcome: e.Outcome.String(), RequestID: req,
 	}}
 }
 
-// callerDetail returns what a target reported about an invalid request.
-func callerDetail(e *outcome.Error) string {
+// targetDetail returns what a target reported about an invalid request.
+func targetDetail(e *outcome.Error) string {
 	var ce *engine.CallerError
 	if e.Outcome != outcome.Ran || !errors.As(e, &ce) {
 		return ""
@@ -127,15 +127,16 @@
 	ctl     *http.ResponseController
 	request ids.Request
 	started bool
-	number  uint64 // of the last event
+	number  uint64 // of the last event, zero if there was none
 	buf     []byte // events not yet flushed
 
 	deadlineSet time.Time // when the write deadline was last extended
 }
 
-// callerTimeout bounds a write to a caller that does not read. Flush extends the write
-// deadline only once a quarter of it has passed, so a write gets 45 to 60 s.
-const callerTimeout = 60 * time.Second
+// writeTimeout bounds a write to a caller that does not read. Flush extends the write
+// deadline only if a quarter of this time has passed since it last did, so a write gets
+// 45 to 60 s.
+const writeTimeout = 60 * time.Second
 
 // complete sets the trailer of a complete stream.
 func (s *sink) complete() {
@@ -175,9 +176,9 @@
 	if len(s.buf) == 0 {
 		return nil
 	}
-	if now := time.Now(); now.Sub(s.deadlineSet) > callerTimeout/4 {
+	if now := time.Now(); now.Sub(s.deadlineSet) > writeTimeout/4 {
 		s.deadlineSet = now
-		_ = s.ctl.SetWriteDeadline(now.Add(callerTimeout))
+		_ = s.ctl.SetWriteDeadline(now.Add(writeTimeout))
 	}
 	_, err := s.c.Writer.Write(s.buf)
 	s.buf = s.buf[:0]
@@ -197,8 +198,9 @@
 }
 
 // fail ends the response with an error: with a status if nothing was sent, with an
-// error event if the stream had begun. The stream then has no [DONE], and its
-// connection is aborted, so that no reader takes it for complete.
+// error event if the stream had begun. In the second case fail sends no [DONE] and panics with
+// http.ErrAbortHandler, which closes the connection, so that no reader takes the stream
+// for complete.
 func (s *sink) fail(e *outcome.Error) {
 	if !s.started {
 		s.g.fail(s.c, s.request, e)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,13 +32,13 @@
 	HeaderVM        = "X-Threadwall-Vm"
 )
 
-// Readiness reports whether this VM may take work.
+// Readiness reports whether this VM may take work. It must be safe for concurrent use.
 type Readiness interface {
 	// Ready reports whether the load balancer may send requests, and the reason if not.
 	Ready() (ok bool, reason string)
-	// Serves reports whether the VM has been ready once. Before that, its
+	// Serves reports whether the VM has been ready once. Before that, the VM's
 	// configuration may be older than one that its previous incarnation served.
-	// During a shutdown it still serves requests that arrive.
+	// Serves stays true during a shutdown, when requests may still arrive.
 	Serves() bool
 }
 
@@ -51,11 +51,11 @@
 	Services   *services.Runner
 	Events     *timeline.Log
 	Readiness  Readiness
-	MaxBody    int64
+	MaxBody    int64 // longest body of a model request, in bytes
 	Log        zerolog.Logger
-	Requests   atomic.Int64
-	Refused    atomic.Int64
-	Broken     atomic.Int64
+	Requests   atomic.Int64 // received under /v1
+	Refused    atomic.Int64 // ended with an error, those in Broken included
+	Broken     atomic.Int64 // ended with an error after the response had begun
 }
 
 // Handler returns the HTTP handler.
@@ -113,8 +113,8 @@
 	return r
 }
 
-// admit assigns the request its id, its workspace and the configuration that it uses
-// until it ends, and applies the workspace's limits.
+// admit assigns the request its id, its workspace and the configuration to use until
+// the request ends, and applies the workspace's limits.
 func (g *Gateway) admit(c *gin.Context) {
 	req := ids.NewRequest()
 	g.Requests.Add(1)
