--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -67,7 +67,7 @@
 
 // checkResult compiles the resulting objects and returns an error for the first key that is
 // rejected now and was not before.
-func checkResult(rev objectapi.Revision, byKey map[string]objectapi.Object, before map[string]string) error {
+func checkResult(rev objectapi.Revision, byKey map[string]objectapi.Object, rejectedBefore map[string]string) error {
 	var all []objectapi.Object
 	for _, o := range byKey {
 		all = append(all, o)
@@ -75,7 +75,7 @@
 	var keys []string
 	rejected := config.Compile(rev, all).Rejected
 	for key := range rejected {
-		if _, old := before[key]; !old {
+		if _, old := rejectedBefore[key]; !old {
 			keys = append(keys, key)
 		}
 	}
@@ -148,9 +148,9 @@
 	if !ok {
 		return eris.Errorf("%s/%s does not exist", k, name)
 	}
-	before := config.Compile(rev, stored).Rejected
+	rejectedBefore := config.Compile(rev, stored).Rejected
 	delete(byKey, key)
-	if err := checkResult(rev, byKey, before); err != nil {
+	if err := checkResult(rev, byKey, rejectedBefore); err != nil {
 		return eris.Wrapf(err, "can't delete %s/%s, which is still referenced", k, name)
 	}
 	err = s.Delete(ctx, key, old.Version)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -64,15 +64,15 @@
 	// Health is shared by the followers of one store. Nil if this is the only one.
 	Health *StoreHealth
 
-	after objectapi.Revision // zero: list first
-	lost  bool
-	since time.Time // of the loss
+	after     objectapi.Revision // zero: list first
+	lost      bool
+	lostSince time.Time // of the loss
 }
 
 // Run follows the key space until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	delay := minRetryDelay
-	f.lost, f.since = f.Reconnecting, clock.Now()
+	f.lost, f.lostSince = f.Reconnecting, clock.Now()
 	for ctx.Err() == nil {
 		if f.Health.awaitTurn(ctx, f) {
 			f.after = 0
@@ -146,7 +146,7 @@
 	if f.lost {
 		return
 	}
-	f.lost, f.since = true, clock.Now()
+	f.lost, f.lostSince = true, clock.Now()
 	f.Log.State("dependency-lost").Str("dependency", "store "+f.Prefix).Str("error", err.Error()).Send()
 }
 
@@ -155,5 +155,5 @@
 		return
 	}
 	f.lost = false
-	f.Log.State("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.since).Milliseconds()).Send()
+	f.Log.State("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.lostSince).Milliseconds()).Send()
 }
--- a/internal/follow/growth_test.go
+++ b/internal/follow/growth_test.go
@@ -69,8 +69,8 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / float64(n)
 }
 
-// power returns the exponent with which a figure grows with the size.
-func power(a, b float64, sizeA, sizeB int) float64 {
+// growthExponent returns the exponent with which a figure grows with the size.
+func growthExponent(a, b float64, sizeA, sizeB int) float64 {
 	return math.Log(max(b, 1)/max(a, 1)) / math.Log(float64(sizeB)/float64(sizeA))
 }
 
@@ -102,8 +102,8 @@
 	a, b := rows[1_200], rows[20_000]
 	callBase := rows[9_756] // from here on the rendezvous target of a key is mostly beyond the VM's subset
 	for name, p := range map[string]float64{
-		"targets": power(a.targets, b.targets, 1_200, 20_000), "bytes a tick": power(a.tick, b.tick, 1_200, 20_000),
-		"bytes a change": power(a.change, b.change, 1_200, 20_000), "bytes a call": power(callBase.call, b.call, 9_756, 20_000),
+		"targets": growthExponent(a.targets, b.targets, 1_200, 20_000), "bytes a tick": growthExponent(a.tick, b.tick, 1_200, 20_000),
+		"bytes a change": growthExponent(a.change, b.change, 1_200, 20_000), "bytes a call": growthExponent(callBase.call, b.call, 9_756, 20_000),
 	} {
 		if p > 0.3 {
 			t.Errorf("%s grow with the replicas to the power of %.2f", name, p)
@@ -154,7 +154,7 @@
 	if len(covered) < 990 {
 		t.Errorf("60 VMs of a domain work with %d of its 1000 replicas", len(covered))
 	}
-	var same []ids.Target
+	var ofFirstVM []ids.Target
 	for vm := range 5 {
 		r := newFleetReplicas(n)
 		r.Subset.VM = ids.VM(fmt.Sprint("vm", vm))
@@ -165,9 +165,9 @@
 		}
 		for _, rec := range r.topRendezvous(r.directory.services["s"].local, 77, 2) {
 			if id := ids.Target(rec.ID); vm == 0 {
-				same = append(same, id)
-			} else if !r.isActive(id, rec) || id != same[0] && id != same[1] {
-				t.Errorf("VM %d: rendezvous targets %v, those of VM 0 are %v", vm, got, same)
+				ofFirstVM = append(ofFirstVM, id)
+			} else if !r.isActive(id, rec) || id != ofFirstVM[0] && id != ofFirstVM[1] {
+				t.Errorf("VM %d: rendezvous targets %v, those of VM 0 are %v", vm, got, ofFirstVM)
 			}
 		}
 	}
--- a/internal/follow/health.go
+++ b/internal/follow/health.go
@@ -22,13 +22,13 @@
 // followers made 54 calls in a store outage of 9 s; with a single prober there are at most 24.
 // A nil StoreHealth does nothing. Safe for concurrent use.
 type StoreHealth struct {
-	mu        sync.Mutex
-	failedAt  time.Time
-	waiting   map[*context.CancelCauseFunc]struct{}
-	prober    *Follower          // the follower that probes the unavailable store; nil: the store is available
-	recovered chan struct{}      // closed when the store is available again
-	probed    map[*Follower]bool // followers that have probed without a response
-	excluded  map[*Follower]bool // followers that the store does not answer although it answers others
+	mu             sync.Mutex
+	cancelledAt    time.Time
+	pendingWatches map[*context.CancelCauseFunc]struct{}
+	prober         *Follower          // the follower that probes the unavailable store; nil: the store is available
+	recovered      chan struct{}      // closed when the store is available again
+	probed         map[*Follower]bool // followers that have probed without a response
+	excluded       map[*Follower]bool // followers that the store does not answer although it answers others
 }
 
 // probeTurn is how long a follower waits for the prober before it takes over: the failure may
@@ -55,11 +55,11 @@
 		h.setProber(f)
 		h.recovered = make(chan struct{})
 	}
-	if clock.Since(h.failedAt) < minRelistInterval {
+	if clock.Since(h.cancelledAt) < minRelistInterval {
 		return
 	}
-	h.failedAt = clock.Now()
-	for cancel := range h.waiting {
+	h.cancelledAt = clock.Now()
+	for cancel := range h.pendingWatches {
 		(*cancel)(errRelist)
 	}
 }
@@ -140,14 +140,14 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.waiting == nil {
-		h.waiting = map[*context.CancelCauseFunc]struct{}{}
+	if h.pendingWatches == nil {
+		h.pendingWatches = map[*context.CancelCauseFunc]struct{}{}
 	}
-	h.waiting[&cancel] = struct{}{}
+	h.pendingWatches[&cancel] = struct{}{}
 	return watch, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		delete(h.waiting, &cancel)
+		delete(h.pendingWatches, &cancel)
 		cancel(nil)
 	}
 }
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -58,10 +58,10 @@
 	unreadable bool      // its entry can't be decoded
 	// weightsAt is when the weights were received from another source than the
 	// entry, which is written about once a second.
-	weightsAt time.Time
-	hash      uint64 // of its id
-	weight    uint64 // rendezvous weight for this VM; the subset holds the lowest
-	inSubset  bool
+	weightsAt        time.Time
+	hash             uint64 // of its id
+	rendezvousWeight uint64 // rendezvous weight for this VM; the subset holds the lowest
+	inSubset         bool
 }
 
 // entryLag is how long an entry may be out of date: a replica writes it about once a second, and
@@ -93,7 +93,7 @@
 	}
 	for id := range r.records {
 		if !seen[id] {
-			r.missing(id)
+			r.markMissing(id)
 		}
 	}
 	r.listed = true
@@ -110,7 +110,7 @@
 			continue
 		}
 		if id, ok := r.directory.byKey[o.Key]; ok {
-			r.missing(id)
+			r.markMissing(id)
 		}
 	}
 	r.publish()
@@ -136,11 +136,11 @@
 		return id, true // the entry is of an incarnation that has ended
 	}
 	rec := &record{Record: n, hash: routing.HashTarget(id)}
-	rec.weight = routing.RendezvousWeight(rec.hash, r.Subset.hash())
+	rec.rendezvousWeight = routing.RendezvousWeight(rec.hash, r.Subset.hash())
 	switch {
 	case old == nil:
 	case n.Incarnation > old.Incarnation:
-		r.restarted(id, n.Incarnation, "entry")
+		r.discardPreviousIncarnation(id, n.Incarnation, "entry")
 	default:
 		rec.carryOver(old)
 	}
@@ -197,20 +197,20 @@
 	if rec == nil || inc <= rec.Incarnation {
 		return
 	}
-	r.restarted(id, inc, from)
+	r.discardPreviousIncarnation(id, inc, from)
 	rec.Incarnation, rec.State, rec.weightsAt = inc, platform.StateLive, time.Time{}
 	r.directory.invalidateList()
 	r.publish()
 }
 
-// restarted drops the state of the previous incarnation. The caller holds the lock.
-func (r *Replicas) restarted(id ids.Target, inc ids.Incarnation, from string) {
+// discardPreviousIncarnation drops the state of the previous incarnation. The caller holds the lock.
+func (r *Replicas) discardPreviousIncarnation(id ids.Target, inc ids.Incarnation, from string) {
 	r.Log.State("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
 	r.OnGone(id)
 }
 
-// missing marks an entry that is no longer listed. The caller holds the lock.
-func (r *Replicas) missing(id ids.Target) {
+// markMissing marks an entry that is no longer listed. The caller holds the lock.
+func (r *Replicas) markMissing(id ids.Target) {
 	rec := r.records[id]
 	if rec == nil || !rec.missingAt.IsZero() {
 		return
@@ -258,8 +258,8 @@
 	r.Log.State("weights").Str("target", string(id)).Str("before", string(rec.Weights)).Str("now", string(w)).Str("from", from).Send()
 	before := rec.Weights
 	rec.Weights, rec.weightsAt = w, clock.Now()
-	r.directory.addWeights(rec.Model, before, -1)
-	r.directory.addWeights(rec.Model, w, 1)
+	r.directory.addDeployed(rec.Model, before, -1)
+	r.directory.addDeployed(rec.Model, w, 1)
 	r.directory.invalidateList()
 	if r.isActive(id, rec) {
 		r.publish()
--- a/internal/follow/subset.go
+++ b/internal/follow/subset.go
@@ -44,8 +44,8 @@
 type directory struct {
 	byKey       map[string]ids.Target // by key of the entry
 	byShortHash map[uint32]ids.Target // by the low 32 bits of the hash
-	services    map[string]*members
-	weights     map[platform.Deployed]int
+	services    map[string]*serviceReplicas
+	deployed    map[platform.Deployed]int
 	list        []platform.Record // nil: to be rebuilt
 	rendezvous  map[ids.Target]time.Time
 	pinned      map[ids.Target]bool
@@ -54,8 +54,8 @@
 	published []platform.Record
 }
 
-// members are the replicas of one service.
-type members struct {
+// serviceReplicas are the replicas of one service.
+type serviceReplicas struct {
 	local, remote []*record // by weight: in the VM's failure domain, and in others
 	subset        []*record // the selected ones of both
 	stale         bool      // replicas were added or removed since the selection
@@ -65,7 +65,7 @@
 // replace updates the indexes when a replica is added (old is nil), changed, or removed (rec is nil).
 func (d *directory) replace(id ids.Target, old, rec *record) {
 	if d.byKey == nil {
-		d.byKey, d.byShortHash, d.services, d.weights = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*members{}, map[platform.Deployed]int{}
+		d.byKey, d.byShortHash, d.services, d.deployed = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*serviceReplicas{}, map[platform.Deployed]int{}
 		d.rendezvous, d.pinned = map[ids.Target]time.Time{}, map[ids.Target]bool{}
 	}
 	d.invalidateList()
@@ -73,13 +73,13 @@
 	if old != nil {
 		delete(d.byKey, old.Key())
 		delete(d.byShortHash, uint32(old.hash))
-		d.addWeights(old.Model, old.Weights, -1)
+		d.addDeployed(old.Model, old.Weights, -1)
 		d.service(old.Service).stale = d.service(old.Service).stale || moved
 	}
 	if rec != nil {
 		d.byKey[rec.Key()] = id
 		d.byShortHash[uint32(rec.hash)] = id
-		d.addWeights(rec.Model, rec.Weights, 1)
+		d.addDeployed(rec.Model, rec.Weights, 1)
 		d.service(rec.Service).stale = d.service(rec.Service).stale || moved
 	}
 }
@@ -87,21 +87,21 @@
 // invalidateList marks the list of all records as out of date.
 func (d *directory) invalidateList() { d.list = nil }
 
-// addWeights adds n to the number of replicas that have a version of weights.
-func (d *directory) addWeights(m ids.Model, w ids.WeightsVersion, n int) {
+// addDeployed adds n to the number of replicas that have a version of weights.
+func (d *directory) addDeployed(m ids.Model, w ids.WeightsVersion, n int) {
 	if m == "" {
 		return
 	}
 	key := platform.Deployed{Model: m, Weights: w}
-	if d.weights[key] += n; d.weights[key] <= 0 {
-		delete(d.weights, key)
+	if d.deployed[key] += n; d.deployed[key] <= 0 {
+		delete(d.deployed, key)
 	}
 }
 
-func (d *directory) service(service string) *members {
+func (d *directory) service(service string) *serviceReplicas {
 	m := d.services[service]
 	if m == nil {
-		m = &members{stale: true}
+		m = &serviceReplicas{stale: true}
 		d.services[service] = m
 	}
 	return m
@@ -140,11 +140,11 @@
 }
 
 // selectSubset selects the replicas of one service with the lowest weights for this VM.
-func (m *members) selectSubset(limit int) {
+func (m *serviceReplicas) selectSubset(limit int) {
 	m.stale = false
 	all := len(m.local) + len(m.remote)
 	m.complete = limit <= 0 || all <= limit
-	byWeight := func(a, b *record) int { return cmp.Compare(a.weight, b.weight) }
+	byWeight := func(a, b *record) int { return cmp.Compare(a.rendezvousWeight, b.rendezvousWeight) }
 	slices.SortFunc(m.local, byWeight)
 	slices.SortFunc(m.remote, byWeight)
 	local := min(len(m.local), max(limit-limit/remoteDivisor, limit-len(m.remote)))
@@ -303,8 +303,8 @@
 func (r *Replicas) Deployed() []platform.Deployed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]platform.Deployed, 0, len(r.directory.weights))
-	for w := range r.directory.weights {
+	out := make([]platform.Deployed, 0, len(r.directory.deployed))
+	for w := range r.directory.deployed {
 		out = append(out, w)
 	}
 	return out
--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -100,7 +100,7 @@
 	defer cancel()
 	r := &mirrorpb.ReadRequest{WaitMs: uint32(wait.Milliseconds())}
 	for i, s := range c.spaces {
-		r.Have = append(r.Have, &mirrorpb.Position{Prefix: s.Prefix, Copy: c.have[i].copyID, Change: c.have[i].change, Behind: c.have[i].behind})
+		r.Have = append(r.Have, &mirrorpb.Position{Prefix: s.Prefix, Copy: c.have[i].copyID, Change: c.have[i].change, Behind: c.have[i].afterKey})
 	}
 	sent := clock.Now()
 	resp, err := mirrorpb.NewMirrorClient(c.conn).Read(ctx, r)
@@ -160,7 +160,7 @@
 		}
 		full.objects = append(full.objects, objects...)
 		if p.More && len(objects) > 0 {
-			c.have[i].behind = objects[len(objects)-1].Key
+			c.have[i].afterKey = objects[len(objects)-1].Key
 			return
 		}
 		full.at.Answered = at.Answered
--- a/internal/mirror/pack.go
+++ b/internal/mirror/pack.go
@@ -27,17 +27,17 @@
 	chunks map[string][]byte
 }
 
-// of returns the compressed form of a chunk. The caller holds the space's lock.
-func (p *packedChunks) of(u *update, change uint64) ([]byte, error) {
+// get returns the compressed form of a chunk, from the cache if it is there. The caller holds the space's lock.
+func (p *packedChunks) get(u *update, change uint64) ([]byte, error) {
 	if p.change != change || p.chunks == nil {
 		p.change, p.chunks = change, map[string][]byte{}
 	}
-	if packed, ok := p.chunks[u.behind]; ok {
+	if packed, ok := p.chunks[u.afterKey]; ok {
 		return packed, nil
 	}
 	packed, err := pack(u.objects)
 	if err == nil {
-		p.chunks[u.behind] = packed
+		p.chunks[u.afterKey] = packed
 	}
 	return packed, err
 }
--- a/internal/mirror/pieces_test.go
+++ b/internal/mirror/pieces_test.go
@@ -21,7 +21,7 @@
 	mirrorpb.UnimplementedMirrorServer
 	inner   *Server
 	change  func()
-	longest int
+	largest int
 }
 
 func (s *measuringServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
@@ -33,7 +33,7 @@
 		}
 		n += len(p.Packed)
 	}
-	s.longest = max(s.longest, n)
+	s.largest = max(s.largest, n)
 	s.change()
 	return a, err
 }
@@ -87,8 +87,8 @@
 			t.Fatal(err)
 		}
 	}
-	if s.longest > chunkBytes {
-		t.Errorf("largest response has %d bytes, want at most %d", s.longest, chunkBytes)
+	if s.largest > chunkBytes {
+		t.Errorf("largest response has %d bytes, want at most %d", s.largest, chunkBytes)
 	}
 	if len(dst.objects) != len(source.objects) {
 		t.Errorf("the copy has %d objects, its source has %d", len(dst.objects), len(source.objects))
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -72,7 +72,7 @@
 
 func part(prefix string, u *update, now time.Time) *mirrorpb.Part {
 	p := &mirrorpb.Part{
-		Prefix: prefix, Copy: u.to.copyID, Change: u.to.change, Revision: uint64(u.at.Revision), Whole: u.full, More: u.more, Behind: u.behind, Regained: u.regained,
+		Prefix: prefix, Copy: u.to.copyID, Change: u.to.change, Revision: uint64(u.at.Revision), Whole: u.full, More: u.more, Behind: u.afterKey, Regained: u.regained,
 		AgeUs: microseconds(u.at.Sent, now), ContactUs: microseconds(u.at.Answered, now),
 	}
 	if p.Packed = u.packed; len(u.packed) == 0 {
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -67,17 +67,17 @@
 	// Notifier is notified of each change. Shared by the spaces of a VM.
 	Notifier *Notifier
 
-	mu       sync.Mutex
-	objects  map[string]objectapi.Object
-	at       follow.At
-	listed   bool
-	regained time.Time // time of the last list after an outage of the store
-	copyID   uint64    // random identifier of this copy for readers; zero: not listed yet
-	change   uint64    // sequence number of the last change
-	keys     []string  // of objects, sorted; nil: not sorted yet
-	packed   packedChunks
-	base     uint64 // last change before the first of batches
-	batches  []batch
+	mu         sync.Mutex
+	objects    map[string]objectapi.Object
+	at         follow.At
+	listed     bool
+	regainedAt time.Time // time of the last list after an outage of the store
+	copyID     uint64    // random identifier of this copy for readers; zero: not listed yet
+	change     uint64    // sequence number of the last change
+	keys       []string  // of objects, sorted; nil: not sorted yet
+	packed     packedChunks
+	base       uint64 // last change before the first of batches
+	batches    []batch
 }
 
 var _ follow.Handler = (*Space)(nil)
@@ -100,7 +100,7 @@
 	}
 	s.listed, s.keys = true, nil
 	if regained {
-		s.regained = clock.Now()
+		s.regainedAt = clock.Now()
 	}
 	s.change++
 	s.base, s.batches = s.change, nil // readers get a list as a full copy
@@ -199,7 +199,7 @@
 // behind is the last key that it has, as of change or later.
 type position struct {
 	copyID, change uint64
-	behind         string
+	afterKey       string
 }
 
 // update holds what a reader lacks.
@@ -208,7 +208,7 @@
 	at       follow.At
 	full     bool
 	more     bool   // the copy continues after the last of objects
-	behind   string // key after which this chunk begins
+	afterKey string // key after which this chunk begins
 	regained bool
 	objects  []objectapi.Object
 	packed   []byte // compressed objects of a full copy; empty: objects are sent uncompressed
@@ -228,9 +228,9 @@
 	}
 	u.to, u.at = position{copyID: s.copyID, change: s.change}, s.at
 	known := have.copyID == s.copyID && have.change >= s.base
-	if known && have.behind != "" {
+	if known && have.afterKey != "" {
 		u.to.change = have.change // later changes in the chunks sent before follow as batches
-		s.addChunk(&u, have.behind)
+		s.addChunk(&u, have.afterKey)
 		return u, true
 	}
 	if !known {
@@ -246,17 +246,17 @@
 }
 
 // addChunk adds the objects after a key, up to chunkBytes. The caller holds the lock.
-func (s *Space) addChunk(u *update, behind string) {
+func (s *Space) addChunk(u *update, afterKey string) {
 	if s.keys == nil {
 		s.keys = slices.Sorted(maps.Keys(s.objects))
 	}
-	u.full, u.behind, u.regained = true, behind, clock.Since(s.regained) < regainedPeriod
-	from, found := slices.BinarySearch(s.keys, behind)
+	u.full, u.afterKey, u.regained = true, afterKey, clock.Since(s.regainedAt) < regainedPeriod
+	from, found := slices.BinarySearch(s.keys, afterKey)
 	if found {
 		from++
 	}
 	defer func() {
-		if packed, err := s.packed.of(u, s.change); err == nil {
+		if packed, err := s.packed.get(u, s.change); err == nil {
 			u.packed = packed
 		}
 	}()
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -172,7 +172,7 @@
 	if u, _ := s.since(position{}); !u.full || !u.regained {
 		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", u)
 	}
-	s.regained = s.regained.Add(-regainedPeriod)
+	s.regainedAt = s.regainedAt.Add(-regainedPeriod)
 	if u, _ := s.since(position{}); !u.full || u.regained {
 		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", u)
 	}
--- a/internal/mirror/turns_test.go
+++ b/internal/mirror/turns_test.go
@@ -70,10 +70,10 @@
 // TestMaxBlindTime adds up how long a VM may miss changes after the store reader has lost the store:
 // in the reader's failure domain, and in the last of six domains.
 func TestMaxBlindTime(t *testing.T) {
-	const most, crossDomainReaders = 2500 * time.Millisecond, 10
+	const limit, crossDomainReaders = 2500 * time.Millisecond, 10
 	own := maxContactAge + readWait + seekInterval + rankStep + avoidStale
 	last := crossDomainMaxAge + readWait + seekInterval + crossDomainReaders*crossDomainStep + avoidStale
-	if own > most || last > most {
+	if own > limit || last > limit {
 		t.Errorf("%v in the reader's domain, %v in the last domain", own, last)
 	}
 }
