--- a/internal/follow/clock.go
+++ b/internal/follow/clock.go
@@ -7,10 +7,10 @@
 	"github.com/threadwall/threadwall/internal/objectapi"
 )
 
-// Clock bounds the age of an object of the store by the store's revisions. All key spaces share
-// one revision counter, so a response for any of them with a lower revision proves that the
-// object did not exist when the call was sent. Safe for concurrent use. The zero value is ready
-// for use.
+// Clock derives from the revisions of the store's responses how old an object of the store can be
+// at most. All key spaces share one revision counter, so a response for any of them with a revision
+// below that of the object proves that the object did not exist when the call was sent. Safe for
+// concurrent use. The zero value is ready for use.
 type Clock struct {
 	mu      sync.Mutex
 	samples [clockSamples]At
@@ -20,7 +20,7 @@
 // clockSamples is how many responses are kept: those of about 10 s.
 const clockSamples = 64
 
-// record stores the revision and send time of a response.
+// record stores the revision of a response and the time at which its call was sent.
 func (c *Clock) record(at At) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -29,7 +29,7 @@
 }
 
 // Before returns the latest time at which a revision is known not to have existed, or zero if
-// there is none.
+// there is none or c is nil.
 func (c *Clock) Before(rev objectapi.Revision) time.Time {
 	if c == nil {
 		return time.Time{}
@@ -63,7 +63,7 @@
 }
 
 // Changed implements Handler. The clock records nothing: a watch may have waited for seconds before
-// the response, so its send time is too old to narrow an estimate.
+// the response, so the time at which its call was sent is too early to narrow an estimate.
 func (h clockHandler) Changed(events []objectapi.Object, at At) { h.next.Changed(events, at) }
 
 // Unchanged implements Handler.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -2,10 +2,11 @@
 // then watches it, through outages.
 //
 // Every failed call, and every watch that can't be continued, leads to a new list: a watch that
-// broke may have missed a change. A watch may also become unresponsive without breaking, so the
-// failure of one makes all others of the same store list again (StoreHealth), and no watch waits
-// long. A Handler receives the results together with the time at which the call was sent, since
-// only writes that were confirmed before that time are known to be included in the response.
+// broke may have missed a change. A watch may also become unresponsive without breaking. Therefore
+// the failure of one call makes all followers of the same store list again (StoreHealth), and
+// Follower.Wait limits how long a watch waits. A Handler receives the results together with the
+// time at which the call was sent, since only writes that were confirmed before that time are known
+// to be included in the response.
 package follow
 
 import (
@@ -31,9 +32,10 @@
 	Answered time.Time
 }
 
-// Handler receives the results of a Follower. A Follower makes its calls one at a time.
+// Handler receives the results of a Follower, which calls its methods one at a time.
 type Handler interface {
-	// Listed passes all objects. regained says that calls had failed before.
+	// Listed passes all objects. regained reports whether the store was unavailable before this
+	// list.
 	Listed(objects []objectapi.Object, at At, regained bool)
 	// Changed passes the changes since the last call, in order.
 	Changed(events []objectapi.Object, at At)
@@ -64,9 +66,9 @@
 	// Health is shared by the followers of one store. Nil if this is the only one.
 	Health *StoreHealth
 
-	after     objectapi.Revision // zero: list first
-	lost      bool
-	lostSince time.Time // of the loss
+	after     objectapi.Revision // the next watch starts after this revision; zero: list first
+	lost      bool               // the store is unavailable
+	lostSince time.Time
 }
 
 // Run follows the key space until ctx ends.
@@ -77,7 +79,7 @@
 		if f.Health.awaitTurn(ctx, f) {
 			f.after = 0
 			f.failed(errUnavailable)
-			delay = maxRetryDelay // the prober has called the store for a while
+			delay = maxRetryDelay // the prober has been retrying for a while, so the store may still be unavailable
 		}
 		err := f.once(ctx)
 		if ctx.Err() != nil {
--- a/internal/follow/growth_test.go
+++ b/internal/follow/growth_test.go
@@ -19,16 +19,17 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// These tests guard the cost of a large fleet. 986 simulated VMs with 10,002 replicas held 31 GB
-// before they had served a call, and simulated 3.5 s in three minutes: ten times a second each VM
-// made a snapshot of all replicas (32 ms, 6 MB) and copied the list of them, computed the reader
-// of each cache feed by a hash of each pair of VM and replica, and applied all replicas again at
-// each change. All of these costs now grow with the subset of replicas that a VM works with.
+// These tests bound the cost of a large fleet. A simulation of 986 VMs with 10,002 replicas used
+// 31 GB of memory before it had served a call, and took three minutes for 3.5 s of simulated time:
+// ten times a second each VM made a snapshot of all replicas (32 ms, 6 MB) and copied the list of
+// them, computed the reader of each cache feed by a hash of each pair of VM and replica, and applied
+// all replicas again at each change. All of these costs now grow with the subset of replicas that a
+// VM works with.
 
 // fleetSizes are numbers of replicas of one service in six failure domains.
 var fleetSizes = []int{153, 1_200, 9_756, 20_000}
 
-// newFleetReplicas returns the list of n replicas of a running VM.
+// newFleetReplicas returns the Replicas of a running VM that has listed n replicas.
 func newFleetReplicas(n int) *Replicas {
 	log := eventlog.New(io.Discard, nil)
 	r := &Replicas{
@@ -106,7 +107,7 @@
 		"bytes a change": growthExponent(a.change, b.change, 1_200, 20_000), "bytes a call": growthExponent(callBase.call, b.call, 9_756, 20_000),
 	} {
 		if p > 0.3 {
-			t.Errorf("%s grow with the replicas to the power of %.2f", name, p)
+			t.Errorf("%s grow with the replicas to the power of %.2f, want at most 0.3", name, p)
 		}
 	}
 }
@@ -136,7 +137,7 @@
 			}
 		}
 		if len(before) != 256 || local != 192 {
-			t.Fatalf("%d replicas, %d of them in the own domain", len(before), local)
+			t.Fatalf("%d active replicas, %d of them in the VM's own domain; want 256, 192", len(before), local)
 		}
 		gone := fleetEntry(6, 2)
 		gone.Deleted = true
@@ -148,11 +149,11 @@
 			}
 		}
 		if kept < 253 {
-			t.Errorf("%d of 256 replicas are left after one was removed and one was added", kept)
+			t.Errorf("%d of 256 active replicas are left after one was removed and one was added, want at least 253", kept)
 		}
 	}
 	if len(covered) < 990 {
-		t.Errorf("60 VMs of a domain work with %d of its 1000 replicas", len(covered))
+		t.Errorf("60 VMs of a domain work with %d of its 1000 replicas, want at least 990", len(covered))
 	}
 	var ofFirstVM []ids.Target
 	for vm := range 5 {
@@ -172,7 +173,7 @@
 		}
 	}
 	if small := newFleetReplicas(256); len(small.Active()) != 256 || small.KnownFraction("s") != 1 {
-		t.Errorf("%d of 256 replicas of a small service", len(small.Active()))
+		t.Errorf("%d of 256 replicas of a small service are active, want all", len(small.Active()))
 	}
 }
 
--- a/internal/follow/health.go
+++ b/internal/follow/health.go
@@ -12,23 +12,24 @@
 // errUnavailable says that the store does not answer another follower.
 var errUnavailable = errors.New("the store does not answer")
 
-// errRelist cancels a watch that may have become unresponsive.
+// errRelist is the cause with which a watch that may have become unresponsive is cancelled.
 var errRelist = errors.New("another watch of the store has failed")
 
 // StoreHealth is shared by the followers of a store. When a call of one follower fails, it cancels
 // the watches of all, since the same fault may have made the others unresponsive. Each follower
-// then lists again, the one that failed first: while the store does not answer it, the others
-// make no calls, and after probeTurn one of them takes over as the prober. Without this, four
-// followers made 54 calls in a store outage of 9 s; with a single prober there are at most 24.
+// then lists again. The follower whose call failed does so first, as the prober: while the store
+// does not answer it, the others make no calls, and after probeTurn one of them takes over as the
+// prober. Without this, four followers made 54 calls in a store outage of 9 s; with a single prober
+// there are at most 24.
 // A nil StoreHealth does nothing. Safe for concurrent use.
 type StoreHealth struct {
 	mu             sync.Mutex
-	cancelledAt    time.Time
-	pendingWatches map[*context.CancelCauseFunc]struct{}
-	prober         *Follower          // the follower that probes the unavailable store; nil: the store is available
-	recovered      chan struct{}      // closed when the store is available again
-	probed         map[*Follower]bool // followers that have probed without a response
-	excluded       map[*Follower]bool // followers that the store does not answer although it answers others
+	cancelledAt    time.Time                             // when all watches were last cancelled
+	pendingWatches map[*context.CancelCauseFunc]struct{} // to cancel each
+	prober         *Follower                             // the follower that probes the unavailable store; nil: the store is available
+	recovered      chan struct{}                         // closed when the store is available again
+	probed         map[*Follower]bool                    // followers that have probed without a response
+	excluded       map[*Follower]bool                    // followers that the store does not answer although it answers others; their failures are ignored
 }
 
 // probeTurn is how long a follower waits for the prober before it takes over: the failure may
@@ -76,7 +77,7 @@
 		return
 	}
 	delete(h.probed, f)
-	h.excluded, h.probed = h.probed, nil // until the store answers these followers
+	h.excluded, h.probed = h.probed, nil // each follower until the store answers it
 	h.prober = nil
 	close(h.recovered)
 }
@@ -122,7 +123,8 @@
 	return h.prober, h.recovered
 }
 
-// replaceProber makes f the prober in place of the given one, unless a third follower already is.
+// replaceProber makes f the prober in place of the given one, unless another follower has already
+// replaced it.
 func (h *StoreHealth) replaceProber(prober, f *Follower) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/follow/health_test.go
+++ b/internal/follow/health_test.go
@@ -12,8 +12,8 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// silentStore answers lists. Its watches never return, except that those of one
-// prefix fail on a signal.
+// silentStore answers lists. Its watches do not return until they are cancelled, except that a send
+// on fail makes a watch of prefix broken fail.
 type silentStore struct {
 	objectapi.Store
 	broken string
@@ -74,7 +74,7 @@
 	await(t, func() bool { return store.listed("b/") == 2 })
 }
 
-// unavailableStore answers no calls while lost is set.
+// unavailableStore fails all calls while lost is set.
 type unavailableStore struct {
 	objectapi.Store
 	mu    sync.Mutex
@@ -138,7 +138,7 @@
 		time.Sleep(3 * time.Second)
 		for i, h := range handlers {
 			if age := h.age(); age > time.Second {
-				t.Errorf("follower %d had its last response %v ago", i, age)
+				t.Errorf("follower %d had its last response %v ago, want at most 1s", i, age)
 			}
 		}
 		cancel()
@@ -146,7 +146,7 @@
 	})
 }
 
-// partlyUnavailableStore answers all calls except lists of one key space.
+// partlyUnavailableStore fails the lists of one key space and answers all other calls.
 type partlyUnavailableStore struct {
 	unavailableStore
 	prefix string
@@ -178,7 +178,7 @@
 			time.Sleep(3 * time.Second)
 			for i, h := range handlers[1:] {
 				if age := h.age(); age > 2500*time.Millisecond {
-					t.Errorf("follower %d had its last response %v ago", i+1, age)
+					t.Errorf("follower %d had its last response %v ago, want at most 2.5s", i+1, age)
 				}
 			}
 		}
--- a/internal/follow/replicas.go
+++ b/internal/follow/replicas.go
@@ -18,7 +18,7 @@
 // A replica whose entry is removed is gone, and one that reports that it leaves gets no
 // new work for the rest of its incarnation. Only after an outage of the store may an
 // entry be missing although its replica is alive: such a replica is kept for
-// ReturnGrace, in which a live one registers again.
+// ReturnGrace, within which a live one registers again.
 //
 // A replica may restart under its id. Its incarnation then increases, in whichever source
 // reports it first, and no state of the previous incarnation is kept. Later reports about
@@ -26,14 +26,17 @@
 //
 // An entry that can't be decoded is not used. If it replaces a replica's entry, that replica
 // gets no work until it has written its own entry again.
+//
+// Safe for concurrent use. The exported fields must be set before the first call.
 type Replicas struct {
 	Fleet *fleet.Fleet
 	// Decode decodes one entry.
 	Decode func(o objectapi.Object) (platform.Record, error)
-	// OnGone is called for each replica that is gone or has restarted.
+	// OnGone is called for each replica that is gone or has restarted, with the lock held: it must
+	// not call methods of Replicas.
 	OnGone func(id ids.Target)
 	// Configured reports whether the configuration names a service. Replicas of other services
-	// are not published. If nil, all are.
+	// are not published. If nil, all are. It is called with the lock held.
 	Configured func(service string) bool
 	// ReturnGrace is how long a missing entry may take to reappear after the store has
 	// recovered.
@@ -45,7 +48,7 @@
 	mu         sync.Mutex
 	records    map[ids.Target]*record
 	directory  directory
-	regainedAt time.Time
+	regainedAt time.Time // time of the last list after an outage of the store
 	listed     bool
 }
 
@@ -60,7 +63,7 @@
 	// entry, which is written about once a second.
 	weightsAt        time.Time
 	hash             uint64 // of its id
-	rendezvousWeight uint64 // rendezvous weight for this VM; the subset holds the lowest
+	rendezvousWeight uint64 // for this VM; the subset holds the replicas with the lowest
 	inSubset         bool
 }
 
@@ -203,13 +206,15 @@
 	r.publish()
 }
 
-// discardPreviousIncarnation drops the state of the previous incarnation. The caller holds the lock.
+// discardPreviousIncarnation logs that a replica has restarted and has OnGone drop the state of its
+// previous incarnation. The caller holds the lock.
 func (r *Replicas) discardPreviousIncarnation(id ids.Target, inc ids.Incarnation, from string) {
 	r.Log.State("replica-restarted").Str("target", string(id)).Uint64("incarnation", uint64(inc)).Str("from", from).Send()
 	r.OnGone(id)
 }
 
-// markMissing marks an entry that is no longer listed. The caller holds the lock.
+// markMissing records that a replica's entry is no longer listed, and drops the replica unless its
+// entry may still return after an outage of the store. The caller holds the lock.
 func (r *Replicas) markMissing(id ids.Target) {
 	rec := r.records[id]
 	if rec == nil || !rec.missingAt.IsZero() {
@@ -306,8 +311,8 @@
 	return !rec.unreadable && (r.Configured == nil || r.Configured(rec.Service))
 }
 
-// Each calls f with each replica that is listed or within ReturnGrace, until f returns false. f must
-// not call methods of r.
+// Each calls f with each replica that Records returns, until f returns false. f must not call
+// methods of r.
 func (r *Replicas) Each(f func(*platform.Record) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -318,8 +323,9 @@
 	}
 }
 
-// Records returns the replicas that are listed or within ReturnGrace. The result is shared and must
-// not be modified.
+// Records returns the replicas that are listed or within ReturnGrace, without those whose entries
+// can't be decoded or whose services are not configured. The result is shared and must not be
+// modified.
 func (r *Replicas) Records() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/replicas_test.go
+++ b/internal/follow/replicas_test.go
@@ -18,7 +18,7 @@
 	"github.com/threadwall/threadwall/internal/routing"
 )
 
-// newReplicas returns a list whose entries are records encoded as JSON, and the targets passed to
+// newReplicas returns Replicas whose entries are records encoded as JSON, and the targets passed to
 // OnGone.
 func newReplicas(t *testing.T) (*Replicas, *[]ids.Target) {
 	t.Helper()
@@ -82,25 +82,25 @@
 			members.SuspectUntil("e1", now.Add(time.Hour))
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{})
 			if got := members.State("e1", time.Now()); got != routing.Leaving {
-				t.Fatalf("the replica is %s while it drains", got)
+				t.Fatalf("the replica is %s while it drains, want leaving", got)
 			}
 			restart(r)
 			r.Fleet.Refresh()
 			if got := members.State("e1", time.Now()); got != routing.Live {
-				t.Errorf("the replica is %s after its restart", got)
+				t.Errorf("the replica is %s after its restart, want live", got)
 			}
 			if got := r.find("e1"); got == nil || got.State != platform.StateLive {
-				t.Errorf("the list says %+v", got)
+				t.Errorf("got record %+v, want live", got)
 			}
 			if !slices.Equal(*gone, []ids.Target{"e1"}) {
-				t.Errorf("OnGone was called for %v", *gone)
+				t.Errorf("OnGone was called for %v, want e1 once", *gone)
 			}
 			if r.Fleet.Cache.Has("e1", 7) {
 				t.Error("a cache view entry of the previous incarnation is left")
 			}
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{})
 			if got := members.State("e1", time.Now()); got != routing.Live {
-				t.Errorf("the replica is %s after a late entry of the previous incarnation", got)
+				t.Errorf("the replica is %s after a late entry of the previous incarnation, want live", got)
 			}
 		})
 	}
@@ -124,13 +124,13 @@
 			r.Listed(own, At{}, false)
 			write(r)
 			if got := r.Records(); len(got) != 1 || got[0].ID != "e2" {
-				t.Fatalf("the list names %v", got)
+				t.Fatalf("got records %v, want only e2", got)
 			}
 			if got := r.Fleet.Members.State("e1", time.Now()); got > routing.Leaving {
 				t.Errorf("the replica is %s although its entry is unreadable", got)
 			}
 			if got := r.Fleet.Members.State("e2", time.Now()); got != routing.Live {
-				t.Errorf("the other replica is %s", got)
+				t.Errorf("the other replica is %s, want live", got)
 			}
 			r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{})
 			if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Leaving {
--- a/internal/follow/restarted_test.go
+++ b/internal/follow/restarted_test.go
@@ -18,11 +18,11 @@
 	r.Restarted("e1", 150, "report") // late
 	r.Changed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLeaving))}, At{})
 	if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Live {
-		t.Errorf("the replica is %s", got)
+		t.Errorf("the replica is %s after its restart, want live", got)
 	}
 	r.Changed([]objectapi.Object{entryOf(engineOf("e1", 200, platform.StateLive))}, At{})
 	if got := r.find("e1"); got == nil || got.Incarnation != 200 || got.State != platform.StateLive || len(*gone) != 1 {
-		t.Errorf("the list says %+v, OnGone was called for %v", got, *gone)
+		t.Errorf("got record %+v, OnGone was called for %v; want incarnation 200 live, one call", got, *gone)
 	}
 	r.Changed([]objectapi.Object{entryOf(engineOf("e1", 200, platform.StateLeaving))}, At{})
 	if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Leaving {
@@ -38,11 +38,11 @@
 	r.Configured = func(string) bool { return configured }
 	r.Listed([]objectapi.Object{entryOf(engineOf("e1", 100, platform.StateLive))}, At{}, false)
 	if got := r.Records(); len(got) != 0 {
-		t.Errorf("the list names %v", got)
+		t.Errorf("got records %v, want none", got)
 	}
 	configured = true
 	r.Publish()
 	if got := r.Fleet.Members.State("e1", time.Now()); got != routing.Live {
-		t.Errorf("the replica is %s after its service was configured", got)
+		t.Errorf("the replica is %s after its service was configured, want live", got)
 	}
 }
--- a/internal/follow/subset.go
+++ b/internal/follow/subset.go
@@ -22,8 +22,8 @@
 type Subset struct {
 	VM     ids.VM
 	Domain ids.FailureDomain
-	// Max is the size of the subset of each service, without rendezvous targets and pinned
-	// replicas. Zero: no limit.
+	// Max is the largest size of the subset of each service, not counting rendezvous targets and
+	// pinned replicas. Zero: no limit.
 	Max int
 }
 
@@ -46,8 +46,8 @@
 	byShortHash map[uint32]ids.Target // by the low 32 bits of the hash
 	services    map[string]*serviceReplicas
 	deployed    map[platform.Deployed]int
-	list        []platform.Record // nil: to be rebuilt
-	rendezvous  map[ids.Target]time.Time
+	list        []platform.Record        // cached result of Records; nil: out of date
+	rendezvous  map[ids.Target]time.Time // last use of rendezvous targets beyond the subset
 	pinned      map[ids.Target]bool
 	// active are the replicas that this VM works with; published are the usable records of them.
 	active    map[ids.Target]bool
@@ -56,7 +56,7 @@
 
 // serviceReplicas are the replicas of one service.
 type serviceReplicas struct {
-	local, remote []*record // by weight: in the VM's failure domain, and in others
+	local, remote []*record // in the VM's failure domain, and in others; in ascending order of rendezvousWeight
 	subset        []*record // the selected ones of both
 	stale         bool      // replicas were added or removed since the selection
 	complete      bool      // the subset holds all replicas
@@ -84,10 +84,10 @@
 	}
 }
 
-// invalidateList marks the list of all records as out of date.
+// invalidateList marks the cached result of Records as out of date.
 func (d *directory) invalidateList() { d.list = nil }
 
-// addDeployed adds n to the number of replicas that have a version of weights.
+// addDeployed adds n to the number of replicas that have a version of a model's weights.
 func (d *directory) addDeployed(m ids.Model, w ids.WeightsVersion, n int) {
 	if m == "" {
 		return
@@ -139,7 +139,9 @@
 	}
 }
 
-// selectSubset selects the replicas of one service with the lowest weights for this VM.
+// selectSubset selects the replicas of one service with the lowest rendezvous weights for this VM:
+// at most limit, or all if limit is zero. One in remoteDivisor is of another failure domain if there
+// are enough of both.
 func (m *serviceReplicas) selectSubset(limit int) {
 	m.stale = false
 	all := len(m.local) + len(m.remote)
@@ -284,7 +286,8 @@
 	}
 }
 
-// Active returns the replicas that this VM works with. The result must not be modified.
+// Active returns the active replicas whose entries can be decoded and whose services are
+// configured. The result is shared and must not be modified.
 func (r *Replicas) Active() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,7 +302,7 @@
 	return id, ok
 }
 
-// Deployed returns the versions of weights that replicas have.
+// Deployed returns the versions of models' weights that replicas have, in no particular order.
 func (r *Replicas) Deployed() []platform.Deployed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/follow/weights.go
+++ b/internal/follow/weights.go
@@ -23,6 +23,7 @@
 // Weights holds the versions of weights that operators have declared for each model, and when.
 // Safe for concurrent use.
 type Weights struct {
+	// Decode decodes the value of one object.
 	Decode func(value []byte) (DesiredWeights, error)
 	// Clock narrows the age of the objects of a list. If nil, only the responses of this key
 	// space bound it.
@@ -30,7 +31,7 @@
 	Log   *eventlog.Log
 
 	mu       sync.RWMutex
-	within   time.Duration
+	within   time.Duration // the limit of SetWithin
 	models   map[ids.Model][]version
 	started  bool
 	provenAt time.Time // all versions declared before this time are known
@@ -69,8 +70,8 @@
 	w.within = d
 }
 
-// Listed implements Handler. The versions of a list may have been declared at any time since the
-// send time of the last response.
+// Listed implements Handler. A version that is new in a list may have been declared at any time
+// since the last answered call was sent.
 func (w *Weights) Listed(objects []objectapi.Object, at At, _ bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,7 +88,8 @@
 	w.started, w.provenAt = true, at.Sent
 }
 
-// Changed implements Handler. The store sends a change as soon as it is made, so its time is now.
+// Changed implements Handler. The store sends a change as soon as it is made, so the versions in it
+// count as declared now.
 func (w *Weights) Changed(events []objectapi.Object, at At) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,8 +105,8 @@
 	w.provenAt = at.Sent
 }
 
-// apply adds the versions in objects. declaredAt returns when one was declared, or an estimate if
-// estimated is set. The caller holds the lock.
+// apply adds the versions in objects. declaredAt returns the time at which the object of a revision
+// was declared, or an estimate of it if estimated is set. The caller holds the lock.
 func (w *Weights) apply(objects []objectapi.Object, declaredAt func(objectapi.Revision) time.Time, estimated bool) {
 	for _, o := range objects {
 		if o.Deleted {
@@ -157,7 +159,7 @@
 	}
 }
 
-// FormatVersion returns a version in the form that other packages use.
+// FormatVersion returns a version as a decimal number.
 func FormatVersion(v uint64) ids.WeightsVersion {
 	return ids.WeightsVersion(strconv.FormatUint(v, 10))
 }
@@ -185,7 +187,7 @@
 	return version{}, false
 }
 
-// Since returns how long ago the newest version of a model was declared, or zero if there is none.
+// Since returns how long ago the version that Newest returns was declared, or zero if there is none.
 func (w *Weights) Since(m ids.Model, now time.Time) time.Duration {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -258,8 +260,8 @@
 	return 0, false
 }
 
-// Wanted returns the newest version of a model, how long ago it was declared, and how much longer
-// each older one may be used.
+// Wanted returns the newest version of a model that the store has returned, how long ago it was
+// declared, and bounds for older versions: how much longer each may be used.
 func (w *Weights) Wanted(m ids.Model, now time.Time) (newest ids.WeightsVersion, since time.Duration, bounds []routing.WeightsBound) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
--- a/internal/follow/weights_peers_test.go
+++ b/internal/follow/weights_peers_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestProvenTimeIsSendTime delays a response with a change by 3 s; another version is declared in
-// that time, and the watch is lost. The response proves the state only as of its send time.
+// that time, and the watch breaks. The response proves the state only as of the time at which the
+// call was sent.
 func TestProvenTimeIsSendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
@@ -18,7 +19,7 @@
 		w.Listed([]objectapi.Object{{}}, At{Sent: time.Now()}, false)
 		sent := time.Now()
 		version = 2
-		time.Sleep(3 * time.Second) // version 2 is sent at once and takes 3 s; version 3 is declared after 1 s
+		time.Sleep(3 * time.Second) // the response with version 2 takes 3 s; version 3 is declared after 1 s
 		declared3 := sent.Add(time.Second)
 		w.Changed([]objectapi.Object{{}}, At{Sent: sent, Answered: time.Now()})
 		version = 3
@@ -46,7 +47,7 @@
 		_, behind := w.Left("m", "2", now)
 		newest, _, bounds := w.Wanted("m", now)
 		if behind != want || newest != "2" || (len(bounds) == 1 && bounds[0].OlderThan == 1<<40) != want {
-			t.Errorf("%v later: behind %v, newest %s, bounds %v", after, behind, newest, bounds)
+			t.Errorf("%v later: behind %v, newest %s, bounds %v; want behind %v, newest 2", after, behind, newest, bounds, want)
 		}
 	}
 }
--- a/internal/follow/weights_test.go
+++ b/internal/follow/weights_test.go
@@ -46,7 +46,7 @@
 			t.Errorf("5 s later: %v, want %v: bounds that are over are merged into the last of them", bounds, want)
 		}
 		if left, behind := w.Left("other", "1", time.Now()); left != 0 || behind {
-			t.Errorf("a model without declared versions: %v left, behind %v", left, behind)
+			t.Errorf("a model without declared versions: %v left, behind %v; want 0s, false", left, behind)
 		}
 	})
 }
@@ -63,7 +63,7 @@
 		starting.SetWithin(within)
 		peer.Listed([]objectapi.Object{{}}, At{}, false)
 		if reported := peer.Recent(time.Now()); len(reported) != 0 {
-			t.Fatalf("reported %v, which is an estimate", reported)
+			t.Fatalf("reported %v, want nothing: the age is an estimate", reported)
 		}
 		version = 2
 		peer.Changed([]objectapi.Object{{}}, At{})
@@ -74,7 +74,7 @@
 			t.Fatalf("reported %v, want %v", reported, want)
 		}
 		if left, _ := starting.Left("m", "1", time.Now()); left != 2700*time.Millisecond {
-			t.Fatalf("%v left by this VM's estimate", left)
+			t.Fatalf("%v left by this VM's estimate, want 2.7s", left)
 		}
 		starting.ApplyPeerAge(want[0], time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
@@ -82,7 +82,7 @@
 		}
 		starting.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := starting.Left("m", "1", time.Now()); left != 3*time.Second {
-			t.Fatalf("%v left after a peer reported a smaller age", left)
+			t.Fatalf("%v left after a peer reported a smaller age, want 3s", left)
 		}
 	})
 }
@@ -98,19 +98,19 @@
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 3, Age: time.Second}, time.Now())
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: 4 * time.Second}, time.Now())
 		if newest := w.Newest("m"); newest != "1" {
-			t.Errorf("the newest is %q, which the store has not returned", newest)
+			t.Errorf("the newest is %q, want 1: the store has returned no other", newest)
 		}
 		if left, behind := w.Left("m", "1", time.Now()); left != 5*time.Second || !behind {
-			t.Errorf("%v left to version 1, behind %v", left, behind)
+			t.Errorf("%v left to version 1, behind %v; want 5s, true", left, behind)
 		}
 		if left, behind := w.Left("m", "2", time.Now()); left != 8*time.Second || !behind {
-			t.Errorf("%v left to version 2, behind %v", left, behind)
+			t.Errorf("%v left to version 2, behind %v; want 8s, true", left, behind)
 		}
 	})
 }
 
 // TestVersionDeclaredDuringOutage lists the store again after a watch became unresponsive: a version
-// that is new in the list counts as declared at the send time of the last response.
+// that is new in the list counts as declared when the last answered call was sent.
 func TestVersionDeclaredDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
@@ -126,7 +126,7 @@
 			t.Errorf("%v left, want 4s", left)
 		}
 		if reported := w.Recent(time.Now()); len(reported) != 0 {
-			t.Errorf("reported %v, which is an estimate", reported)
+			t.Errorf("reported %v, want nothing: the age is an estimate", reported)
 		}
 		w.ApplyPeerAge(VersionAge{Model: "m", Version: 2, Age: time.Second}, time.Now())
 		if left, _ := w.Left("m", "1", time.Now()); left != 8*time.Second {
@@ -158,7 +158,7 @@
 	})
 }
 
-// decoder decodes every object as version *v of model m.
+// decoder returns a Decode function that decodes every object as version *v of model m.
 func decoder(v *uint64) func([]byte) (DesiredWeights, error) {
 	return func([]byte) (DesiredWeights, error) { return DesiredWeights{Model: "m", Version: *v}, nil }
 }
@@ -184,11 +184,11 @@
 	}
 	h.Unchanged(at(22, 1)) // from a peer, older than the recorded responses
 	if got := c.Before(30); !got.Equal(t0.Add(2 * time.Second)) {
-		t.Errorf("an older response replaced a newer one: %v", got.Sub(t0))
+		t.Errorf("an older response replaced a newer one: %v, want 2s", got.Sub(t0))
 	}
 	var none *Clock
 	if got := none.Before(5); !got.IsZero() {
-		t.Errorf("without a clock: %v", got)
+		t.Errorf("without a clock: %v, want zero", got)
 	}
 }
 
@@ -227,7 +227,7 @@
 }
 
 // TestChangeUpdatesProvenTime lists the store again after a change: versions that are new in the list
-// count from the send time of the call that returned the change.
+// count from the time at which the call that returned the change was sent.
 func TestChangeUpdatesProvenTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		version := uint64(1)
@@ -307,6 +307,6 @@
 		w.Changed([]objectapi.Object{{}}, At{Answered: time.Now()})
 	}
 	if kept := len(w.models["m"]); kept != maxVersions || w.Newest("m") != FormatVersion(3*maxVersions) {
-		t.Errorf("%d versions are kept, the newest is %s", kept, w.Newest("m"))
+		t.Errorf("%d versions are kept, the newest is %s; want %d, %d", kept, w.Newest("m"), maxVersions, 3*maxVersions)
 	}
 }
