--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -29,9 +29,9 @@
 	CrossDomain bool
 }
 
-// Timing of a reader. Every VM must know that a replica leaves within 3 s of the replica's
-// write to the store, also if the store reader loses the store at that moment: detecting the
-// loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
+// Timing of a reader. When a replica writes to the store that it is leaving, every VM must know
+// this within 3 s, also if the VM that reads the store for the others loses contact with it at that
+// moment: detecting the loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
 // (TestMaxBlindTime adds it up).
 const (
 	// maxContactAge is how long ago the store may last have answered an upstream peer: the time
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// apply hands a part to its space; a full copy is handed over with its last chunk.
+// apply passes a part to its space. It collects the chunks of a full copy and passes them with the
+// last one.
 func (c *client) apply(i int, p *mirrorpb.Part, sent time.Time) {
 	s := c.spaces[i]
 	c.have[i] = position{copyID: p.Copy, change: p.Change}
--- a/internal/mirror/late_test.go
+++ b/internal/mirror/late_test.go
@@ -28,8 +28,8 @@
 }
 
 // TestProofAgeOfDelayedResponse guards against a peer that stalls between computing the age of
-// its proof and sending it: the reader must not take the proof for younger than it is, with one
-// peer and with two peers in a row.
+// its proof and sending that age: the reader must not take the proof for younger than it is, with
+// one peer and with two peers in a row.
 func TestProofAgeOfDelayedResponse(t *testing.T) {
 	first := &Space{Prefix: "p/", Next: &testVM{}, Notifier: &Notifier{}}
 	sent := time.Now()
--- a/internal/mirror/pieces_test.go
+++ b/internal/mirror/pieces_test.go
@@ -41,9 +41,10 @@
 // TestCopyInChunks reads 10,002 entries of 300 bytes while entries change, appear and disappear. No
 // response may be larger than a chunk, and the copy must end up equal to its source.
 //
-// A VM that started beside 985 others before 10,002 replicas used to get the list as one response
-// of 3 MB, which a link of 20 Mbit/s does not carry within the time limit of a read. It left one
-// peer after the other with DeadlineExceeded and read the store itself, 21 pages, as did all VMs.
+// Without chunks, a VM that started together with 985 others in a fleet of 10,002 replicas got the
+// list as one response of 3 MB, which a link of 20 Mbit/s does not carry within the time limit of a
+// read. Its reads from one peer after the other failed with DeadlineExceeded, and it read the store
+// itself, 21 pages, as did all VMs.
 func TestCopyInChunks(t *testing.T) {
 	const entries = 10_002
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -95,7 +96,7 @@
 	}
 	for key, o := range source.objects {
 		if got := dst.objects[key]; got.Version != o.Version || string(got.Value) != string(o.Value) {
-			t.Fatalf("%s has version %d, %d at the source", key, got.Version, o.Version)
+			t.Fatalf("%s differs: the copy has version %d, its source has %d", key, got.Version, o.Version)
 		}
 	}
 }
--- a/internal/mirror/reader.go
+++ b/internal/mirror/reader.go
@@ -19,15 +19,15 @@
 //
 // If an upstream peer answers but has lost the store, the store may be unavailable to all VMs.
 // To keep them from calling it all at once, the VMs fall back to it in the order of their ranks,
-// rankStep apart, and each checks meanwhile whether a VM that ranks before it serves again. No VM
-// waits for an unresponsive one.
+// rankStep apart (crossDomainStep for VMs of other failure domains), and each checks meanwhile
+// whether a VM that ranks before it serves again. No VM waits for an unresponsive one.
 type Reader struct {
 	Spaces []*Space
 	// UpstreamPeers returns the VMs to read from, in order of preference; none: this VM reads
 	// the store itself. All VMs use the same order, so that there are no cycles.
 	UpstreamPeers func() []Peer
 	// Bootstrap reads the list of VMs from the store until that succeeds or its context ends.
-	// Nil: the list is read with everything else.
+	// Nil: the list is read together with the other key spaces.
 	Bootstrap func(context.Context)
 	// ReadStore reads the store until its context ends.
 	ReadStore func(context.Context)
@@ -52,9 +52,9 @@
 	// seekInterval is how often a VM that waits for its rank checks the same.
 	seekInterval = 100 * time.Millisecond
 	// rankStep is the delay for each VM that ranks before this one in its failure domain: the
-	// time of a dial and a list. crossDomainStep is the delay for each one in another
-	// domain; there are two per domain. With rankStep for these too, the first VM of the last
-	// of six domains waited for 4 s, and 43 of 195 VMs could no longer prove that their keys
+	// time of a dial and a list. crossDomainStep is the delay for each upstream peer in another
+	// domain; each such domain has two of them. With rankStep for these too, the first VM of the
+	// last of six domains waited for 4 s, and 43 of 195 VMs could no longer prove that their keys
 	// are valid.
 	rankStep        = 400 * time.Millisecond
 	crossDomainStep = 40 * time.Millisecond
--- a/internal/mirror/reader_test.go
+++ b/internal/mirror/reader_test.go
@@ -17,7 +17,7 @@
 	"github.com/threadwall/threadwall/internal/timing"
 )
 
-// testVM is an entry VM that reads a store of one key space, whose revision is a counter.
+// testVM is a VM that mirrors a store of one key space; the store is a counter, its revision.
 type testVM struct {
 	name      ids.VM
 	space     *Space
@@ -28,7 +28,7 @@
 	lists     atomic.Int64
 
 	mu   sync.Mutex
-	sent time.Time // the last proof received
+	sent time.Time // when the call behind the last received proof was sent
 }
 
 func (v *testVM) Listed(_ []objectapi.Object, at follow.At, _ bool) { v.Unchanged(at) }
@@ -120,8 +120,8 @@
 // awaitTimeout is far longer than any condition in these tests takes.
 const awaitTimeout = 10 * time.Second
 
-// TestReadsFromFirstServingPeer lets the first VM serve three others, lose the store, regain it and
-// fail: the others must receive each change throughout.
+// TestReadsFromFirstServingPeer has the first VM serve three others, lose contact with the store,
+// regain it and fail: the others must receive each change throughout.
 func TestReadsFromFirstServingPeer(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
@@ -217,7 +217,7 @@
 	began := time.Now()
 	a, err := srv.Read(t.Context(), &mirrorpb.ReadRequest{WaitMs: 2000, Have: []*mirrorpb.Position{{Prefix: "p/", Copy: s.copyID, Change: s.change}}})
 	if err != nil || len(a.Parts) != 1 || a.Parts[0].Revision != 2 || a.Parts[0].Whole || time.Since(began) > time.Second {
-		t.Fatalf("got %v, %v after %v", a, err, time.Since(began))
+		t.Fatalf("got %v, %v after %v; want the change to revision 2 within 1 s", a, err, time.Since(began))
 	}
 	if _, err := srv.Read(t.Context(), &mirrorpb.ReadRequest{Have: []*mirrorpb.Position{{Prefix: "q/"}}}); err == nil {
 		t.Fatal("reading an unknown key space succeeded")
--- a/internal/mirror/server.go
+++ b/internal/mirror/server.go
@@ -23,7 +23,9 @@
 // maxWait bounds how long a read waits for a change.
 const maxWait = 2 * time.Second
 
-// Read implements mirrorpb.MirrorServer. It waits for a change if there is nothing new.
+// Read implements mirrorpb.MirrorServer. It waits for a change if there is nothing new. The status
+// is FailedPrecondition if this VM has not read a key space yet, and InvalidArgument if it does not
+// know one.
 func (s *Server) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
 	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer timer.Stop()
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -13,10 +13,10 @@
 //
 // A Space is this VM's copy of one key space, with its recent changes. It holds
 // everything up to a revision of the store, and this revision never decreases. A list of
-// a lower revision is ignored. So is a change that is not newer than the object in the
-// copy, and a change up to that revision of an object that the copy does not hold (it had
-// been deleted by then). Therefore it does not matter in which order a VM receives data
-// from its peers, or which of them is further behind.
+// a lower revision is ignored, and so is a change that is not newer than the object in the
+// copy. If the copy does not hold the object, a change up to the copy's revision is ignored:
+// the object had been deleted by then. Therefore it does not matter in which order a VM
+// receives data from its peers, or which of them is further behind.
 //
 // Each part of a response carries its age: the time from the sending of the store call
 // that proved the part complete to the response. A reader subtracts the age from the time
@@ -25,10 +25,10 @@
 //
 // # Failures
 //
-// A reader leaves an upstream peer that does not answer or whose last contact with the
-// store is older than maxContactAge. It then searches for the next peer, and lists the
-// store itself if none serves. A VM that reads from a peer therefore misses changes for at
-// most maxContactAge and one read longer than a VM that reads the store.
+// A reader stops reading from an upstream peer that does not answer or whose last contact
+// with the store is older than maxContactAge. It then searches for the next peer, and
+// lists the store itself if none serves. A VM that reads from a peer therefore misses
+// changes for at most maxContactAge and one read longer than a VM that reads the store.
 package mirror
 
 import (
@@ -53,9 +53,9 @@
 // reader that is further behind gets a full copy.
 const maxBatches = 256
 
-// regainedPeriod is how long after the store's return entries that expired during its outage may
-// be registered again. A reader that comes later must not wait for entries missing from the copy:
-// a replica whose entry is gone would get requests for longer than allowed.
+// regainedPeriod is how long after the store has recovered entries that expired during its outage
+// may be registered again. A reader that comes later must not wait for entries missing from the
+// copy: a replica whose entry is gone would get requests for longer than allowed.
 const regainedPeriod = 2 * time.Second
 
 // Space is a copy of one key space. It forwards what it applies to Next. Safe for
@@ -69,14 +69,14 @@
 
 	mu         sync.Mutex
 	objects    map[string]objectapi.Object
-	at         follow.At
+	at         follow.At // all changes up to its revision are applied
 	listed     bool
 	regainedAt time.Time // time of the last list after an outage of the store
 	copyID     uint64    // random identifier of this copy for readers; zero: not listed yet
-	change     uint64    // sequence number of the last change
+	change     uint64    // sequence number of the last list or batch
 	keys       []string  // of objects, sorted; nil: not sorted yet
 	packed     packedChunks
-	base       uint64 // last change before the first of batches
+	base       uint64 // sequence number before that of the first batch; a reader at a lower one needs a full copy
 	batches    []batch
 }
 
@@ -196,7 +196,7 @@
 }
 
 // position is how much of a copy a reader has. While the reader receives a full copy in chunks,
-// behind is the last key that it has, as of change or later.
+// afterKey is the last key that it has received; the objects up to there are as of change or later.
 type position struct {
 	copyID, change uint64
 	afterKey       string
@@ -229,7 +229,7 @@
 	u.to, u.at = position{copyID: s.copyID, change: s.change}, s.at
 	known := have.copyID == s.copyID && have.change >= s.base
 	if known && have.afterKey != "" {
-		u.to.change = have.change // later changes in the chunks sent before follow as batches
+		u.to.change = have.change // later changes of objects in the earlier chunks follow as batches
 		s.addChunk(&u, have.afterKey)
 		return u, true
 	}
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -164,17 +164,17 @@
 	})
 }
 
-// TestRegainedExpires checks that a reader which comes long after the store's return takes entries
-// missing from a list as deleted, and that one which comes soon after it does not.
+// TestRegainedExpires checks that a reader which gets a full copy soon after the store has recovered
+// is told so, since entries missing from the copy may return, and that a later reader is not.
 func TestRegainedExpires(t *testing.T) {
 	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, true)
 	if u, _ := s.since(position{}); !u.full || !u.regained {
-		t.Fatalf("right after the store's return: got %+v, want a full copy marked regained", u)
+		t.Fatalf("right after the store has recovered: got %+v, want a full copy marked regained", u)
 	}
 	s.regainedAt = s.regainedAt.Add(-regainedPeriod)
 	if u, _ := s.since(position{}); !u.full || u.regained {
-		t.Fatalf("long after the store's return: got %+v, want a full copy not marked regained", u)
+		t.Fatalf("long after the store has recovered: got %+v, want a full copy not marked regained", u)
 	}
 }
 
@@ -187,12 +187,12 @@
 		s.Changed([]objectapi.Object{{Key: "a", Version: i + 2}}, follow.At{Revision: i + 2})
 	}
 	if n, ok := s.since(position{copyID: s.copyID, change: 3}); !ok || !n.full || len(n.objects) != 1 {
-		t.Fatalf("got %+v, %v", n, ok)
+		t.Fatalf("got %+v, %v for a position before the kept batches; want a full copy with one object", n, ok)
 	}
 	if n, ok := s.since(position{copyID: s.copyID, change: maxBatches}); !ok || n.full || len(n.objects) != 6 {
-		t.Fatalf("got %d changes, full copy %v, %v", len(n.objects), n.full, ok)
+		t.Fatalf("got %d changes, full copy %v, %v; want 6 changes", len(n.objects), n.full, ok)
 	}
 	if n, ok := s.since(position{copyID: s.copyID + 1, change: maxBatches}); !ok || !n.full {
-		t.Fatalf("got %+v, %v for a position in another copy", n, ok)
+		t.Fatalf("got %+v, %v for a position in another copy, want a full copy", n, ok)
 	}
 }
--- a/internal/mirror/turns_test.go
+++ b/internal/mirror/turns_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestStaggeredFallbackToStore makes the store unavailable to all VMs: they must not all call it
-// at once, and must read from the first VM again when the store is back.
+// at once, and must read from the first VM again when the store has recovered.
 func TestStaggeredFallbackToStore(t *testing.T) {
 	var store atomic.Uint64
 	store.Store(1)
@@ -28,7 +28,7 @@
 		}
 	}
 	if direct > 6 {
-		t.Errorf("%d of %d VMs read the store %v after the first VM was left", direct, len(vms), 2*rankStep)
+		t.Errorf("%d of %d VMs read the store %v after they stopped reading from the first VM, want at most 6", direct, len(vms), 2*rankStep)
 	}
 	for _, v := range vms {
 		v.storeLost.Store(false)
@@ -63,17 +63,17 @@
 	second := r.storeDelay(now)
 	r.avoid.failed("f1", now)
 	if first := r.storeDelay(now); second-first != rankStep {
-		t.Errorf("may read the store after %v if the preferred VM is unresponsive, and after %v otherwise", first, second)
+		t.Errorf("may read the store after %v if the preferred VM is unresponsive, and after %v otherwise; want %v less", first, second, rankStep)
 	}
 }
 
-// TestMaxBlindTime adds up how long a VM may miss changes after the store reader has lost the store:
-// in the reader's failure domain, and in the last of six domains.
+// TestMaxBlindTime adds up how long a VM may miss changes after the VM that reads the store for the
+// others has lost contact with it: in the failure domain of that VM, and in the last of six domains.
 func TestMaxBlindTime(t *testing.T) {
 	const limit, crossDomainReaders = 2500 * time.Millisecond, 10
 	own := maxContactAge + readWait + seekInterval + rankStep + avoidStale
 	last := crossDomainMaxAge + readWait + seekInterval + crossDomainReaders*crossDomainStep + avoidStale
 	if own > limit || last > limit {
-		t.Errorf("%v in the reader's domain, %v in the last domain", own, last)
+		t.Errorf("%v in the reader's domain, %v in the last domain, want at most %v", own, last, limit)
 	}
 }
