--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -38,8 +38,8 @@
 type Plan struct{ Changes []Change }
 
 // NewPlan reads the store and plans the changes that write objects to it. It writes
-// nothing. It compiles the configuration that would result and returns an error if an
-// object would be rejected or would cause another one to be rejected.
+// nothing. It compiles the configuration that would result and returns an error if this
+// rejects an object that the stored configuration does not reject.
 func NewPlan(ctx context.Context, s objectapi.Store, objects []config.Object) (*Plan, error) {
 	stored, rev, err := s.List(ctx, config.Prefix)
 	if err != nil {
--- a/internal/apply/read.go
+++ b/internal/apply/read.go
@@ -17,8 +17,8 @@
 
 // ReadPath reads all objects of a file, or of a directory and its subdirectories, in the
 // order in which they are to be applied. Files ending in .json hold objects; .md and .txt
-// files are documents named after the file. It is an error if there are no objects or if
-// two have the same kind and name.
+// files are documents named after the file; other files are ignored. It is an error if there
+// are no objects or if two have the same kind and name.
 func ReadPath(path string) ([]config.Object, error) {
 	var out []config.Object
 	seen := map[string]string{}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -23,11 +23,11 @@
 
 // The kinds. The zero value allows the least.
 const (
-	// Once marks calls that may run at most once.
+	// Once marks requests that may run at most once.
 	Once Kind = iota
-	// Idempotent marks calls that may run again after any failure.
+	// Idempotent marks requests that may run again after any failure.
 	Idempotent
-	// Stream marks calls whose response is a series of numbered events. They may
+	// Stream marks requests whose response is a series of numbered events. They may
 	// run at most once unless the route is resumable.
 	Stream
 )
@@ -75,7 +75,7 @@
 type Engine struct {
 	Slots         int   // most requests in a batch
 	CacheTokens   int64 // capacity of the KV cache
-	FeedReaders   int   // most cache feeds that one replica serves at once
+	FeedReaders   int   // most concurrent readers of one replica's cache feed
 	BytesPerToken int64 // of KV cache
 }
 
@@ -83,8 +83,8 @@
 type KVStore struct {
 	Addr          string
 	FailureDomain ids.FailureDomain
-	CacheTokens   int64
-	FeedReaders   int
+	CacheTokens   int64 // capacity
+	FeedReaders   int   // most concurrent readers of the store's cache feed
 }
 
 // Workspace is one tenant.
@@ -218,8 +218,9 @@
 	return best
 }
 
-// Pick returns the service of a request according to the route's weights, or "" if the
-// route has none; point must be uniformly distributed.
+// Pick returns the service of a request according to the weights of the route's Split, the
+// first service if no weight is positive, or "" if Split is empty. point must be uniformly
+// distributed.
 func (r *Route) Pick(point uint64) string {
 	total := 0
 	for _, s := range r.Split {
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -35,8 +35,8 @@
 	// workspace's API keys is not, by the object's key.
 	Rejected map[string]string
 
-	byKey     map[string]ids.Workspace
-	byService map[string]Service
+	byKey     map[string]ids.Workspace // by HashKey of an API key
+	byService map[string]Service       // by Service.Service
 }
 
 // Compile builds the configuration of one revision. It leaves out objects that don't
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -100,15 +100,15 @@
 	// Repeatable allows a call to run more than once. Default false: each call
 	// needs an Idempotency-Key and runs at most once.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// KeepAnswer stores the response with the claim and returns it to a late
-	// duplicate. Default false: a duplicate gets an error that says the call ran.
+	// KeepAnswer stores the response with the call's claim (package claims) and returns it
+	// to a late duplicate. Default false: a duplicate gets an error that says the call ran.
 	KeepAnswer bool `json:"keep_answer,omitempty"`
 	// MaxBodyBytes bounds a call's body, in bytes. Default 65536.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty" validate:"min=0,max=1048576"`
 	// Deadline bounds the call. Default 10s.
 	Deadline durations.Duration `json:"deadline,omitempty"`
-	// ClaimRetention is how long a UUIDv7 key stays valid; its claim is kept
-	// longer than that. Default 24h. Claims of other keys are never deleted.
+	// ClaimRetention is how long an Idempotency-Key that is a UUIDv7 stays valid; its claim
+	// is kept longer than that. Default 24h. Claims of other keys are never deleted.
 	ClaimRetention durations.Duration `json:"claim_retention,omitempty"`
 }
 
@@ -147,7 +147,7 @@
 
 func must(err error) {
 	if err != nil {
-		panic(err) // invalid struct tags in this file; any test fails
+		panic(err) // a fault in newValidator, which every test would find
 	}
 }
 
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -8,7 +8,8 @@
 //   - A VM applies a delta only to exactly the revision that the delta is based on.
 //   - A starting VM serves only when its revision reaches the floor: the highest
 //     revision that any reachable peer knows to be in force anywhere. The VM's previous
-//     incarnation may have served the floor, so an older revision would be a step back.
+//     incarnation may have served the floor, so serving an older revision would break
+//     the first invariant.
 //
 // Store is a plain state machine without I/O; the daemon's background tasks drive it.
 package confsync
@@ -27,9 +28,9 @@
 type Snapshot struct {
 	Base     objectapi.Revision // zero: Objects is the full configuration
 	Revision objectapi.Revision
-	Floor    objectapi.Revision
-	Objects  []objectapi.Object
-	Deleted  []string
+	Floor    objectapi.Revision // the sender's floor
+	Objects  []objectapi.Object // in a delta, only those written after Base
+	Deleted  []string           // in a delta, the keys of objects deleted after Base
 }
 
 // OfferResult is the result of offering a snapshot.
@@ -62,7 +63,8 @@
 	changed  chan struct{}
 }
 
-// New returns a store without a revision that calls adopt for each one it adopts.
+// New returns a store with no revision in force. The store calls adopt for each revision that it
+// adopts.
 func New(adopt AdoptFunc) *Store {
 	return &Store{adopt: adopt, objects: map[string]objectapi.Object{}, changed: make(chan struct{}, 1)}
 }
@@ -97,7 +99,7 @@
 }
 
 // Offer adopts a snapshot if it is newer than the revision in force and, for a delta, based on
-// that revision.
+// that revision. In any case it raises the floor to the snapshot's floor.
 func (s *Store) Offer(snap Snapshot) OfferResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +152,8 @@
 	}
 }
 
-// Delta returns the delta from base to rev that consists of a watch's events. The last event of
-// each key counts.
+// Delta returns the delta from base to rev for the events of a watch after base. Of several events
+// for one key, the last one counts.
 func (s *Store) Delta(base objectapi.Revision, events []objectapi.Object, rev objectapi.Revision) Snapshot {
 	snap := Snapshot{Base: base, Revision: rev}
 	last := map[string]objectapi.Object{}
--- a/internal/confsync/current.go
+++ b/internal/confsync/current.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-// Adopt compiles a revision and puts it in force.
+// Adopt compiles a revision and puts it in force. It does not compare revisions: Store does.
 func (c *Current) Adopt(rev objectapi.Revision, objects []objectapi.Object) {
 	c.p.Store(config.Compile(rev, objects))
 }
--- a/internal/confsync/fuzz_test.go
+++ b/internal/confsync/fuzz_test.go
@@ -63,8 +63,8 @@
 	h.history = append(h.history, now)
 }
 
-// step performs one random step: a write; a list or watch by a node; an offer to a node of
-// another's full snapshot, delta, or earlier snapshot; or a restart of a node.
+// step performs one random step: a write; a list or watch by a node; the offer of a node's full
+// snapshot or delta, or of an earlier snapshot, to another node; or a restart of a node.
 func (h *harness) step(rt *rapid.T, earlier *[]Snapshot) {
 	i := rapid.IntRange(0, len(h.nodes)-1).Draw(rt, "node")
 	n := h.nodes[i]
--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// validate checks that a response matches the request and is recent enough.
+// validate checks that a response matches the request, and that the store has answered the peer for
+// at least one key space within maxAge.
 func (c *client) validate(resp *mirrorpb.ReadAnswer) error {
 	maxAge := uint64(c.maxAge.Microseconds())
 	youngest := maxAge + 1
--- a/internal/objectapi/http.go
+++ b/internal/objectapi/http.go
@@ -85,7 +85,7 @@
 	return l.Objects, l.Revision, err
 }
 
-// Watch implements Store.
+// Watch implements Store. It waits for up to watchWait and ignores WithWait.
 func (c *Client) Watch(ctx context.Context, prefix string, after Revision) ([]Object, Revision, error) {
 	var l listing
 	path := fmt.Sprintf("%s?prefix=%s&after=%d&wait=%d", pathObjects, url.QueryEscape(prefix), after, watchWait.Milliseconds())
--- a/internal/objectapi/http_test.go
+++ b/internal/objectapi/http_test.go
@@ -23,30 +23,30 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Create(ctx, "a/b c?&", nil); !errors.Is(err, ErrExists) {
-		t.Errorf("create twice: %v", err)
+		t.Errorf("create twice: got error %v, want ErrExists", err)
 	}
 	if _, err := c.Update(ctx, "a/b c?&", nil, v+1); !errors.Is(err, ErrConflict) {
-		t.Errorf("update another version: %v", err)
+		t.Errorf("update another version: got error %v, want ErrConflict", err)
 	}
 	v2, err := c.Update(ctx, "a/b c?&", []byte("two"), v)
 	if err != nil || v2 <= v {
 		t.Fatal(v2, err)
 	}
 	if o, err := c.Get(ctx, "a/b c?&"); err != nil || string(o.Value) != "two" || o.Version != v2 {
-		t.Errorf("get: %+v, %v", o, err)
+		t.Errorf("get: got %+v, %v; want value two at version %d", o, err, v2)
 	}
 	if _, err := c.Get(ctx, "none"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("get a missing object: %v", err)
+		t.Errorf("get a missing object: got error %v, want ErrNotFound", err)
 	}
 	events, rev, err := c.Watch(ctx, "a/", v)
 	if err != nil || len(events) != 1 || rev != v2 {
-		t.Errorf("watch: %v, %d, %v", events, rev, err)
+		t.Errorf("watch: got %v, revision %d, %v; want one event, revision %d", events, rev, err, v2)
 	}
 	if err := c.Delete(ctx, "a/b c?&", v2); err != nil {
 		t.Error(err)
 	}
 	if list, _, err := c.List(ctx, ""); err != nil || len(list) != 0 {
-		t.Errorf("list: %v, %v", list, err)
+		t.Errorf("list: got %v, %v; want no objects", list, err)
 	}
 }
 
@@ -69,18 +69,18 @@
 		{"no JSON", respond(200), ErrAmbiguous},
 	} {
 		if _, err := newTestClient(t, c.h).Create(t.Context(), "k", nil); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	slow := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	if _, err := newTestClient(t, slow).Create(ctx, "k", nil); !errors.Is(err, ErrAmbiguous) {
-		t.Errorf("timeout: %v", err)
+		t.Errorf("timeout: got error %v, want ErrAmbiguous", err)
 	}
 	refused := NewClient("http://127.0.0.1:1", time.Second, Budget{WritesPerSecond: 1, ReadsPerSecond: 1})
 	if _, err := refused.Create(t.Context(), "k", nil); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous) {
-		t.Errorf("connection refused: %v", err)
+		t.Errorf("connection refused: got error %v, want only ErrUnavailable", err)
 	}
 }
 
@@ -92,6 +92,6 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Get(t.Context(), "x"); !errors.Is(err, ErrOverBudget) {
-		t.Errorf("beyond the budget: %v", err)
+		t.Errorf("beyond the budget: got error %v, want ErrOverBudget", err)
 	}
 }
--- a/internal/objectapi/linear_test.go
+++ b/internal/objectapi/linear_test.go
@@ -160,6 +160,6 @@
 	mine := func(b []byte) bool { return string(b) == "mine" }
 	o, err := objectapi.ResolveUpdate(t.Context(), s, "k", []byte("mine"), v, mine)
 	if !errors.Is(err, objectapi.ErrOverwritten) || !errors.Is(err, objectapi.ErrConflict) || string(o.Value) != "another's" {
-		t.Fatalf("%q, %v", o.Value, err)
+		t.Fatalf("got value %q, error %v; want another's, ErrConflict joined with ErrOverwritten", o.Value, err)
 	}
 }
--- a/internal/objectapi/objectapi.go
+++ b/internal/objectapi/objectapi.go
@@ -1,11 +1,12 @@
-// Package objectapi is threadwall's view of the platform's object API: small
+// Package objectapi defines the interface to the platform's object API: small
 // versioned values, conditional writes and watches.
 //
 // A write has one of three outcomes, which callers must distinguish:
 //
 //   - nil error: the write took effect.
 //   - ErrConflict, ErrExists, ErrNotFound, ErrUnavailable, ErrOverBudget: the
-//     write did not take effect and never will.
+//     write did not take effect and never will, unless the error is joined with
+//     ErrOverwritten.
 //   - ErrAmbiguous: the response was lost; the write may have taken effect, or
 //     may still do so. ResolveCreate and ResolveUpdate read back to find out.
 package objectapi
@@ -55,13 +56,13 @@
 	ErrCompacted   = errors.New("watch start is too old, list again")
 	// ErrOverwritten is joined with ErrExists or ErrConflict if an earlier response was
 	// lost: the object now holds another writer's value, but this call's value may have
-	// been stored before. Objects that only their owner changes (claims, leases) rule
-	// that out.
+	// been stored before. This can't happen with objects that only their owner changes
+	// (claims, leases).
 	ErrOverwritten = errors.New("object holds another writer's value, write may have taken effect before")
 )
 
-// Store is the object API. Client implements it over HTTP, Memory in process; CountingStore
-// wraps another Store.
+// Store is the object API. In this package, Client implements it over HTTP and Memory in process;
+// CountingStore wraps another Store.
 type Store interface {
 	// Get returns one object or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -22,16 +22,16 @@
 	// WeightsWithin is how long older weights may be used after the configuration set
 	// newer ones, at least 2s: 1s of it is reserved for the transit. Default 10s.
 	WeightsWithin durations.Duration `json:"weights_within,omitempty" validate:"min=2000000000"`
-	// WeightsAllWithin is how long engines may run without newer weights after the
-	// configuration set them; a rollout then lets runs continue under the new weights
-	// instead of waiting for the runs to end. At least WeightsWithin. Default 1.4 times
-	// WeightsWithin.
+	// WeightsAllWithin is how long engines may have older weights loaded after the
+	// configuration set newer ones. If an engine would exceed it by finishing its requests
+	// first, a rollout lets the requests continue under the new weights. At least
+	// WeightsWithin. Default 1.4 times WeightsWithin.
 	WeightsAllWithin durations.Duration `json:"weights_all_within,omitempty" validate:"omitempty,gtefield=WeightsWithin"`
 	// OrderTurn is the minimum time between the orders of one lease holder and those of
 	// the next, for engines that check no fencing token. Default 3s.
 	OrderTurn durations.Duration `json:"order_turn,omitempty"`
-	// RetryRatio is how many attempts beyond the first all VMs may make for each
-	// request to a service. Default 0.1.
+	// RetryRatio is how many attempts beyond the first all VMs together may make for
+	// each request to a service. Default 0.1.
 	RetryRatio float64 `json:"retry_ratio,omitempty" validate:"min=0,max=1"`
 	// RetryBurst is how many attempts beyond that ratio they may make at once. Default 10.
 	RetryBurst float64 `json:"retry_burst,omitempty" validate:"min=0"`
@@ -46,7 +46,7 @@
 	// VMs use some of it so as not to refuse requests only because they do not know each
 	// other's use. Default 0.
 	AllowanceExcess float64 `json:"allowance_excess,omitempty" validate:"min=0,max=1"`
-	// AllowanceSlack is how far it may exceed the limit in addition, in units of the
+	// AllowanceSlack is how far a workspace may exceed the limit in addition, in units of the
 	// allowance (requests or tokens). Default 0.
 	AllowanceSlack float64 `json:"allowance_slack,omitempty" validate:"min=0"`
 	// Canaries declares that operators order versions of services' software: until such an
