--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -2,10 +2,11 @@
 // then watches it, through outages.
 //
 // Every failed call, and every watch that can't be continued, leads to a new list: a watch that
-// broke may have missed a change. A watch may also become unresponsive without breaking, so the
-// failure of one makes all others of the same store list again (StoreHealth), and no watch waits
-// long. A Handler receives the results together with the time at which the call was sent, since
-// only writes that were confirmed before that time are known to be included in the response.
+// broke may have missed a change. A watch may also become unresponsive without breaking. Therefore
+// the failure of one call makes all followers of the same store list again (StoreHealth), and
+// Follower.Wait limits how long a watch waits. A Handler receives the results together with the
+// time at which the call was sent, since only writes that were confirmed before that time are known
+// to be included in the response.
 package follow
 
 import (
@@ -31,9 +32,10 @@
 	Answered time.Time
 }
 
-// Handler receives the results of a Follower. A Follower makes its calls one at a time.
+// Handler receives the results of a Follower, which calls its methods one at a time.
 type Handler interface {
-	// Listed passes all objects. regained says that calls had failed before.
+	// Listed passes all objects. regained reports whether the store was unavailable before this
+	// list.
 	Listed(objects []objectapi.Object, at At, regained bool)
 	// Changed passes the changes since the last call, in order.
 	Changed(events []objectapi.Object, at At)
@@ -64,20 +66,20 @@
 	// Health is shared by the followers of one store. Nil if this is the only one.
 	Health *StoreHealth
 
-	after objectapi.Revision // zero: list first
-	lost  bool
-	since time.Time // of the loss
+	after     objectapi.Revision // the next watch starts after this revision; zero: list first
+	lost      bool               // the store is unavailable
+	lostSince time.Time
 }
 
 // Run follows the key space until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	delay := minRetryDelay
-	f.lost, f.since = f.Reconnecting, clock.Now()
+	f.lost, f.lostSince = f.Reconnecting, clock.Now()
 	for ctx.Err() == nil {
 		if f.Health.awaitTurn(ctx, f) {
 			f.after = 0
 			f.failed(errUnavailable)
-			delay = maxRetryDelay // the prober has called the store for a while
+			delay = maxRetryDelay // the prober has been retrying for a while, so the store may still be unavailable
 		}
 		err := f.once(ctx)
 		if ctx.Err() != nil {
@@ -146,7 +148,7 @@
 	if f.lost {
 		return
 	}
-	f.lost, f.since = true, clock.Now()
+	f.lost, f.lostSince = true, clock.Now()
 	f.Log.State("dependency-lost").Str("dependency", "store "+f.Prefix).Str("error", err.Error()).Send()
 }
 
@@ -155,5 +157,5 @@
 		return
 	}
 	f.lost = false
-	f.Log.State("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.since).Milliseconds()).Send()
+	f.Log.State("dependency-regained").Str("dependency", "store "+f.Prefix).Int64("after_ms", clock.Since(f.lostSince).Milliseconds()).Send()
 }
--- a/internal/follow/subset.go
+++ b/internal/follow/subset.go
@@ -22,8 +22,8 @@
 type Subset struct {
 	VM     ids.VM
 	Domain ids.FailureDomain
-	// Max is the size of the subset of each service, without rendezvous targets and pinned
-	// replicas. Zero: no limit.
+	// Max is the largest size of the subset of each service, not counting rendezvous targets and
+	// pinned replicas. Zero: no limit.
 	Max int
 }
 
@@ -44,19 +44,19 @@
 type directory struct {
 	byKey       map[string]ids.Target // by key of the entry
 	byShortHash map[uint32]ids.Target // by the low 32 bits of the hash
-	services    map[string]*members
-	weights     map[platform.Deployed]int
-	list        []platform.Record // nil: to be rebuilt
-	rendezvous  map[ids.Target]time.Time
+	services    map[string]*serviceReplicas
+	deployed    map[platform.Deployed]int
+	list        []platform.Record        // cached result of Records; nil: out of date
+	rendezvous  map[ids.Target]time.Time // last use of rendezvous targets beyond the subset
 	pinned      map[ids.Target]bool
 	// active are the replicas that this VM works with; published are the usable records of them.
 	active    map[ids.Target]bool
 	published []platform.Record
 }
 
-// members are the replicas of one service.
-type members struct {
-	local, remote []*record // by weight: in the VM's failure domain, and in others
+// serviceReplicas are the replicas of one service.
+type serviceReplicas struct {
+	local, remote []*record // in the VM's failure domain, and in others; in ascending order of rendezvousWeight
 	subset        []*record // the selected ones of both
 	stale         bool      // replicas were added or removed since the selection
 	complete      bool      // the subset holds all replicas
@@ -65,7 +65,7 @@
 // replace updates the indexes when a replica is added (old is nil), changed, or removed (rec is nil).
 func (d *directory) replace(id ids.Target, old, rec *record) {
 	if d.byKey == nil {
-		d.byKey, d.byShortHash, d.services, d.weights = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*members{}, map[platform.Deployed]int{}
+		d.byKey, d.byShortHash, d.services, d.deployed = map[string]ids.Target{}, map[uint32]ids.Target{}, map[string]*serviceReplicas{}, map[platform.Deployed]int{}
 		d.rendezvous, d.pinned = map[ids.Target]time.Time{}, map[ids.Target]bool{}
 	}
 	d.invalidateList()
@@ -73,35 +73,35 @@
 	if old != nil {
 		delete(d.byKey, old.Key())
 		delete(d.byShortHash, uint32(old.hash))
-		d.addWeights(old.Model, old.Weights, -1)
+		d.addDeployed(old.Model, old.Weights, -1)
 		d.service(old.Service).stale = d.service(old.Service).stale || moved
 	}
 	if rec != nil {
 		d.byKey[rec.Key()] = id
 		d.byShortHash[uint32(rec.hash)] = id
-		d.addWeights(rec.Model, rec.Weights, 1)
+		d.addDeployed(rec.Model, rec.Weights, 1)
 		d.service(rec.Service).stale = d.service(rec.Service).stale || moved
 	}
 }
 
-// invalidateList marks the list of all records as out of date.
+// invalidateList marks the cached result of Records as out of date.
 func (d *directory) invalidateList() { d.list = nil }
 
-// addWeights adds n to the number of replicas that have a version of weights.
-func (d *directory) addWeights(m ids.Model, w ids.WeightsVersion, n int) {
+// addDeployed adds n to the number of replicas that have a version of a model's weights.
+func (d *directory) addDeployed(m ids.Model, w ids.WeightsVersion, n int) {
 	if m == "" {
 		return
 	}
 	key := platform.Deployed{Model: m, Weights: w}
-	if d.weights[key] += n; d.weights[key] <= 0 {
-		delete(d.weights, key)
+	if d.deployed[key] += n; d.deployed[key] <= 0 {
+		delete(d.deployed, key)
 	}
 }
 
-func (d *directory) service(service string) *members {
+func (d *directory) service(service string) *serviceReplicas {
 	m := d.services[service]
 	if m == nil {
-		m = &members{stale: true}
+		m = &serviceReplicas{stale: true}
 		d.services[service] = m
 	}
 	return m
@@ -139,12 +139,14 @@
 	}
 }
 
-// selectSubset selects the replicas of one service with the lowest weights for this VM.
-func (m *members) selectSubset(limit int) {
+// selectSubset selects the replicas of one service with the lowest rendezvous weights for this VM:
+// at most limit, or all if limit is zero. One in remoteDivisor is of another failure domain if there
+// are enough of both.
+func (m *serviceReplicas) selectSubset(limit int) {
 	m.stale = false
 	all := len(m.local) + len(m.remote)
 	m.complete = limit <= 0 || all <= limit
-	byWeight := func(a, b *record) int { return cmp.Compare(a.weight, b.weight) }
+	byWeight := func(a, b *record) int { return cmp.Compare(a.rendezvousWeight, b.rendezvousWeight) }
 	slices.SortFunc(m.local, byWeight)
 	slices.SortFunc(m.remote, byWeight)
 	local := min(len(m.local), max(limit-limit/remoteDivisor, limit-len(m.remote)))
@@ -284,7 +286,8 @@
 	}
 }
 
-// Active returns the replicas that this VM works with. The result must not be modified.
+// Active returns the active replicas whose entries can be decoded and whose services are
+// configured. The result is shared and must not be modified.
 func (r *Replicas) Active() []platform.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -299,12 +302,12 @@
 	return id, ok
 }
 
-// Deployed returns the versions of weights that replicas have.
+// Deployed returns the versions of models' weights that replicas have, in no particular order.
 func (r *Replicas) Deployed() []platform.Deployed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]platform.Deployed, 0, len(r.directory.weights))
-	for w := range r.directory.weights {
+	out := make([]platform.Deployed, 0, len(r.directory.deployed))
+	for w := range r.directory.deployed {
 		out = append(out, w)
 	}
 	return out
--- a/internal/mirror/client.go
+++ b/internal/mirror/client.go
@@ -29,9 +29,9 @@
 	CrossDomain bool
 }
 
-// Timing of a reader. Every VM must know that a replica leaves within 3 s of the replica's
-// write to the store, also if the store reader loses the store at that moment: detecting the
-// loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
+// Timing of a reader. When a replica writes to the store that it is leaving, every VM must know
+// this within 3 s, also if the VM that reads the store for the others loses contact with it at that
+// moment: detecting the loss, waiting for this VM's rank, and reading the store takes at most 2.5 s
 // (TestMaxBlindTime adds it up).
 const (
 	// maxContactAge is how long ago the store may last have answered an upstream peer: the time
@@ -100,7 +100,7 @@
 	defer cancel()
 	r := &mirrorpb.ReadRequest{WaitMs: uint32(wait.Milliseconds())}
 	for i, s := range c.spaces {
-		r.Have = append(r.Have, &mirrorpb.Position{Prefix: s.Prefix, Copy: c.have[i].copyID, Change: c.have[i].change, Behind: c.have[i].behind})
+		r.Have = append(r.Have, &mirrorpb.Position{Prefix: s.Prefix, Copy: c.have[i].copyID, Change: c.have[i].change, Behind: c.have[i].afterKey})
 	}
 	sent := clock.Now()
 	resp, err := mirrorpb.NewMirrorClient(c.conn).Read(ctx, r)
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// validate checks that a response matches the request and is recent enough.
+// validate checks that a response matches the request, and that the store has answered the peer for
+// at least one key space within maxAge.
 func (c *client) validate(resp *mirrorpb.ReadAnswer) error {
 	maxAge := uint64(c.maxAge.Microseconds())
 	youngest := maxAge + 1
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// apply hands a part to its space; a full copy is handed over with its last chunk.
+// apply passes a part to its space. It collects the chunks of a full copy and passes them with the
+// last one.
 func (c *client) apply(i int, p *mirrorpb.Part, sent time.Time) {
 	s := c.spaces[i]
 	c.have[i] = position{copyID: p.Copy, change: p.Change}
@@ -160,7 +162,7 @@
 		}
 		full.objects = append(full.objects, objects...)
 		if p.More && len(objects) > 0 {
-			c.have[i].behind = objects[len(objects)-1].Key
+			c.have[i].afterKey = objects[len(objects)-1].Key
 			return
 		}
 		full.at.Answered = at.Answered
--- a/internal/mirror/pieces_test.go
+++ b/internal/mirror/pieces_test.go
@@ -21,7 +21,7 @@
 	mirrorpb.UnimplementedMirrorServer
 	inner   *Server
 	change  func()
-	longest int
+	largest int
 }
 
 func (s *measuringServer) Read(ctx context.Context, r *mirrorpb.ReadRequest) (*mirrorpb.ReadAnswer, error) {
@@ -33,7 +33,7 @@
 		}
 		n += len(p.Packed)
 	}
-	s.longest = max(s.longest, n)
+	s.largest = max(s.largest, n)
 	s.change()
 	return a, err
 }
@@ -41,9 +41,10 @@
 // TestCopyInChunks reads 10,002 entries of 300 bytes while entries change, appear and disappear. No
 // response may be larger than a chunk, and the copy must end up equal to its source.
 //
-// A VM that started beside 985 others before 10,002 replicas used to get the list as one response
-// of 3 MB, which a link of 20 Mbit/s does not carry within the time limit of a read. It left one
-// peer after the other with DeadlineExceeded and read the store itself, 21 pages, as did all VMs.
+// Without chunks, a VM that started together with 985 others in a fleet of 10,002 replicas got the
+// list as one response of 3 MB, which a link of 20 Mbit/s does not carry within the time limit of a
+// read. Its reads from one peer after the other failed with DeadlineExceeded, and it read the store
+// itself, 21 pages, as did all VMs.
 func TestCopyInChunks(t *testing.T) {
 	const entries = 10_002
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -87,15 +88,15 @@
 			t.Fatal(err)
 		}
 	}
-	if s.longest > chunkBytes {
-		t.Errorf("largest response has %d bytes, want at most %d", s.longest, chunkBytes)
+	if s.largest > chunkBytes {
+		t.Errorf("largest response has %d bytes, want at most %d", s.largest, chunkBytes)
 	}
 	if len(dst.objects) != len(source.objects) {
 		t.Errorf("the copy has %d objects, its source has %d", len(dst.objects), len(source.objects))
 	}
 	for key, o := range source.objects {
 		if got := dst.objects[key]; got.Version != o.Version || string(got.Value) != string(o.Value) {
-			t.Fatalf("%s has version %d, %d at the source", key, got.Version, o.Version)
+			t.Fatalf("%s differs: the copy has version %d, its source has %d", key, got.Version, o.Version)
 		}
 	}
 }
--- a/internal/mirror/space.go
+++ b/internal/mirror/space.go
@@ -13,10 +13,10 @@
 //
 // A Space is this VM's copy of one key space, with its recent changes. It holds
 // everything up to a revision of the store, and this revision never decreases. A list of
-// a lower revision is ignored. So is a change that is not newer than the object in the
-// copy, and a change up to that revision of an object that the copy does not hold (it had
-// been deleted by then). Therefore it does not matter in which order a VM receives data
-// from its peers, or which of them is further behind.
+// a lower revision is ignored, and so is a change that is not newer than the object in the
+// copy. If the copy does not hold the object, a change up to the copy's revision is ignored:
+// the object had been deleted by then. Therefore it does not matter in which order a VM
+// receives data from its peers, or which of them is further behind.
 //
 // Each part of a response carries its age: the time from the sending of the store call
 // that proved the part complete to the response. A reader subtracts the age from the time
@@ -25,10 +25,10 @@
 //
 // # Failures
 //
-// A reader leaves an upstream peer that does not answer or whose last contact with the
-// store is older than maxContactAge. It then searches for the next peer, and lists the
-// store itself if none serves. A VM that reads from a peer therefore misses changes for at
-// most maxContactAge and one read longer than a VM that reads the store.
+// A reader stops reading from an upstream peer that does not answer or whose last contact
+// with the store is older than maxContactAge. It then searches for the next peer, and
+// lists the store itself if none serves. A VM that reads from a peer therefore misses
+// changes for at most maxContactAge and one read longer than a VM that reads the store.
 package mirror
 
 import (
@@ -53,9 +53,9 @@
 // reader that is further behind gets a full copy.
 const maxBatches = 256
 
-// regainedPeriod is how long after the store's return entries that expired during its outage may
-// be registered again. A reader that comes later must not wait for entries missing from the copy:
-// a replica whose entry is gone would get requests for longer than allowed.
+// regainedPeriod is how long after the store has recovered entries that expired during its outage
+// may be registered again. A reader that comes later must not wait for entries missing from the
+// copy: a replica whose entry is gone would get requests for longer than allowed.
 const regainedPeriod = 2 * time.Second
 
 // Space is a copy of one key space. It forwards what it applies to Next. Safe for
@@ -67,17 +67,17 @@
 	// Notifier is notified of each change. Shared by the spaces of a VM.
 	Notifier *Notifier
 
-	mu       sync.Mutex
-	objects  map[string]objectapi.Object
-	at       follow.At
-	listed   bool
-	regained time.Time // time of the last list after an outage of the store
-	copyID   uint64    // random identifier of this copy for readers; zero: not listed yet
-	change   uint64    // sequence number of the last change
-	keys     []string  // of objects, sorted; nil: not sorted yet
-	packed   packedChunks
-	base     uint64 // last change before the first of batches
-	batches  []batch
+	mu         sync.Mutex
+	objects    map[string]objectapi.Object
+	at         follow.At // all changes up to its revision are applied
+	listed     bool
+	regainedAt time.Time // time of the last list after an outage of the store
+	copyID     uint64    // random identifier of this copy for readers; zero: not listed yet
+	change     uint64    // sequence number of the last list or batch
+	keys       []string  // of objects, sorted; nil: not sorted yet
+	packed     packedChunks
+	base       uint64 // sequence number before that of the first batch; a reader at a lower one needs a full copy
+	batches    []batch
 }
 
 var _ follow.Handler = (*Space)(nil)
@@ -100,7 +100,7 @@
 	}
 	s.listed, s.keys = true, nil
 	if regained {
-		s.regained = clock.Now()
+		s.regainedAt = clock.Now()
 	}
 	s.change++
 	s.base, s.batches = s.change, nil // readers get a list as a full copy
@@ -196,10 +196,10 @@
 }
 
 // position is how much of a copy a reader has. While the reader receives a full copy in chunks,
-// behind is the last key that it has, as of change or later.
+// afterKey is the last key that it has received; the objects up to there are as of change or later.
 type position struct {
 	copyID, change uint64
-	behind         string
+	afterKey       string
 }
 
 // update holds what a reader lacks.
@@ -208,7 +208,7 @@
 	at       follow.At
 	full     bool
 	more     bool   // the copy continues after the last of objects
-	behind   string // key after which this chunk begins
+	afterKey string // key after which this chunk begins
 	regained bool
 	objects  []objectapi.Object
 	packed   []byte // compressed objects of a full copy; empty: objects are sent uncompressed
@@ -228,9 +228,9 @@
 	}
 	u.to, u.at = position{copyID: s.copyID, change: s.change}, s.at
 	known := have.copyID == s.copyID && have.change >= s.base
-	if known && have.behind != "" {
-		u.to.change = have.change // later changes in the chunks sent before follow as batches
-		s.addChunk(&u, have.behind)
+	if known && have.afterKey != "" {
+		u.to.change = have.change // later changes of objects in the earlier chunks follow as batches
+		s.addChunk(&u, have.afterKey)
 		return u, true
 	}
 	if !known {
@@ -246,17 +246,17 @@
 }
 
 // addChunk adds the objects after a key, up to chunkBytes. The caller holds the lock.
-func (s *Space) addChunk(u *update, behind string) {
+func (s *Space) addChunk(u *update, afterKey string) {
 	if s.keys == nil {
 		s.keys = slices.Sorted(maps.Keys(s.objects))
 	}
-	u.full, u.behind, u.regained = true, behind, clock.Since(s.regained) < regainedPeriod
-	from, found := slices.BinarySearch(s.keys, behind)
+	u.full, u.afterKey, u.regained = true, afterKey, clock.Since(s.regainedAt) < regainedPeriod
+	from, found := slices.BinarySearch(s.keys, afterKey)
 	if found {
 		from++
 	}
 	defer func() {
-		if packed, err := s.packed.of(u, s.change); err == nil {
+		if packed, err := s.packed.get(u, s.change); err == nil {
 			u.packed = packed
 		}
 	}()
