--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -206,7 +206,7 @@
 }
 
 // loadedPart returns the fraction of a canary's targets that get load. If there are several,
-// it is at least two targets, so that one broken target can be told from a bad version.
+// it is at least two targets, so that one broken target can be distinguished from a bad version.
 func loadedPart(targets int) float64 {
 	if targets < severalTargets {
 		return loadingShare
--- a/internal/e2e/vms_test.go
+++ b/internal/e2e/vms_test.go
@@ -111,7 +111,7 @@
 }
 
 // TestRollingWeights changes the weights on all engines of a domain while requests are
-// served. No request may fail, and the engines must apply orders with a fencing number. The
+// served. No request may fail, and the engines must apply orders with a fencing token. The
 // test does not check that responses report no cached tokens of the old weights.
 func TestRollingWeights(t *testing.T) {
 	h := start(t, 1)
@@ -142,7 +142,7 @@
 	})
 	for _, id := range updated {
 		if got := h.s.Engines[id].AppliedFences(); len(got) == 0 || got[0] == 0 {
-			t.Errorf("%s applied orders with fencing numbers %v, want at least one and the first above 0", id, got)
+			t.Errorf("%s applied orders with fencing tokens %v, want at least one and the first above 0", id, got)
 		}
 	}
 }
--- a/internal/follow/health.go
+++ b/internal/follow/health.go
@@ -18,9 +18,9 @@
 // StoreHealth is shared by the followers of a store. When a call of one follower fails, it cancels
 // the watches of all, since the same fault may have made the others unresponsive. Each follower
 // then lists again. The follower whose call failed does so first, as the prober: while the store
-// does not answer it, the others make no calls, and after probeTurn one of them takes over as the
-// prober. Without this, four followers made 54 calls in a store outage of 9 s; with a single prober
-// there are at most 24.
+// does not answer it, the others make no calls, and after proberTimeout one of them takes over as
+// the prober. Without this, four followers made 54 calls in a store outage of 9 s; with a single
+// prober there are at most 24.
 // A nil StoreHealth does nothing. Safe for concurrent use.
 type StoreHealth struct {
 	mu             sync.Mutex
@@ -32,9 +32,9 @@
 	excluded       map[*Follower]bool                    // followers that the store does not answer although it answers others; their failures are ignored
 }
 
-// probeTurn is how long a follower waits for the prober before it takes over: the failure may
+// proberTimeout is how long a follower waits for the prober before it takes over: the failure may
 // concern a single key space, and must not make the data of the others stale.
-const probeTurn = 2 * time.Second
+const proberTimeout = 2 * time.Second
 
 // minRelistInterval is the minimum time between two cancellations of all watches: followers that
 // list again during an outage fail one after the other, and need not cancel each other's watches
@@ -100,7 +100,7 @@
 			return unavailable
 		}
 		unavailable = true
-		limit := time.NewTimer(probeTurn)
+		limit := time.NewTimer(proberTimeout)
 		select {
 		case <-ctx.Done():
 		case <-recovered:
--- a/internal/forward/kv_test.go
+++ b/internal/forward/kv_test.go
@@ -95,7 +95,7 @@
 	}
 	c := newPlan(p, "a", 0)
 	if c.save != "" {
-		t.Fatal("the save was requested twice within its time-out")
+		t.Fatal("the save was requested twice within its timeout")
 	}
 	if c.work != 1000 {
 		t.Fatalf("%d tokens are to be computed, want all: the store has reported none", c.work)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -18,7 +18,7 @@
 // Causes of attempts that this VM ended, as opposed to the replica.
 var (
 	errCallerGone = errors.New("the caller has disconnected or stopped reading")
-	errStalled    = errors.New("the replica has sent nothing within the time-out")
+	errStalled    = errors.New("the replica has sent nothing within the timeout")
 	errOldWeights = errors.New("the replica's weights have become too old to start the call on")
 )
 
@@ -266,7 +266,7 @@
 	case t.r.req.Context().Err() != nil:
 		return outcome.Wrap(errors.Join(errCallerGone, err), e.Outcome, outcome.CodeStreamBroken, e.Step, e.Peer, "the caller has closed the connection")
 	case errors.Is(context.Cause(t.ctx), errStalled):
-		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica sent nothing within the time-out")
+		return outcome.Wrap(errors.Join(errStalled, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "the replica sent nothing within the timeout")
 	case errors.Is(context.Cause(t.ctx), errOldWeights):
 		return outcome.Wrap(errors.Join(errOldWeights, err), e.Outcome, outcome.CodeUpstream, e.Step, e.Peer, "withdrawn: the replica's weights have become too old to start the call on")
 	}
--- a/internal/forward/stall.go
+++ b/internal/forward/stall.go
@@ -10,7 +10,7 @@
 
 const streamKind = catalog.Stream
 
-// Time-outs for a replica that sends nothing, as multiples of the route's objectives. A time-out
+// Timeouts for a replica that sends nothing, as multiples of the route's objectives. A timeout
 // ends an attempt only if another attempt may follow; otherwise the call keeps waiting for the
 // replica.
 const (
@@ -49,7 +49,7 @@
 	return gap * eventGapFactor
 }
 
-// onStall runs when the replica has sent nothing within the time-out. The time-out counts against the
+// onStall runs when the replica has sent nothing within the timeout. The timeout counts against the
 // replica in later decisions, but this call is cancelled only if it may be sent to another replica.
 func (t *attempt) onStall() {
 	if !t.r.superseded(t.c) {
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -33,7 +33,7 @@
 	TokenEvery  time.Duration // between tokens of one response
 	Slots       int           // responses generated concurrently
 	CacheBlocks int           // capacity of the prefix cache
-	// IgnoresFences makes the engine apply orders with outdated fencing numbers.
+	// IgnoresFences makes the engine apply orders with outdated fencing tokens.
 	IgnoresFences bool
 	LoadTime      time.Duration // to load new weights
 }
@@ -73,7 +73,7 @@
 	loading   bool
 	weights   ids.WeightsVersion
 	fence     uint64
-	// appliedFences lists the fencing numbers of the applied orders.
+	// appliedFences lists the fencing tokens of the applied orders.
 	appliedFences []uint64
 
 	faults Faults
--- a/internal/lab/orders.go
+++ b/internal/lab/orders.go
@@ -24,7 +24,7 @@
 	e.mu.Lock()
 	if m.Fence < e.fence && !e.spec.IgnoresFences {
 		e.mu.Unlock()
-		http.Error(w, "fencing number is outdated", http.StatusConflict)
+		http.Error(w, "fencing token is outdated", http.StatusConflict)
 		return
 	}
 	e.fence = max(e.fence, m.Fence)
@@ -59,7 +59,7 @@
 	return e.running + e.queued
 }
 
-// AppliedFences returns the fencing numbers of the applied orders, in order of arrival.
+// AppliedFences returns the fencing tokens of the applied orders, in order of arrival.
 func (e *Engine) AppliedFences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/membership/contact.go
+++ b/internal/membership/contact.go
@@ -103,7 +103,7 @@
 // TimedOut records that a request of this VM, sent at the given time, got nothing from
 // the target for too long. This raises the target's failure rate, and with it its cost. If this VM
 // has seen the target since it sent the request, the target is slow or does not answer some
-// requests, and the time-out does not count toward the breaker: under load all targets are slow,
+// requests, and the timeout does not count toward the breaker: under load all targets are slow,
 // and taking some out makes the others slower still.
 func (t *Table) TimedOut(id ids.Target, sent, now time.Time) {
 	t.mu.Lock()
--- a/internal/mirror/space_test.go
+++ b/internal/mirror/space_test.go
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestRegainedExpires checks that a reader which gets a full copy soon after the store has recovered
-// is told so, since entries missing from the copy may return, and that a later reader is not.
+// TestRegainedExpires checks that a full copy sent soon after the store has recovered is marked
+// regained, since entries missing from it may return, and that a later one is not.
 func TestRegainedExpires(t *testing.T) {
 	s := &Space{Prefix: "p/", Next: &recorder{}, Notifier: &Notifier{}}
 	s.Listed(nil, follow.At{Revision: 1}, true)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,7 +13,7 @@
 	seed  uint64
 	cause string
 }{
-	{1, "VMs with short key lifetimes became unready alternately: the wait of a watch did not depend on the key lifetime (settings, platform TestCalmDay)"},
+	{1, "VMs with short key lifetimes became unready alternately: the wait of a watch did not depend on the key lifetime (settings, platform TestServeWithoutFaults)"},
 	{7000, "VMs that read the store through a peer became unready alternately: waits and read intervals did not depend on the key lifetime (edge TestProofsAreRenewedInTime)"},
 	{1796241844309321909, "all engines were ordered to load weights at the same time although half of them could have kept serving (rollout TestHalfServeAfterHolderGap)"},
 	{1796242706000003003, "a failure response to the resumption of a broken stream ended the stream as if it were complete (forward TestFailureOnResumeCutsStream)"},
--- a/internal/yardstick/run.go
+++ b/internal/yardstick/run.go
@@ -173,7 +173,7 @@
 	return v
 }
 
-// scheduleUpdates schedules what VMs learn from one engine: its load reports, which reach
+// scheduleUpdates schedules what VMs receive from one engine: its load reports, which reach
 // all VMs with a delay, and its feed of cache events, which one VM reads.
 func (x *simulation) scheduleUpdates(i int, e *fakeEngine) {
 	phase := time.Duration(x.rnd.Int64N(int64(reportInterval)))
