--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks the models with spin. Each must hold as it is, and must fail with each
-# switch that takes a safeguard out: a check that can't fail proves nothing.
+# Verifies the models with spin. Each model must hold as it is and must fail with each
+# switch that removes a safeguard: a check that can't fail proves nothing.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
@@ -20,27 +20,27 @@
 
 states() { grep -o '[0-9.e+]* states, stored' "$work/$1/pan.log" | head -1; }
 
-holds() { if verify "$@"; then echo "holds: $* ($(states "$(IFS= ; echo "$1${*:2}")" || true))"; else echo "MODEL FAILS: $*"; cat "$work/$1${*:2}/pan.log"; exit 1; fi; }
-bites() { if verify "$@"; then echo "CHECK CAN'T FAIL: $*"; exit 1; else echo "fails as it must: $*"; fi; }
+must_hold() { if verify "$@"; then echo "holds: $* ($(states "$(IFS= ; echo "$1${*:2}")" || true))"; else echo "MODEL FAILS: $*"; cat "$work/$1${*:2}/pan.log"; exit 1; fi; }
+must_fail() { if verify "$@"; then echo "CHECK CAN'T FAIL: $*"; exit 1; else echo "fails as it must: $*"; fi; }
 
-holds claims
-bites claims -DNO_READBACK
-bites claims -DTAKEOVER
-bites claims -DRELEASE_UNKNOWN
-bites claims -DNO_ABANDON
-holds lease
-holds lease -DPAUSES
-bites lease -DNO_WAITOUT
-bites lease -DFROM_END
-bites lease -DSTANDS_STILL
-bites lease -DPAUSES -DNO_FENCE
-holds config
-bites config -DNO_MONOTONE
-bites config -DNO_BASE
-bites config -DNO_FLOOR
-holds proof
-bites proof -DFROM_ANSWER
-bites proof -DFROM_NEWS
-bites proof -DNO_AGE
-bites proof -DEARLY_CHECK
-bites proof -DSTANDS_STILL
+must_hold claims
+must_fail claims -DNO_READBACK
+must_fail claims -DTAKEOVER
+must_fail claims -DRELEASE_UNKNOWN
+must_fail claims -DNO_ABANDON
+must_hold lease
+must_hold lease -DPAUSES
+must_fail lease -DNO_WAITOUT
+must_fail lease -DFROM_END
+must_fail lease -DSTANDS_STILL
+must_fail lease -DPAUSES -DNO_FENCE
+must_hold config
+must_fail config -DNO_MONOTONE
+must_fail config -DNO_BASE
+must_fail config -DNO_FLOOR
+must_hold proof
+must_fail proof -DFROM_ANSWER
+must_fail proof -DFROM_NEWS
+must_fail proof -DNO_AGE
+must_fail proof -DEARLY_CHECK
+must_fail proof -DSTANDS_STILL
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,21 +1,21 @@
-/* The claim of one idempotency key, as internal/claims does it.
+/* Model of the claim of one idempotency key (internal/claims).
  *
- * Two VMs each handle one try of the same call, and one of them may die anywhere.
- * The object API may lose an answer after the write took effect, or deliver a
- * write late, after its caller gave up. The service counts how often it ran.
+ * Two VMs each handle one attempt of the same call, and one of them may crash at any
+ * point. The object API may lose a response after the write took effect, or apply a
+ * write late, after its caller gave up. The service counts how often it ran the call.
  *
- *   here                      in the code
+ *   model                     code
  *   create, update            objectapi.Store through objectapi.resolve
- *   tryCall                   claims.Ledger.Claim, services.Runner.once
+ *   tryCall                   claims.Ledger.Claim, services.Runner.runOnce
  *   dispatch                  services.Runner.sendHeld
  *   settle                    claims.Ledger.Settle
  *   abandon                   claims.Settler.abandon
  *
- * Switches, each of which takes one safeguard out and must make a check fail:
- *   NO_READBACK   a lost answer counts as success
- *   TAKEOVER      a claimed attempt of another VM is taken over
- *   RELEASE_UNKNOWN  an attempt of unknown end is released
- *   NO_ABANDON    an abandoned claim is not released
+ * Switches, each of which removes one safeguard and must make an assertion fail:
+ *   NO_READBACK      a write whose response is lost counts as successful
+ *   TAKEOVER         a VM takes over a claim that another attempt holds
+ *   RELEASE_UNKNOWN  an attempt with an unknown outcome is released
+ *   NO_ABANDON       an abandoned claim is not released
  */
 
 #define NONE     0
@@ -24,26 +24,26 @@
 #define RAN      3
 #define UNKNOWN  4
 
-/* the stored claim: state, whose attempt, version */
+/* the stored claim: state, attempt that wrote it, version */
 byte state = NONE;
 byte attempt = 0;
 byte version = 0;
 
-/* a write that is still under way: valid, base version, attempt, state */
+/* a write that is still in transit: whether there is one, base version, attempt, state */
 bool lateValid = false;
 byte lateBase, lateAttempt, lateState;
 
-/* how much goes wrong in one history */
+/* bound on the faults of the store in one run of the model */
 #define MAXFAULTS 5
 byte faults = 0;
 
-byte runs = 0;         /* of the service */
-bool toldNotRun[3];    /* try i was refused with "not-run" */
-bool ranBy[3];         /* try i was dispatched and ran */
-bool died = false;
+byte runs = 0;         /* how often the service ran the call */
+bool toldNotRun[3];    /* the caller of attempt i got the outcome "not-run" */
+bool ranBy[3];         /* attempt i was dispatched and ran */
+bool crashed = false;
 byte done = 0;
 
-/* write applies a conditional write of state s for attempt a on version v. */
+/* Applies a conditional write of state s for attempt a, based on version v. */
 inline apply(v, a, s, ok) {
   if
   :: version == v -> attempt = a; state = s; version = version + 1; ok = true
@@ -51,7 +51,7 @@
   fi
 }
 
-/* The late write lands at any time. */
+/* The late write may reach the store at any time. */
 active proctype network() {
   bool ok;
 end:
@@ -60,39 +60,40 @@
   od
 }
 
-#define OK    0
-#define LOST  1 /* another holds the object */
-#define AMBIG 2 /* unresolved */
-#define DOWN  3 /* certainly not applied */
+#define OK          0
+#define CONFLICT    1 /* another write came first */
+#define AMBIGUOUS   2 /* may or may not be applied */
+#define NOT_APPLIED 3 /* certainly not applied */
 
-/* One write with every fate. */
+/* One conditional write, with every possible result. */
 inline rawWrite(v, a, s, result) {
   atomic {
     if
-    :: true -> apply(v, a, s, ok); if :: ok -> result = OK :: else -> result = LOST fi
-    :: faults < MAXFAULTS -> faults++; result = DOWN
-    :: faults < MAXFAULTS -> faults++; apply(v, a, s, ok); result = AMBIG    /* answer lost, whatever it was */
-    :: faults < MAXFAULTS -> faults++; result = AMBIG                        /* lost on the way */
-    :: faults < MAXFAULTS && !lateValid -> faults++; lateValid = true; lateBase = v; lateAttempt = a; lateState = s; result = AMBIG
+    :: true -> apply(v, a, s, ok); if :: ok -> result = OK :: else -> result = CONFLICT fi
+    :: faults < MAXFAULTS -> faults++; result = NOT_APPLIED
+    :: faults < MAXFAULTS -> faults++; apply(v, a, s, ok); result = AMBIGUOUS /* response lost, whether the write succeeded or not */
+    :: faults < MAXFAULTS -> faults++; result = AMBIGUOUS /* request lost */
+    :: faults < MAXFAULTS && !lateValid -> faults++; lateValid = true; lateBase = v; lateAttempt = a; lateState = s; result = AMBIGUOUS
     fi
   }
 }
 
-/* A write, and what is read back when its answer is lost: objectapi.resolve. It
-   may be used only where the value written is not there already. */
+/* A conditional write that reads the object back if the response is lost
+   (objectapi.resolve). Only for a value that is not stored yet: otherwise the read back
+   could not tell whether this write took effect. */
 inline write(v, a, s, result) {
   rawWrite(v, a, s, result);
 #ifdef NO_READBACK
-  if :: result == AMBIG -> result = OK :: else fi
+  if :: result == AMBIGUOUS -> result = OK :: else fi
 #else
   if
-  :: result == AMBIG ->
+  :: result == AMBIGUOUS ->
      atomic {
        if
        :: attempt == a && state == s -> result = OK
-       :: version != v && !(attempt == a && state == s) -> result = LOST
-       :: version == v -> skip           /* not there; the tries run out */
-       :: faults < MAXFAULTS -> faults++ /* the read fails too */
+       :: version != v && !(attempt == a && state == s) -> result = CONFLICT
+       :: version == v -> skip           /* not stored; all retries fail */
+       :: faults < MAXFAULTS -> faults++ /* reading back fails as well */
        fi
      }
   :: else
@@ -101,16 +102,16 @@
 }
 
 proctype tryCall(byte me) {
-  byte seenState, seenAttempt, v, result, end;
+  byte seenState, seenAttempt, v, result, outcome;
   bool ok;
 
-  /* Claim: create, or look at what is there */
+  /* Claim: create the record, or act on the stored one */
   atomic { seenState = state; seenAttempt = attempt; v = version }
   if
-  :: seenState == RAN -> goto out               /* given the recorded answer */
-  :: seenState == UNKNOWN -> goto out           /* told "unknown" */
+  :: seenState == RAN -> goto out               /* the caller gets the recorded response */
+  :: seenState == UNKNOWN -> goto out           /* the caller gets "unknown" */
 #ifndef TAKEOVER
-  :: seenState == CLAIMED -> goto out           /* told "in progress" or "unknown" */
+  :: seenState == CLAIMED -> goto out           /* the caller gets "in progress" or "unknown" */
 #else
   :: seenState == CLAIMED
 #endif
@@ -118,34 +119,34 @@
   fi;
   write(v, me, CLAIMED, result);
   if
-  :: result == LOST -> toldNotRun[me] = false; goto out
-  :: result == DOWN -> toldNotRun[me] = true; goto out
-  :: result == AMBIG -> toldNotRun[me] = true; goto abandon
+  :: result == CONFLICT -> toldNotRun[me] = false; goto out
+  :: result == NOT_APPLIED -> toldNotRun[me] = true; goto out
+  :: result == AMBIGUOUS -> toldNotRun[me] = true; goto abandon
   :: result == OK
   fi;
-  atomic { v = version }   /* our write's version, as the write's answer told it */
+  atomic { v = version }   /* the version of this attempt's write, from the response */
 
-  /* the VM may die here, with the claim written and nothing sent */
-  if :: !died -> died = true; goto out :: skip fi;
+  /* the VM may crash here, with the claim stored and nothing sent */
+  if :: !crashed -> crashed = true; goto out :: skip fi;
 
-  /* dispatch, once */
+  /* dispatch, at most once */
   if
-  :: end = RELEASED                              /* refused: it did not run */
-  :: runs++; ranBy[me] = true; end = RAN
-  :: runs++; ranBy[me] = true; end = UNKNOWN     /* ran, answer lost */
-  :: end = UNKNOWN                               /* did not run, nobody knows */
+  :: outcome = RELEASED                          /* refused: the call did not run */
+  :: runs++; ranBy[me] = true; outcome = RAN
+  :: runs++; ranBy[me] = true; outcome = UNKNOWN /* ran, response lost */
+  :: outcome = UNKNOWN                           /* did not run, but the VM cannot know */
   fi;
-  if :: end == RELEASED -> toldNotRun[me] = true :: else fi;
+  if :: outcome == RELEASED -> toldNotRun[me] = true :: else fi;
 #ifdef RELEASE_UNKNOWN
-  if :: end == UNKNOWN -> end = RELEASED :: else fi;
+  if :: outcome == UNKNOWN -> outcome = RELEASED :: else fi;
 #endif
 
-  /* settle; again and again until the store takes it, or the VM dies */
+  /* settle: retry until the store accepts the write or the VM crashes */
   do
-  :: write(v, me, end, result);
+  :: write(v, me, outcome, result);
      if
-     :: result == OK || result == LOST -> break
-     :: !died -> died = true; break
+     :: result == OK || result == CONFLICT -> break
+     :: !crashed -> crashed = true; break
      :: else
      fi
   od;
@@ -153,8 +154,8 @@
 
 abandon:
 #ifndef NO_ABANDON
-  /* release the attempt that was never dispatched, in a way that also beats the
-     late write: whatever is there gets a new version */
+  /* Release the attempt, which was never dispatched. The release changes the version of
+     the stored record, so that the claiming write fails if it is applied late. */
   do
   :: atomic { seenState = state; seenAttempt = attempt; v = version };
      if
@@ -163,10 +164,10 @@
      :: seenState == RELEASED && seenAttempt == me -> break
      :: seenState == NONE || (seenState == CLAIMED && seenAttempt == me) ->
         rawWrite(v, me, RELEASED, result);
-        if :: result == OK -> break :: !died -> died = true; break :: else fi
+        if :: result == OK -> break :: !crashed -> crashed = true; break :: else fi
      :: seenState == RELEASED && seenAttempt != me ->
         rawWrite(v, seenAttempt, RELEASED, result);
-        if :: result == OK -> break :: !died -> died = true; break :: else fi
+        if :: result == OK -> break :: !crashed -> crashed = true; break :: else fi
      fi
   od;
 #endif
@@ -177,14 +178,15 @@
 init {
   atomic { run tryCall(1); run tryCall(2) };
   (done == 2 && !lateValid);
-  /* a third try, with the store healthy and nobody dying, when nothing ever ran
-     and no VM died with the key: it must get through */
+  /* If no VM crashed and the call never ran, the record must not stay claimed: a third
+     attempt, with the store healthy, would be refused. */
 #ifndef SAFETY_ONLY
-  assert(died || runs > 0 || state != CLAIMED)
+  assert(crashed || runs > 0 || state != CLAIMED)
 #endif
 }
 
-/* at most once, and a refusal that says "not run" is true: at all times */
+/* Invariants: the call runs at most once, and an attempt whose caller got "not-run" did
+   not run. */
 active proctype monitor() {
 end:
   atomic { (runs > 1 || (toldNotRun[1] && ranBy[1]) || (toldNotRun[2] && ranBy[2])) -> assert(false) }
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,35 +1,35 @@
-/* Adoption of configuration, as internal/confsync does it.
+/* Model of how VMs adopt the configuration (internal/confsync).
  *
- * The store's revision grows; two VMs list, watch, and take copies from each
- * other, whole or as deltas; copies may arrive late; either VM may restart and
- * must then not serve an older revision than the other is known to serve.
+ * The store's revision increases. Two VMs list and watch the store and send each other
+ * snapshots, full or as deltas, which may arrive late. Either VM may restart; it must
+ * then not serve an older revision than the other is known to serve.
  *
- *   here          in the code
+ *   model         code
  *   list, delta   confsync.Store.Offer with Base zero or not
  *   floor         confsync.Store.RaiseFloor
- *   serves        daemon.lacking, readiness
+ *   serves        confsync.Store.ReachedFloor, daemon.notReadyReason
  *
- * Content is a bit for each revision written: what a VM holds must be exactly the
- * bits up to its revision.
+ * The content has one bit for each revision written: a VM must hold exactly the bits up
+ * to its revision.
  *
- * Switches, each of which must make a check fail:
- *   NO_MONOTONE  an older copy is adopted
- *   NO_BASE      a delta is applied on whatever is there
- *   NO_FLOOR     a restarted VM serves without regard to the floor
+ * Switches, each of which removes one safeguard and must make the assertion fail:
+ *   NO_MONOTONE  a VM adopts an older snapshot
+ *   NO_BASE      a VM applies a delta to any revision
+ *   NO_FLOOR     a restarted VM serves below the floor
  */
 
 #define MAXREV 3
 
-byte rev = 1;                 /* of the store */
+byte rev = 1;                 /* the store's revision */
 byte have[2];                 /* revision in force */
-byte content[2];              /* bits of the writes contained */
+byte content[2];              /* bits of the revisions contained */
 byte floor[2];
-bool fell = false;            /* a revision fell while its VM lived */
+bool decreased = false;       /* a revision decreased while its VM was running */
 bool serves[2];
-byte must[2];                 /* what the other served when a VM restarted */
+byte minimum[2];              /* the revision that the other VM served when this one restarted */
 
-/* one message under way */
-bool sent = false;
+/* the message in transit: base, revision, content, recipient */
+bool inTransit = false;
 byte mBase, mRev, mContent, mTo;
 
 #define UPTO(r) ((1 << (r)) - 1)
@@ -40,15 +40,15 @@
 #define NEWER(i, r) (r > have[i])
 #endif
 #ifdef NO_BASE
-#define FITS(i, base) (base != 0)
+#define BASE_MATCHES(i, base) (base != 0)
 #else
-#define FITS(i, base) (base != 0 && base == have[i])
+#define BASE_MATCHES(i, base) (base != 0 && base == have[i])
 #endif
 
 inline offer(i, base, r, c) {
   if
-  :: NEWER(i, r) && FITS(i, base) -> content[i] = content[i] | c; have[i] = r
-  :: NEWER(i, r) && base == 0 -> fell = fell || r < have[i]; content[i] = c; have[i] = r
+  :: NEWER(i, r) && BASE_MATCHES(i, base) -> content[i] = content[i] | c; have[i] = r
+  :: NEWER(i, r) && base == 0 -> decreased = decreased || r < have[i]; content[i] = c; have[i] = r
   :: else -> skip
   fi
 }
@@ -72,29 +72,30 @@
   :: atomic { offer(i, 0, rev, UPTO(rev)); ready(i) }             /* list */
   :: atomic { have[i] > 0 && have[i] < rev ->                     /* watch */
        offer(i, have[i], rev, UPTO(rev) & ~UPTO(have[i])); ready(i) }
-  :: atomic { !sent && have[i] > 0 ->                             /* a copy to the other */
-       sent = true; mTo = other; mRev = have[i];
+  :: atomic { !inTransit && have[i] > 0 ->                        /* send a snapshot to the other VM */
+       inTransit = true; mTo = other; mRev = have[i];
        if
        :: mBase = 0; mContent = content[i]
        :: have[other] > 0 && have[other] < have[i] ->
           mBase = have[other]; mContent = content[i] & ~UPTO(have[other])
        fi }
-  :: atomic { sent && mTo == i -> sent = false; offer(i, mBase, mRev, mContent); ready(i) }
+  :: atomic { inTransit && mTo == i -> inTransit = false; offer(i, mBase, mRev, mContent); ready(i) }
   :: atomic { floor[i] < have[other] && serves[other] -> floor[i] = have[other] }   /* a heartbeat */
-  :: atomic { have[i] > 0 ->                                      /* restart: hears all peers first */
+  :: atomic { have[i] > 0 ->                                      /* restart: learns the floor from all peers first */
        have[i] = 0; content[i] = 0; serves[i] = false;
        floor[i] = (serves[other] -> have[other] : 0);
-       must[i] = floor[i];
+       minimum[i] = floor[i];
        ready(i) }
   od
 }
 
 init { atomic { run vm(0); run vm(1) } }
 
-/* what is in force is exactly the content of its revision; and a restarted VM
-   never serves less than the other VM served when it started */
+/* Invariants: the revision in force never decreases while its VM is running, a VM holds
+   exactly the content of its revision, and a restarted VM never serves an older revision
+   than the other VM served at the restart. */
 active proctype monitor() {
 end:
-  atomic { fell || (have[0] > 0 && content[0] != UPTO(have[0])) || (have[1] > 0 && content[1] != UPTO(have[1])) ||
-    (serves[0] && have[0] < must[0]) || (serves[1] && have[1] < must[1]) -> assert(false) }
+  atomic { decreased || (have[0] > 0 && content[0] != UPTO(have[0])) || (have[1] > 0 && content[1] != UPTO(have[1])) ||
+    (serves[0] && have[0] < minimum[0]) || (serves[1] && have[1] < minimum[1]) -> assert(false) }
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,37 +1,42 @@
-/* The orders lease, as internal/lease and internal/orders do it, in ticks.
+/* Model of the lease under which a VM sends orders (internal/lease, internal/orders).
  *
- * Two VMs try for the lease; each renews, is paused, and sends orders that take
- * time. Time is one global tick, which both clocks count equally fast, also while
- * a VM is suspended; each VM knows only spans on its own.
+ * Two VMs compete for the lease; each renews it, may be paused, and sends orders that
+ * take time. Time is a global count of ticks. The VMs' clocks advance with it at the same
+ * rate, also while a VM is suspended; each VM only measures durations on its own clock.
+ * Notices (lease.Notice) are not modeled.
  *
- *   here                      in the code
+ *   model                     code
  *   tryLease                  lease.Lease.Try
  *   until                     lease.Lease.until, lease.Token.Until
  *   seenVersion, seenAt       lease.Lease.watch
  *   order                     orders.Reconciler.send
  *
- * Checked: orders under different fencing numbers never overlap at a target that
- * ignores fencing numbers, as long as no pause strikes between the look at the
- * token and the send; and at a target that checks them an order of an old number
- * is never followed after one of a newer, with pauses everywhere.
+ * Invariants:
+ *   - At a target that ignores fencing tokens, orders with different tokens never
+ *     overlap, provided that the VM is not paused between its check of the lease and the
+ *     send.
+ *   - A target that checks fencing tokens never carries out an order with an old token
+ *     after one with a newer token, even if a VM is paused anywhere (PAUSES).
  *
- * Switches, each of which must make a check fail:
- *   NO_WAITOUT   a successor does not wait for orders in flight
- *   FROM_END     a lease counts from the answer, not from before the write
- *   STANDS_STILL a VM's clock may not count time in which the VM is suspended
- *   NO_FENCE     the target that checks fencing numbers does not (with PAUSES)
+ * PAUSES checks the second invariant instead of the first.
+ *
+ * Switches, each of which removes one safeguard and must make the assertion fail:
+ *   NO_WAITOUT    a successor does not wait for orders in flight
+ *   FROM_END      a lease counts from the response, not from before the write
+ *   STANDS_STILL  a VM's clock may stop while the VM is suspended
+ *   NO_FENCE      the target does not check fencing tokens (with PAUSES)
  */
 
-#define DURATION 3
-#define MARGIN   1
-#define ORDER    4
+#define DURATION   3
+#define MARGIN     1
+#define ORDER_TIME 4   /* how long an order runs */
 #ifdef NO_WAITOUT
-#define WAITOUT  0
+#define WAITOUT    0
 #else
-#define WAITOUT  ORDER
+#define WAITOUT    ORDER_TIME
 #endif
-#define HORIZON  11
-#define WRITES   4  /* of the record, in one history */
+#define HORIZON    11
+#define MAXWRITES  4   /* of the record in one run of the model, at most */
 
 byte now = 0;
 
@@ -40,28 +45,28 @@
 byte fence = 0;
 byte version = 0;
 
-/* what targets saw */
-byte busyFence = 0;   /* of the order under way at the ignoring target */
-byte busyUntil = 0;
-byte maxFence = 0;    /* highest number that the checking target followed */
-bool stale = false;   /* it followed an old number after a newer one */
+/* what the targets received */
+byte runningFence = 0; /* token of the order running at the target that ignores tokens; 0: none */
+byte runningUntil = 0;
+byte maxFence = 0;     /* highest token that the checking target accepted */
+bool stale = false;    /* it carried out an order with an old token after a newer one */
 bool overlap = false;
 
 #ifdef STANDS_STILL
-byte stood[3];        /* how long the VM's clock has stood still */
-#define OWN (now - stood[me])
-#define STAND if :: stood[1]++ :: skip fi; if :: stood[2]++ :: skip fi
+byte suspended[3];     /* ticks that the VM's clock did not count */
+#define LOCAL_NOW (now - suspended[me])
+#define MAY_SUSPEND if :: suspended[1]++ :: skip fi; if :: suspended[2]++ :: skip fi
 #else
-#define OWN now
-#define STAND skip
+#define LOCAL_NOW now
+#define MAY_SUSPEND skip
 #endif
 
-/* Time passes only when nobody is within a step: the steps' own time is drawn as
-   explicit ticks in them. */
+/* Time passes only between atomic steps. A step that takes time is split, so that ticks can
+   occur in between. */
 active proctype time() {
 end:
   do
-  :: atomic { now < HORIZON -> now++; STAND; if :: now >= busyUntil -> busyFence = 0; busyUntil = 0 :: else fi }
+  :: atomic { now < HORIZON -> now++; MAY_SUSPEND; if :: now >= runningUntil -> runningFence = 0; runningUntil = 0 :: else fi }
   od
 }
 
@@ -71,7 +76,7 @@
   :: now >= HORIZON -> break
 
   :: /* tryLease: read */
-     atomic { now != lastTry && version < WRITES -> lastTry = now; began = OWN; v = version; f = fence };
+     atomic { now != lastTry && version < MAXWRITES -> lastTry = now; began = LOCAL_NOW; v = version; f = fence };
      if
      :: holder == me && v > 0 -> skip
      :: holder != me && v > 0 ->
@@ -83,8 +88,8 @@
         fi
      :: v == 0 -> f = 1
      fi;
-     /* the conditional write, some time later; its answer may be lost, and is then
-        read back, so it counts only when it is known to have taken effect */
+     /* The conditional write, some time later. If its response is lost, the VM reads the
+        record back, so a write counts only once it is known to have taken effect. */
      atomic {
        if
        :: version == v ->
@@ -93,20 +98,20 @@
        fi
      };
 #ifdef FROM_END
-     until = OWN + DURATION - MARGIN;
+     until = LOCAL_NOW + DURATION - MARGIN;
 #else
      until = began + DURATION - MARGIN;
 #endif
-next: atomic { began = 0; v = 0; f = 0; if :: OWN >= until -> until = 0 :: else fi }
+next: atomic { began = 0; v = 0; f = 0; if :: LOCAL_NOW >= until -> until = 0 :: else fi }
 
-  :: /* an order, begun while the token holds */
+  :: /* an order, started while the VM holds the lease */
 #ifdef PAUSES
-     (OWN < until);
-     /* paused between look and send */
+     (LOCAL_NOW < until);
+     /* the VM may be paused between the check and the send */
 #else
-     atomic { OWN < until ->
-       if :: busyFence != 0 && busyFence != myFence && now < busyUntil -> overlap = true :: else fi;
-       busyFence = myFence; busyUntil = now + ORDER };
+     atomic { LOCAL_NOW < until ->
+       if :: runningFence != 0 && runningFence != myFence && now < runningUntil -> overlap = true :: else fi;
+       runningFence = myFence; runningUntil = now + ORDER_TIME };
 #endif
      atomic {
 #ifndef NO_FENCE
@@ -117,7 +122,7 @@
 #else
        if
        :: myFence >= maxFence -> maxFence = myFence
-       :: else -> stale = true      /* followed all the same */
+       :: else -> stale = true      /* carried out all the same */
        fi
 #endif
      }
--- a/spec/proof.pml
+++ b/spec/proof.pml
@@ -1,22 +1,23 @@
-/* How long a key that was taken away may still work, as internal/catalog, internal/follow
- * and internal/mirror bound it.
+/* Model of how long a revoked key is still accepted (internal/catalog, internal/follow,
+ * internal/mirror).
  *
- * VM a reads the store, VM b reads from a. Calls, answers and the news between the VMs
- * take any time, so a freeze or a cut is a long step. A key is taken away at some moment;
- * callers send requests with it at any moment. A request that was sent later than TTL
- * after that moment must not be let in, on either VM.
+ * VM a reads the store, VM b reads from a. Calls and responses may take any time, so a
+ * frozen VM or a network partition is a long step. The key is revoked at some point;
+ * callers send requests with it at any time. Neither VM may admit a request that was sent
+ * more than TTL after the key was revoked.
  *
- *   here            in the code
- *   ask, answer     follow.Follower.once, mirror.client.read
- *   proof           catalog.Current.Prove, follow.At.Sent
- *   admit           forward.run.authorize
+ *   model             code
+ *   readerA, readerB  follow.Follower.once, mirror.client.read
+ *   provenAt          catalog.Current.Prove, follow.At.Sent
+ *   FRESH, caller     forward.run.authorize
  *
- * Switches, each of which takes one safeguard out and must make the check fail:
- *   FROM_ANSWER   a proof counts from the answer's arrival, not from the call's sending
- *   FROM_NEWS     a reader counts a peer's age from the arrival of its answer
- *   NO_AGE        a reader takes a peer's answer for as new as its question
- *   EARLY_CHECK   a request is admitted by a judgement made before it came
- *   STANDS_STILL  a VM's clock may not count time in which the VM is suspended
+ * Switches, each of which removes one safeguard and must make the assertion fail:
+ *   FROM_ANSWER   a proof counts from when the response is received, not from when the
+ *                 call was sent
+ *   FROM_NEWS     b counts the age of a's proof from when it receives the response
+ *   NO_AGE        b ignores the age of a's proof and counts from when it sent the call
+ *   EARLY_CHECK   a request is admitted by a check made before the request arrived
+ *   STANDS_STILL  a VM's clock may stop while the VM is suspended
  */
 
 #define TTL   2
@@ -24,26 +25,26 @@
 #define NEVER 255
 
 byte now = 0;
-byte takenAt = NEVER;
+byte revokedAt = NEVER;
 
-bool knows[2];       /* that the key is gone */
-byte proof[2];       /* when what the VM has was the newest; VMs begin with a proof at 0 */
-bool sure[2];        /* the last judgement, for EARLY_CHECK */
+bool knowsRevoked[2]; /* the VM's copy no longer has the key */
+byte provenAt[2];     /* when the VM's copy was last proven the newest; initially 0 */
+bool wasFresh[2];     /* result of the last check, for EARLY_CHECK */
 
 #ifdef STANDS_STILL
-byte stood[2];       /* how long the VM's clock has stood still */
-#define OWN(i) (now - stood[i])
+byte suspended[2];    /* ticks that the VM's clock did not count */
+#define LOCAL_NOW(i) (now - suspended[i])
 #else
-#define OWN(i) now
+#define LOCAL_NOW(i) now
 #endif
 
-#define FRESH(i) (!knows[i] && OWN(i) - proof[i] < TTL)
+#define FRESH(i) (!knowsRevoked[i] && LOCAL_NOW(i) - provenAt[i] < TTL)
 
 active proctype clock() {
 end:
   do
 #ifdef STANDS_STILL
-  :: atomic { now < MAXT -> now++; if :: stood[0]++ :: skip fi; if :: stood[1]++ :: skip fi }
+  :: atomic { now < MAXT -> now++; if :: suspended[0]++ :: skip fi; if :: suspended[1]++ :: skip fi }
 #else
   :: atomic { now < MAXT -> now++ }
 #endif
@@ -51,42 +52,42 @@
 }
 
 active proctype operator() {
-  takenAt = now
+  revokedAt = now
 }
 
-/* a asks the store; the answer is made at one moment and arrives at another. */
+/* VM a reads the store. It may receive the response any time after the store produced it. */
 active proctype readerA() {
-  byte sent; bool gone;
+  byte sent; bool revoked;
 end:
   do
-  :: sent = OWN(0);
-     gone = (takenAt != NEVER);
+  :: sent = LOCAL_NOW(0);
+     revoked = (revokedAt != NEVER);
      atomic {
-       knows[0] = knows[0] || gone;
+       knowsRevoked[0] = knowsRevoked[0] || revoked;
 #ifdef FROM_ANSWER
-       proof[0] = OWN(0);
+       provenAt[0] = LOCAL_NOW(0);
 #else
        if
-       :: sent > proof[0] -> proof[0] = sent
+       :: sent > provenAt[0] -> provenAt[0] = sent
        :: else -> skip
        fi;
 #endif
-       sent = 0; gone = false
+       sent = 0; revoked = false
      }
   od
 }
 
-/* b asks a; a says what it knows and how old that is. */
+/* VM b reads from a, which responds with its copy and the age of its proof. */
 active proctype readerB() {
-  byte sent, age, at; bool gone;
+  byte sent, age, at; bool revoked;
 end:
   do
-  :: sent = OWN(1);
-     atomic { gone = knows[0]; age = OWN(0) - proof[0] }
+  :: sent = LOCAL_NOW(1);
+     atomic { revoked = knowsRevoked[0]; age = LOCAL_NOW(0) - provenAt[0] }
      atomic {
-       knows[1] = knows[1] || gone;
+       knowsRevoked[1] = knowsRevoked[1] || revoked;
 #ifdef FROM_NEWS
-       at = OWN(1) - age;
+       at = LOCAL_NOW(1) - age;
 #else
 #ifdef NO_AGE
        at = sent;
@@ -98,15 +99,15 @@
 #endif
 #endif
        if
-       :: at > proof[1] -> proof[1] = at
+       :: at > provenAt[1] -> provenAt[1] = at
        :: else -> skip
        fi;
-       sent = 0; age = 0; at = 0; gone = false
+       sent = 0; age = 0; at = 0; revoked = false
      }
   od
 }
 
-/* a caller sends requests with the key; each reaches one of the VMs later. */
+/* A caller sends requests with the key; each reaches one of the VMs later. */
 active proctype caller() {
   byte sent, vm;
 end:
@@ -121,13 +122,13 @@
      atomic {
 #ifdef EARLY_CHECK
        if
-       :: sure[vm] -> assert(takenAt == NEVER || sent <= takenAt + TTL)
+       :: wasFresh[vm] -> assert(revokedAt == NEVER || sent <= revokedAt + TTL)
        :: else -> skip
        fi;
-       sure[vm] = FRESH(vm);
+       wasFresh[vm] = FRESH(vm);
 #else
        if
-       :: FRESH(vm) -> assert(takenAt == NEVER || sent <= takenAt + TTL)
+       :: FRESH(vm) -> assert(revokedAt == NEVER || sent <= revokedAt + TTL)
        :: else -> skip
        fi;
 #endif
