--- a/scripts/chaos.sh
+++ b/scripts/chaos.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Real processes on loopback under kills, freezes, faulty targets and a faulty
-# object API, while callers book and ask. Prints the seed, the faults by kind, and
-# what callers were told against what ran; fails if a promise was broken.
+# Chaos test: runs real processes on loopback under kills, freezes, faulty targets and
+# a faulty object API, while callers send prompts and service calls. Prints the seed, the
+# number of faults by kind, and a comparison of what callers were told with what ran;
+# fails if a call was lost, executed twice or reported wrongly.
 #   scripts/chaos.sh [SEED] [REQUESTS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/overhead.sh
+++ b/scripts/overhead.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The router's own cost beside a direct call, with engines, VM and callers as
-# processes of their own: time to first token at 200 requests/s each way, tokens
-# relayed for each core-second of the VM, resident memory of the idle VM.
+# Measures the router's overhead against direct calls, with engines, VM and callers in
+# separate processes: time to first token at 200 requests/s routed and direct, tokens
+# relayed per core-second of the VM, and resident memory of the idle VM.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -11,7 +11,8 @@
 "$work/threadwall-lab" up --token-every 50us --slots 256 >"$work/up.log" 2>&1 & pids+=($!); disown
 sleep 1
 "$work/threadwalld" run -s examples/solano/daemon/entry-sala-heredia-1.json >"$work/vm.log" 2>&1 & vm=$!; pids+=($vm); disown
-# One of eight listed VMs runs, and has an eighth of the workspace's limits.
+# Only one of the eight listed VMs runs, and it gets an eighth of the workspace's limits;
+# raise them so that they do not limit the load.
 sed 's/"requests_per_second": 400, "concurrency": 200/"requests_per_second": 20000, "concurrency": 8000/' \
   examples/solano/objects/workspaces.json >"$work/workspaces.json"
 "$work/threadwall" apply -f "$work/workspaces.json" >/dev/null
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Fetches what the build and the checks need.
+# Downloads the modules for the build and installs the tools for the checks.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 go mod download
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Formatting, vet, staticcheck, build, the model checks, and all tests with the
-# race detector. Tests in KNOWN-RED.txt run last; what they say is printed and does
-# not count.
+# race detector. Tests in KNOWN-RED.txt run last; their results are printed and do not
+# affect the exit status.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export PATH="$PATH:$(go env GOPATH)/bin"
